--- a/crates/croftrill-scheduler/src/placement/adapters.rs
+++ b/crates/croftrill-scheduler/src/placement/adapters.rs
@@ -1,4 +1,4 @@
-//! Which replica loads an adapter, and which adapter makes way for it.
+//! Selection of the replica that loads an adapter and of the adapter that is evicted for it.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -8,8 +8,8 @@
 use crate::replica::ReplicaId;
 
 impl ServicePlacement<'_> {
-    /// The replica whose orderer's turn it is to load an adapter: of those that
-    /// keep its model and have a place free, one by hash.
+    /// Returns the replica whose orderer is responsible for loading an adapter: one of the
+    /// model's holders by rendezvous hashing, if possible one with a free adapter slot.
     pub fn adapter_home(&self, model: &ModelName, adapter: &AdapterName) -> Option<&ReplicaId> {
         let seed = xxh3_64(adapter.as_bytes());
         let is_full =
@@ -20,14 +20,15 @@
             .map(|(id, _)| id)
     }
 
-    /// The replicas that keep a model.
+    /// Iterates over the current holders of a model.
     fn keepers(&self, model: &str) -> impl Iterator<Item = (&ReplicaId, &PlacedReplica)> {
         let ids: Vec<ReplicaId> = self.fleet().keepers(model).cloned().collect();
         ids.into_iter().filter_map(|id| self.replicas.get_key_value(&id))
     }
 
-    /// The replica that should load an adapter now: of those that keep its model
-    /// and take orders, the one with the fewest adapters, in need the last.
+    /// Returns the replica that should load an adapter now: of the model's holders that take
+    /// orders, the one with the least restricted calls, and of those the one with the fewest
+    /// adapters.
     pub fn adapter_place(&self, model: &ModelName) -> Option<ReplicaId> {
         self.keepers(model)
             .filter(|(_, replica)| replica.is_candidate(Among::Own))
@@ -35,9 +36,9 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// The adapter that makes way first on a replica: the one not asked for
-    /// longest, as it is the least likely to be in use. One that was just
-    /// brought stays until its requests have come.
+    /// Returns the adapter to evict first from a replica: the least recently requested one,
+    /// as it is the least likely to be in use. One that was just loaded stays until its
+    /// requests have arrived.
     pub fn adapter_victim(&self, replica: &PlacedReplica) -> Option<(ModelName, AdapterName)> {
         let held = &replica.ledger.holdings().models;
         let adapters = held.iter().flat_map(|held| {
--- a/crates/croftrill-scheduler/src/placement/choice.rs
+++ b/crates/croftrill-scheduler/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! Which replica loads a model, and what makes way for it there.
+//! Selection of the replica that loads a model and of the models that are evicted there.
 
 use std::time::Duration;
 
@@ -9,32 +9,32 @@
 use crate::catalog::ModelName;
 use crate::replica::{ReplicaId, ReplicaState};
 
-/// A replica that should take a model or an adapter.
+/// A replica that should load a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Place {
     /// The replica.
     pub replica: ReplicaId,
-    /// Requests expected to miss their objective because of the load.
+    /// Requests that are expected to miss their objective because of the load.
     pub lost: f64,
-    /// Time of the load.
+    /// Expected time of the load.
     pub load: Duration,
-    /// Requests a second that the model then keeps in time there, where holders follow
-    /// the work.
+    /// Additional requests per second that are served on time with this holder; `None` where
+    /// holders do not follow the work.
     pub kept: Option<f64>,
 }
 
-/// The replicas among which a place is chosen.
+/// The replicas that may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Among {
-    /// All at which some orderer orders, whether or not they are idle: all
-    /// orderers see these alike, and so agree on whose turn it is.
+    /// Those that some orderer sends orders to, idle or not. All orderers see the same set,
+    /// and so agree on which of them acts.
     All,
-    /// Those that take orders of this orderer now.
+    /// Those that take orders from this orderer now.
     Own,
 }
 
 impl ServicePlacement<'_> {
-    /// The model that makes way first on a replica: the least valuable.
+    /// Returns the model to evict first from a replica: the one of the least value.
     pub fn victim(&self, id: &ReplicaId, replica: &PlacedReplica) -> Option<ModelName> {
         let present = &replica.ledger.holdings().models;
         present
@@ -47,7 +47,8 @@
             .map(|(_, model)| model.clone())
     }
 
-    /// Value of what a replica must drop to make room for a model, and what stays there.
+    /// Returns the value of the models that a replica must evict to fit `model`, and the models
+    /// that stay there; `None` if it does not fit.
     fn displaced<'r>(
         &self,
         id: &ReplicaId,
@@ -82,7 +83,8 @@
         (free >= needed).then_some((displaced, stays))
     }
 
-    /// Requests a second for adapters on a replica, which its weights orders hold up.
+    /// Returns the requests per second for adapters on a replica; loads of weights there delay
+    /// them.
     fn adapter_requests(&self, replica: &PlacedReplica) -> f64 {
         let held = replica.ledger.holdings().models.iter();
         let rates = held.map(|held| {
@@ -94,7 +96,7 @@
         rates.sum()
     }
 
-    /// The replica that should load a model next, with the value it displaces.
+    /// Returns the replica that should load a model next, with what the load costs.
     pub fn best_place(&self, model: &ModelName, store_allowed: bool, among: Among) -> Option<Place> {
         if let Some(work) = &self.work {
             return self.place_by_work(model, store_allowed, among, work);
@@ -129,10 +131,10 @@
             })
     }
 
-    /// The same where holders follow the work: the place counts by what it keeps in time,
-    /// too, and what the others there lose by it. Among all, `None` also if the best
-    /// place has another goal at the moment: to wait for it is better than a worse place or
-    /// the weight store.
+    /// Returns the same where holders follow the work: a replica is also rated by the requests
+    /// it serves on time and by what the other models there lose. Among all replicas, `None` is
+    /// returned as well if the best one has another goal at the moment: waiting for it is
+    /// better than a worse replica or a load from the weight store.
     fn place_by_work(
         &self,
         model: &ModelName,
@@ -156,8 +158,8 @@
             .map(|(.., place)| place)
     }
 
-    /// A replica as a place for a model of `rate` requests a second, and what it costs: what
-    /// is lost there and by those that wait, less what is kept in time.
+    /// Rates a replica for a model of `rate` requests per second. The cost is what is lost there
+    /// and by the requests that wait, minus what is served on time.
     fn weigh_by_work(
         &self,
         model: &ModelName,
@@ -185,7 +187,7 @@
         Some((total, place))
     }
 
-    /// Time until a replica's goal is there, if it has one.
+    /// Returns the load time of a replica's goal, or zero if it has none.
     fn goal_time(&self, replica: &PlacedReplica) -> Duration {
         let goal = replica.goal.as_ref();
         let load = goal.and_then(|goal| load_time(self.engine, replica.ledger.holdings(), goal));
@@ -193,8 +195,8 @@
     }
 }
 
-/// True if the replica is ready, lacks the model and can be ordered to load it; from the
-/// weight store only if that is allowed.
+/// Returns true if the replica is ready, lacks the model and can be ordered to load it. Loads
+/// from the weight store count only if they are allowed.
 fn may_load(replica: &PlacedReplica, model: &ModelName, store_allowed: bool, among: Among) -> bool {
     let holdings = replica.ledger.holdings();
     replica.state == ReplicaState::Ready
@@ -203,10 +205,11 @@
         && (store_allowed || weight_source(holdings, model) != WeightSource::Store)
 }
 
-/// How freely a replica takes orders, as far as all who choose know it alike.
+/// Returns the restriction on calls to a replica, as far as all orderers that choose agree on
+/// it.
 fn need(replica: &PlacedReplica, among: Among) -> ControlCalls {
     match among {
-        // Another orderer may not have heard of a need.
+        // Another orderer may not know of the restriction.
         Among::All => ControlCalls::Free,
         Among::Own => replica.control_calls,
     }
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -1,9 +1,10 @@
-//! Which models and adapters should be where.
+//! Placement of models and adapters on replicas.
 //!
-//! Pure choices over one service's replicas. [`value`] says what a model is worth
-//! and how many holders it deserves, [`choice`] which replica loads it and what
-//! makes way, [`adapters`] the same of adapters, [`placed`] what is known of a
-//! replica, [`work`] how much holders can do.
+//! Pure functions over the replicas of one service. [`value`] computes what a model and each
+//! of its holders are worth, [`choice`] selects the replica that loads a model and the model
+//! that is evicted there, [`adapters`] does the same for adapters, [`placed`] describes a
+//! replica, [`replicas`] indexes all of them, and [`work`] estimates how much work the holders
+//! can do on time.
 
 mod adapters;
 mod choice;
@@ -29,22 +30,23 @@
 pub use self::value::missed_share;
 pub use self::work::{LateShares, ModelWork, ServiceWork};
 
-/// Tunable figures of placement.
+/// Tunable parameters of placement.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementConfig {
-    /// Requests a second from which a model may get a spare holder.
+    /// Requests per second from which a model may get a spare holder.
     pub spare_holder_from: f64,
-    /// Part of a model's value that its spare holder counts for.
+    /// Fraction of a model's value that is attributed to its spare holder.
     pub spare_share: f64,
-    /// Requests that one more holder must keep in time over the horizon.
+    /// Requests that one more holder must serve on time over the horizon, beyond those that
+    /// the present holders do.
     pub least_kept: f64,
-    /// What comes must be worth so many times what makes way for it.
+    /// Factor by which the gain of a load must exceed the loss by what is evicted for it.
     pub least_gain: f64,
-    /// Time for which demand is taken to go on as it is.
+    /// Time for which demand is assumed to continue as it is.
     pub horizon: Duration,
-    /// Requests held up by one adapter request while weights are loaded at its replica.
+    /// Requests delayed by one adapter request while weights are loaded at its replica.
     pub adapter_block_share: f64,
-    /// Time for which a model that was just loaded does not make way.
+    /// Time for which a model is not evicted after its load.
     pub least_residence: Duration,
 }
 
@@ -62,36 +64,36 @@
     }
 }
 
-/// The replicas of one service with the demand they face.
+/// The replicas of one service and the demand for its models.
 pub struct ServicePlacement<'a> {
-    /// Tunable figures.
+    /// Tunable parameters.
     pub config: &'a PlacementConfig,
     /// The service.
     pub service: &'a ServiceName,
-    /// What its replicas can hold.
+    /// Models of the service and limits of its replicas.
     pub engine: &'a EngineSpec,
-    /// Demand of all nodes.
+    /// Demand observed by all nodes.
     pub demand: &'a Demand,
-    /// All replicas; those of other services are passed over.
+    /// All replicas; those of other services are ignored.
     pub replicas: &'a PlacedReplicas,
-    /// Least times in which a ready replica can load models, as far as they were worked
-    /// out.
+    /// Cache of the shortest time in which a ready replica can load each model.
     pub reload_times: RefCell<HashMap<ModelName, Duration>>,
-    /// What work takes, where replicas tell it: then holders follow the work.
+    /// Cost of the service's work, if its replicas report it: the number of holders then
+    /// follows the work.
     pub work: Option<Rc<ServiceWork>>,
-    /// Objective of requests for models that were not asked for yet.
+    /// Objective assumed for models that have not been requested yet.
     pub usual_objective: Duration,
-    /// The present time.
+    /// The current time.
     pub now: Moment,
 }
 
 impl ServicePlacement<'_> {
-    /// The service's replicas by what they hold.
+    /// Returns the index of the service's replicas.
     pub fn fleet(&self) -> Ref<'_, ServiceFleet> {
         self.replicas.fleet(self.service)
     }
 
-    /// Replicas that hold a model, and those that await it.
+    /// Returns the number of replicas that hold a model or are to load it.
     pub fn holders(&self, model: &str) -> usize {
         self.fleet().holders(model)
     }
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -1,4 +1,4 @@
-//! One replica as placement sees it: its account, its goal, where weights come from.
+//! The state of one replica that placement decides on, and the sources of its weights.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,85 +10,86 @@
 use crate::replica_ledger::ReplicaLedger;
 use crate::time::Moment;
 
-/// Least time for which an adapter stays.
+/// Time for which an adapter is not evicted after its load.
 const ADAPTER_RESIDENCE: Duration = Duration::from_millis(400);
 
-/// Who orders at a replica.
+/// The orderer that sends orders to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Orders {
     /// This orderer.
     Own,
-    /// The orderer of another shard, which can be reached.
+    /// The orderer of another shard, which is reachable.
     Other,
-    /// Nobody at present: the orderer of its shard is not there.
+    /// No orderer at the moment: that of the replica's shard is unreachable.
     Nobody,
 }
 
-/// How freely orders and questions for reports go to a replica.
+/// Restriction on orders and report requests to a replica, least restricted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ControlCalls {
-    /// As they are wanted.
+    /// They are sent whenever needed.
     Free,
-    /// It takes only so many calls of any kind: orders go there where no other place is.
+    /// The replica limits calls of any kind: it gets orders only if no other replica can take
+    /// them.
     Sparse,
-    /// It has just had one of those, or none was possible: for now nothing goes there.
+    /// Such a replica just got a call, or its limit left none: nothing is sent for now.
     Paused,
 }
 
-/// One replica as placement sees it.
+/// One replica with what placement knows of it.
 #[derive(Debug)]
 pub struct PlacedReplica {
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: ReplicaState,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// When the incarnation that all else here is about started, if it tells.
+    /// Start time of the incarnation that the other fields describe, if it reports one.
     pub born_ms: Option<BornMs>,
-    /// Its account.
+    /// Its holdings and the order under way.
     pub ledger: ReplicaLedger,
-    /// A model that it should load next.
+    /// The model that it should load next.
     pub goal: Option<ModelName>,
-    /// A model that gets no more requests, since when, because it makes way.
+    /// A model that gets no more requests since the given time because it is to be evicted.
     pub withdrawn: Option<(ModelName, Moment)>,
-    /// When models were loaded here.
+    /// Times at which models were loaded here.
     pub loaded_at: HashMap<ModelName, Moment>,
-    /// When adapters were loaded here.
+    /// Times at which adapters were loaded here.
     pub adapters_loaded_at: HashMap<(ModelName, AdapterName), Moment>,
-    /// True while a predecessor's orders forbid orders here.
+    /// True while orders of a predecessor may still be under way, so that none may be sent.
     pub is_held: bool,
-    /// Who orders here.
+    /// The orderer that sends orders here.
     pub orders: Orders,
-    /// How freely.
+    /// Restriction on those orders.
     pub control_calls: ControlCalls,
-    /// Requests that it runs at the same time, as it is listed.
+    /// Number of requests that it runs concurrently, according to its listing.
     pub listed_slots: u32,
-    /// What it can do, as nodes heard of it in its answers.
+    /// Speed and load, from the answers that nodes received from it.
     pub capacity: Capacity,
 }
 
 impl PlacedReplica {
-    /// True if the model was loaded less than `residence` ago.
+    /// Returns true if the model was loaded less than `residence` ago.
     pub(super) fn is_fresh(&self, model: &str, residence: Duration, now: Moment) -> bool {
         self.loaded_at
             .get(model)
             .is_some_and(|loaded| now.since(*loaded) < residence)
     }
 
-    /// True if the adapter was just loaded: the requests that wait for it may
-    /// still be on their way.
+    /// Returns true if the adapter was just loaded: the requests that wait for it may not
+    /// have arrived yet.
     pub(super) fn is_fresh_adapter(&self, adapter: &(ModelName, AdapterName), now: Moment) -> bool {
         self.adapters_loaded_at
             .get(adapter)
             .is_some_and(|loaded| now.since(*loaded) < ADAPTER_RESIDENCE)
     }
 
-    /// True if an order may be given now.
+    /// Returns true if this orderer may send an order now.
     pub fn takes_orders(&self) -> bool {
         let may_call = self.control_calls != ControlCalls::Paused;
         self.orders == Orders::Own && may_call && !self.is_held && self.ledger.is_idle()
     }
 
-    /// True if a place may be chosen here.
+    /// Returns true if the replica may be selected to load something.
     pub(super) fn is_candidate(&self, among: Among) -> bool {
         match among {
             Among::All => self.orders != Orders::Nobody,
@@ -96,25 +97,25 @@
         }
     }
 
-    /// True if the replica holds the model and will go on holding it.
+    /// Returns true if the replica holds the model and is not about to evict it.
     pub fn keeps(&self, model: &str) -> bool {
         let withdrawn = self.withdrawn.as_ref().is_some_and(|(name, _)| &**name == model);
         !withdrawn && self.state == ReplicaState::Ready && self.ledger.holdings().serves(model, None)
     }
 }
 
-/// Where a replica would take a model's weights from.
+/// The source from which a replica loads a model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightSource {
-    /// Its main memory.
+    /// Main memory of the replica.
     Memory,
-    /// Its disk.
+    /// Disk of the replica.
     Disk,
     /// The weight store, which is rate-limited.
     Store,
 }
 
-/// Where the replica would load the model from.
+/// Returns the fastest source from which a replica can load the model.
 pub fn weight_source(holdings: &Holdings, model: &str) -> WeightSource {
     if holdings.copies.in_memory.iter().any(|name| &**name == model) {
         WeightSource::Memory
@@ -125,7 +126,7 @@
     }
 }
 
-/// Expected time of a load; `None` if the model is not in the configuration.
+/// Returns the expected load time, or `None` if the model is not in the configuration.
 pub fn load_time(engine: &EngineSpec, holdings: &Holdings, model: &str) -> Option<Duration> {
     let spec = engine.models.get(model)?;
     Some(match weight_source(holdings, model) {
@@ -135,7 +136,8 @@
     })
 }
 
-/// Memory for weights and adapters in use, in MB. Unknown models count as filling the replica.
+/// Returns the memory in MB that weights and adapters use. A model that is not in the
+/// configuration is assumed to fill the replica.
 pub fn memory_used(engine: &EngineSpec, holdings: &Holdings) -> f64 {
     let memory_of = |held: &crate::replica::HeldModel| match engine.models.get(&held.model) {
         Some(spec) => spec.weights_mb + spec.adapter_mb * held.adapters.len() as f64,
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -1,7 +1,7 @@
-//! The replicas that an orderer knows, with an index that follows each change.
+//! The replicas that an orderer knows, with an index by what they hold.
 //!
-//! Every way to change a replica notes it; the index is brought up to date when it is next
-//! read, at the cost of what changed.
+//! Every mutating method marks the replicas it may change. The index is updated for just
+//! those when it is next read.
 
 use std::cell::{Ref, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,22 +15,23 @@
 use crate::replica::{ReplicaId, ReplicaState};
 use crate::time::Moment;
 
-/// Replicas that are weighed for one model besides those with a copy of it. Of thousands
-/// that hold what nobody asks for, a few hundred contain one that is as good as any:
-/// among 256 the chance that none of the best twentieth is left is one in 500,000.
+/// Number of replicas rated for one model besides those with a copy of its weights. A sample is
+/// enough in a large fleet: the chance that 256 replicas include none of the best twentieth is
+/// one in 500,000.
 const MOST_WEIGHED: usize = 256;
 
-/// The replicas, by id.
+/// All replicas by id, with their index.
 #[derive(Debug, Default)]
 pub struct PlacedReplicas {
     replicas: BTreeMap<ReplicaId, PlacedReplica>,
     changed: RefCell<BTreeSet<ReplicaId>>,
     index: RefCell<Index>,
-    /// Services whose replicas told their load; `true`: how long work takes there, too.
+    /// Services whose replicas report their load; the value is true if any of them reports
+    /// its work time as well.
     telling: HashMap<ServiceName, bool>,
 }
 
-/// What the index holds of one replica.
+/// The state of one replica that the index reflects.
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Indexed {
     service: ServiceName,
@@ -47,61 +48,63 @@
     services: HashMap<ServiceName, ServiceFleet>,
 }
 
-/// One service's replicas, by what they hold.
+/// Index of one service's replicas by what they hold.
 #[derive(Debug, Default)]
 pub struct ServiceFleet {
-    /// All of them, in an order that all orderers find.
+    /// All replicas in hash order, which is the same for all orderers.
     ring: BTreeSet<(u64, ReplicaId)>,
-    /// The replicas that keep each model, in an order that all orderers find.
+    /// The current holders of each model in hash order, which is the same for all orderers.
     keepers: HashMap<ModelName, BTreeMap<u64, ReplicaId>>,
-    /// Replicas that are to load each model.
+    /// Number of replicas that are to load each model.
     awaited: HashMap<ModelName, usize>,
-    /// Ready replicas at which somebody orders, by the copies of weights there.
+    /// Ready replicas with a reachable orderer, by the models whose weights they have copies of.
     copies: HashMap<ModelName, BTreeSet<ReplicaId>>,
     with_goal: BTreeSet<ReplicaId>,
     own: usize,
-    /// Changes of who keeps what, counted.
+    /// Number of changes to the current holders of any model.
     keeping_changes: u64,
 }
 
 impl ServiceFleet {
-    /// Number of replicas.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.ring.len()
     }
 
-    /// True if the service has none.
+    /// Returns true if the service has no replicas.
     pub fn is_empty(&self) -> bool {
         self.ring.is_empty()
     }
 
-    /// All of them.
+    /// Iterates over the ids of all replicas.
     pub fn ids(&self) -> impl Iterator<Item = &ReplicaId> {
         self.ring.iter().map(|(_, id)| id)
     }
 
-    /// How often it changed which replicas keep which models.
+    /// Returns a counter that increases whenever the current holders of any model change.
     pub fn keeping_changes(&self) -> u64 {
         self.keeping_changes
     }
 
-    /// Number of those at which this orderer orders.
+    /// Returns the number of replicas that this orderer sends orders to.
     pub fn own(&self) -> usize {
         self.own
     }
 
-    /// The replicas that keep a model.
+    /// Iterates over the current holders of a model: the ready replicas that hold it and are
+    /// not about to evict it.
     pub fn keepers(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
         self.keepers.get(model).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// Number of those.
+    /// Returns the number of current holders of a model.
     pub fn keeper_count(&self, model: &str) -> usize {
         self.keepers.get(model).map_or(0, BTreeMap::len)
     }
 
-    /// The place of a replica among them; 0 if it is none. Beyond the second the exact
-    /// one hardly matters, and is found by counting up to `MOST_WEIGHED` of them.
+    /// Returns the rank of a replica among the current holders; 0 if it is not one of them.
+    /// Beyond the second holder the exact rank hardly matters, so that at most `MOST_WEIGHED`
+    /// holders are counted.
     pub fn keeper_rank(&self, model: &str, id: &ReplicaId) -> usize {
         let Some(keepers) = self.keepers.get(model) else {
             return 0;
@@ -113,31 +116,32 @@
         keepers.range(..rank).take(MOST_WEIGHED).count()
     }
 
-    /// True if no replica that keeps a model comes before this one, in an order that all
-    /// orderers know; it need not keep the model itself.
+    /// Returns true if no current holder of a model precedes this replica in hash order, which
+    /// is the same for all orderers. The replica need not hold the model itself.
     pub fn comes_first(&self, model: &str, id: &ReplicaId) -> bool {
         let first = self.keepers.get(model).and_then(|keepers| keepers.keys().next());
         first.is_none_or(|first| keeper_hash(model, id) <= *first)
     }
 
-    /// Replicas that keep or await a model.
+    /// Returns the number of replicas that hold a model or are to load it.
     pub fn holders(&self, model: &str) -> usize {
         self.keeper_count(model) + self.awaited.get(model).copied().unwrap_or(0)
     }
 
-    /// Ready replicas with a copy of a model's weights.
+    /// Iterates over the ready replicas with a copy of a model's weights outside the
+    /// accelerator.
     pub fn with_copy(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
         self.copies.get(model).into_iter().flatten()
     }
 
-    /// Replicas with a goal.
+    /// Iterates over the replicas that are to load a model.
     pub fn with_goal(&self) -> impl Iterator<Item = &ReplicaId> {
         self.with_goal.iter()
     }
 
-    /// The replicas that are weighed as places for a model: all in a fleet of a few
-    /// hundred; else some with a copy, and some that a hash of the model chooses, the
-    /// same for all orderers.
+    /// Returns the replicas that are rated for loading a model: all in a fleet of a few hundred,
+    /// else some with a copy of the weights and some selected by a hash of the model. All
+    /// orderers select the same ones.
     pub fn weighed_for(&self, model: &str) -> BTreeSet<&ReplicaId> {
         if self.ring.len() <= 2 * MOST_WEIGHED {
             return self.ring.iter().map(|(_, id)| id).collect();
@@ -246,7 +250,7 @@
 }
 
 impl PlacedReplicas {
-    /// A service's replicas by what they hold now.
+    /// Returns the up-to-date index of a service's replicas.
     pub fn fleet(&self, service: &ServiceName) -> Ref<'_, ServiceFleet> {
         let changed = self.changed.take();
         if !changed.is_empty() {
@@ -268,27 +272,27 @@
         }
     }
 
-    /// A replica.
+    /// Returns a replica.
     pub fn get(&self, id: &str) -> Option<&PlacedReplica> {
         self.replicas.get(id)
     }
 
-    /// A replica with its id.
+    /// Returns a replica and its id.
     pub fn get_key_value(&self, id: &str) -> Option<(&ReplicaId, &PlacedReplica)> {
         self.replicas.get_key_value(id)
     }
 
-    /// A replica, to be changed.
+    /// Returns a replica for changes of any kind.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut PlacedReplica> {
         self.note(id);
         self.replicas.get_mut(id)
     }
 
-    /// A replica told its load at `at`.
+    /// Records a load that a replica reported at `at`.
     pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
             if replica.capacity.newest().is_some_and(|(_, known)| at <= known) {
-                // It came before, on another way.
+                // The same report arrived before by another path.
                 return;
             }
             replica.capacity.hear(load, 0, at);
@@ -297,29 +301,29 @@
         }
     }
 
-    /// True if replicas of the service told their load.
+    /// Returns true if replicas of the service report their load.
     pub fn tell_load(&self, service: &ServiceName) -> bool {
         self.telling.contains_key(service)
     }
 
-    /// True if some told how long work takes there.
+    /// Returns true if replicas of the service report their work time.
     pub fn tell_work_time(&self, service: &ServiceName) -> bool {
         self.telling.get(service).is_some_and(|tells| *tells)
     }
 
-    /// Adds a replica, or puts it in the place of one.
+    /// Adds a replica, or replaces the one of the same id.
     pub fn insert(&mut self, id: ReplicaId, replica: PlacedReplica) {
         self.changed.borrow_mut().insert(id.clone());
         self.replicas.insert(id, replica);
     }
 
-    /// Takes a replica out.
+    /// Removes a replica.
     pub fn remove(&mut self, id: &str) -> Option<(ReplicaId, PlacedReplica)> {
         self.note(id);
         self.replicas.remove_entry(id)
     }
 
-    /// Keeps just the replicas for which `keep` holds.
+    /// Removes the replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         let gone: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
         for id in gone {
@@ -327,24 +331,25 @@
         }
     }
 
-    /// All of them.
+    /// Iterates over all replicas.
     pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &PlacedReplica)> {
         self.replicas.iter()
     }
 
-    /// All of them, to be changed.
+    /// Iterates over all replicas for changes of any kind.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut PlacedReplica)> {
         self.changed.borrow_mut().extend(self.replicas.keys().cloned());
         self.replicas.iter_mut()
     }
 
-    /// All of them, for changes that do not show in the index: none of what a replica
-    /// keeps, awaits, or has copies of, nor of who orders there.
+    /// Iterates over all replicas for changes that the index does not reflect. What a replica
+    /// holds, is to load, is about to evict or has copies of must not change, nor its state,
+    /// its service or who sends orders there.
     pub fn iter_mut_unindexed(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut PlacedReplica)> {
         self.replicas.iter_mut()
     }
 
-    /// True if a replica of this id is there.
+    /// Returns true if a replica of this id is known.
     pub fn contains_key(&self, id: &str) -> bool {
         self.replicas.contains_key(id)
     }
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -1,8 +1,8 @@
-//! How much work models bring, and how much of it their holders can do in time.
+//! Estimates of the work for each model and of what its holders can do on time.
 //!
-//! Work is counted in requests that run at once at a replica of usual speed: the rate of
-//! requests times the time that each takes (Little's law). The number that run at once
-//! varies as a Poisson number does; what lies beyond the room of the holders is late.
+//! Work is measured in requests that run concurrently at a replica of usual speed: the request
+//! rate times the service time (Little's law). The number of concurrent requests is assumed to
+//! be Poisson distributed; requests beyond the capacity of the holders are late.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -15,54 +15,56 @@
 use crate::catalog::ModelName;
 use crate::replica::ReplicaId;
 
-/// Part of a replica's slots that its mean work may take: requests come in bursts of up to
-/// twice their mean, and each prompt that is read delays the streams that run beside it.
+/// Fraction of a replica's slots that its mean work may occupy: requests arrive in bursts of up
+/// to twice their mean rate, and each prefill delays the streams that run at the replica.
 const USABLE_SLOTS: f64 = 0.5;
 
-/// Requests that are assumed to have been in time besides those that were counted.
+/// Requests that are assumed to have been on time besides the counted ones, so that a few
+/// requests do not determine the share.
 const ASSUMED_IN_TIME: f64 = 20.0;
 
-/// How many of their requests replicas serve too late though they have room, by their speed:
-/// a slow one can be too slow for the pauses that a route allows.
+/// Share of requests that replicas serve late although they have free capacity, by speed class:
+/// a slow replica can be too slow for the pauses between events that a route allows.
 #[derive(Debug, Clone, Default)]
 pub struct LateShares {
-    /// Requests, and those of them that were late.
+    /// Number of requests, and of the late ones among them.
     counted: BTreeMap<SpeedClass, (f64, f64)>,
 }
 
 impl LateShares {
-    /// Counts requests at replicas of a class.
+    /// Counts requests at replicas of a speed class.
     pub fn count(&mut self, class: SpeedClass, requests: f64, late: f64) {
         let counted = self.counted.entry(class).or_default();
         counted.0 += requests;
         counted.1 += late;
     }
 
-    /// The share that is late there.
+    /// Returns the share of late requests at replicas of a speed class.
     pub fn of(&self, class: SpeedClass) -> f64 {
         let counted = self.counted.get(&class);
         counted.map_or(0.0, |(requests, late)| late / (requests + ASSUMED_IN_TIME))
     }
 }
 
-/// What the work of a service takes, as its replicas tell it; what follows from it is kept,
-/// and holds while the same replicas keep the same models.
+/// Cost of a service's work, measured from the load that its replicas report, with a cache of
+/// derived figures. The cache is valid while the current holders of all models are the same.
 #[derive(Debug, Default)]
 pub struct ServiceWork {
-    /// Seconds at a replica of usual speed for each cost token.
+    /// Seconds that each cost token takes at a replica of usual speed.
     pub per_token_s: f64,
-    /// Share of requests that replicas of a class serve too late, also with room.
+    /// Share of requests that replicas of a speed class serve late despite free capacity.
     pub late_shares: LateShares,
-    /// Work and requests a second of models, as far as they were worked out.
+    /// Cache of the work and the requests per second of models.
     asked: RefCell<HashMap<ModelName, (f64, f64)>>,
-    /// Rooms of models over all their holders, as far as they were worked out.
+    /// Cache of the sum of the capacities of each model's holders.
     rooms: RefCell<HashMap<ModelName, f64>>,
-    /// Holders of models, as far as they were worked out.
+    /// Cache of the holders of models.
     holders: RefCell<HashMap<ModelName, Rc<Vec<Holder>>>>,
 }
 
 impl ServiceWork {
-    /// Work of which each cost token takes so long at a replica of usual speed.
+    /// Creates the work of a service in which each cost token takes `per_token_s` at a replica
+    /// of usual speed.
     pub fn new(per_token_s: f64, late_shares: LateShares) -> Self {
         ServiceWork {
             per_token_s,
@@ -72,39 +74,40 @@
     }
 }
 
-/// What a model is asked for, and what its holders can do.
+/// The work for a model, and what its holders can do.
 #[derive(Debug, Clone)]
 pub struct ModelWork {
     /// The model.
     pub model: ModelName,
-    /// Requests that run at once, at replicas of usual speed.
+    /// Requests that run concurrently, at replicas of usual speed.
     pub work: f64,
-    /// Such requests that its holders can run in time.
+    /// Such requests that its holders can serve on time.
     pub room: f64,
-    /// Its holders.
+    /// Number of its holders.
     pub holders: usize,
-    /// Other replicas that keep a copy of its weights.
+    /// Number of other replicas with a copy of its weights.
     pub copies: usize,
 }
 
-/// One of a model's holders.
+/// A holder of a model.
 #[derive(Debug, Clone)]
 struct Holder {
     id: ReplicaId,
     room: HolderRoom,
-    /// Requests a second that depend on it, given those before it.
+    /// Requests per second that depend on it, given the holders ranked before it.
     value: f64,
 }
 
-/// Work of a model that a holder can do, and what part of it is late all the same.
+/// Work of a model that a holder can do, and the share of it that is late even so.
 #[derive(Debug, Clone, Copy)]
 struct HolderRoom {
     work: f64,
     late_share: f64,
 }
 
-/// Work that is late where holders have such rooms: what lies beyond all of them, and of the
-/// rest what those are late with that it goes to. The best ones are filled first.
+/// Returns the work that is late with holders of the given capacities: what exceeds their sum,
+/// and of the rest the late share of the holder that does it. Holders with the lowest late
+/// share are filled first.
 fn late_work(work: f64, mut rooms: Vec<HolderRoom>) -> f64 {
     rooms.sort_by(|left, right| left.late_share.total_cmp(&right.late_share));
     let beyond = beyond(work, rooms.iter().map(|room| room.work).sum());
@@ -118,10 +121,10 @@
     late
 }
 
-/// Mean of what lies beyond `room` of a Poisson number of requests of mean `work`, taken as
-/// a normal number of the same mean and variance: the deviation times the normal loss
-/// function. The share of a normal number beyond `distance` is the usual logistic
-/// approximation, 1 / (1 + e^(1.5976 z + 0.07056 z^3)), right to 0.0002.
+/// Returns the expected excess over `room` of a Poisson distributed number of requests of mean
+/// `work`. It is approximated by a normal distribution of the same mean and variance: the
+/// standard deviation times the normal loss function. The tail probability is the usual logistic
+/// approximation, 1 / (1 + e^(1.5976 z + 0.07056 z^3)), accurate to 0.0002.
 fn beyond(work: f64, room: f64) -> f64 {
     let deviation = work.sqrt().max(f64::EPSILON);
     let distance = (room - work) / deviation;
@@ -131,12 +134,13 @@
 }
 
 impl ServicePlacement<'_> {
-    /// Requests of a model that run at once, at replicas of usual speed.
+    /// Returns the number of a model's requests that run concurrently, at replicas of usual
+    /// speed.
     fn work(&self, model: &ModelName, work: &ServiceWork) -> f64 {
         self.work_and_rate(model, work).0
     }
 
-    /// The same, and its requests a second.
+    /// Returns the work for a model, and its requests per second.
     fn work_and_rate(&self, model: &ModelName, work: &ServiceWork) -> (f64, f64) {
         if let Some(known) = work.asked.borrow().get(model) {
             return *known;
@@ -149,22 +153,22 @@
         asked
     }
 
-    /// Requests that a replica runs at once.
+    /// Returns the number of requests that a replica runs concurrently.
     fn slots(&self, replica: &PlacedReplica) -> u32 {
         let told = replica.capacity.newest().and_then(|(load, _)| load.slots);
         told.unwrap_or(replica.listed_slots).max(1)
     }
 
-    /// Work that a replica can do so that first events and pauses keep to their objectives.
-    /// At half of the usual speed it does half, and of the time that a pause may last
-    /// twice as much is taken by each prompt and step.
+    /// Returns the work that a replica can do while first events and pauses meet their
+    /// objectives. The speed counts twice: at half of the usual speed a replica does half the
+    /// work, and each prefill and step takes twice as much of the allowed pause.
     pub(super) fn room(&self, replica: &PlacedReplica) -> f64 {
         let slots = f64::from(self.slots(replica));
         let speed = replica.capacity.lasting_speed();
         (slots * USABLE_SLOTS * speed * speed).min(slots * speed)
     }
 
-    /// Rooms of all replicas that keep a model, whatever else they hold.
+    /// Returns the sum of the capacities of a model's current holders, whatever else they hold.
     fn keepers_room(&self, model: &ModelName, work: &ServiceWork) -> f64 {
         if let Some(room) = work.rooms.borrow().get(model) {
             return *room;
@@ -176,11 +180,11 @@
         room
     }
 
-    /// Of a replica's room, what a model has there or would have: what the other models'
-    /// work leaves, and at least its share by work.
+    /// Returns the part of a replica's capacity that a model has there or would have: what the
+    /// work of the other models leaves, and at least its share in proportion to work.
     fn room_for(&self, model: &ModelName, replica: &PlacedReplica, work: &ServiceWork) -> f64 {
         let room = self.room(replica);
-        // What of a model's work comes to this replica, if it is spread by room.
+        // Work of a model that goes to this replica if it is distributed by capacity.
         let part = |name: &ModelName, is_new: bool| {
             let whole = self.keepers_room(name, work) + if is_new { room } else { 0.0 };
             self.work(name, work) * room / whole.max(room)
@@ -199,7 +203,8 @@
         (room - beside).max(fair)
     }
 
-    /// Requests a second of a model that are late where its holders have such rooms.
+    /// Returns the requests per second of a model that are late with holders of the given
+    /// capacities.
     fn late_with(&self, model: &ModelName, rooms: Vec<HolderRoom>, work: &ServiceWork) -> f64 {
         let (needed, rate) = self.work_and_rate(model, work);
         if needed <= 0.0 {
@@ -208,7 +213,8 @@
         rate * late_work(needed, rooms) / needed
     }
 
-    /// What a model has or would have of a replica's room, with what is late even so.
+    /// Returns the capacity that a model has or would have at a replica, with the share that is
+    /// late even so.
     fn room_at(&self, model: &ModelName, replica: &PlacedReplica, work: &ServiceWork) -> HolderRoom {
         HolderRoom {
             work: self.room_for(model, replica, work),
@@ -216,7 +222,8 @@
         }
     }
 
-    /// The holders of a model, those with the most room first: these are the ones that stay.
+    /// Returns the current holders of a model, those of the largest capacity first. The first
+    /// ones are evicted last.
     fn model_holders(&self, model: &ModelName, work: &ServiceWork) -> Rc<Vec<Holder>> {
         if let Some(known) = work.holders.borrow().get(model) {
             return Rc::clone(known);
@@ -228,7 +235,7 @@
         let mut keepers: Vec<(i64, &ReplicaId, &PlacedReplica)> = keepers
             .map(|(id, replica)| (self.room(replica).round() as i64, id, replica))
             .collect();
-        // Of equals their hash decides, as all orderers find it: the sort is stable.
+        // The sort is stable, so that ties stay in hash order, which all orderers share.
         keepers.sort_by_key(|(room, ..)| Reverse(*room));
         let mut rooms = Vec::with_capacity(keepers.len());
         let mut holders = Vec::with_capacity(keepers.len());
@@ -256,14 +263,15 @@
         holders
     }
 
-    /// Requests a second that depend on a model's holder at a replica.
+    /// Returns the requests per second that depend on a model's holder at a replica.
     pub(super) fn value_by_work(&self, model: &ModelName, id: &ReplicaId, work: &ServiceWork) -> f64 {
         let holders = self.model_holders(model, work);
         let held = holders.iter().find(|holder| holder.id == *id);
         held.map_or_else(|| self.value_of_model(model), |holder| holder.value)
     }
 
-    /// Rooms of a model's holders, with those that are to load it.
+    /// Returns the capacities of a model's current holders and of the replicas that are to load
+    /// it.
     fn rooms_of(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderRoom> {
         let mut rooms = self.present_rooms(model, work);
         let fleet = self.fleet();
@@ -276,12 +284,14 @@
         rooms
     }
 
+    /// Returns the capacities of a model's current holders.
     fn present_rooms(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderRoom> {
         let holders = self.model_holders(model, work);
         holders.iter().map(|holder| holder.room).collect()
     }
 
-    /// Requests a second that one more holder keeps in time besides such rooms.
+    /// Returns the additional requests per second that are on time with one more holder besides
+    /// those of the given capacities.
     fn kept_by(
         &self,
         model: &ModelName,
@@ -294,7 +304,8 @@
         late - self.late_with(model, rooms, work)
     }
 
-    /// A model's work and the room of its holders; `None` where holders do not follow it.
+    /// Returns a model's work and the capacity of its holders; `None` where holders do not
+    /// follow the work.
     pub fn model_work(&self, model: &ModelName) -> Option<ModelWork> {
         let work = self.work.as_ref()?;
         let holders = self.model_holders(model, work);
@@ -307,13 +318,13 @@
         })
     }
 
-    /// True if more than one request of the model runs at a time.
+    /// Returns true if more than one request of the model runs at a time on average.
     pub fn is_busy(&self, model: &ModelName) -> bool {
         let work = self.work.as_ref();
         work.is_some_and(|work| self.work(model, work) > 1.0)
     }
 
-    /// The only holder of a model, if there the model has room for its work.
+    /// Returns the sole holder of a model if it has enough capacity for the model's work.
     pub fn only_holder_with_room(&self, model: &ModelName) -> Option<&PlacedReplica> {
         let work = self.work.as_ref()?;
         let fleet = self.fleet();
@@ -323,14 +334,15 @@
         (self.work(model, work) < self.room_for(model, replica, work)).then_some(replica)
     }
 
-    /// Replicas with a copy of a model's weights that do not hold it.
+    /// Returns the number of replicas with a copy of a model's weights that do not hold it.
     fn free_copies(&self, model: &ModelName) -> usize {
         let fleet = self.fleet();
         let with_copy = fleet.with_copy(model).filter_map(|id| self.replicas.get(id));
         with_copy.filter(|replica| !replica.keeps(model)).count()
     }
 
-    /// Requests a second that one more holder of a model keeps in time at a replica.
+    /// Returns the additional requests per second that are on time with one more holder at a
+    /// replica.
     pub(super) fn kept_by_work_at(
         &self,
         model: &ModelName,
@@ -342,7 +354,7 @@
         kept.max(self.spare_of_next(model))
     }
 
-    /// What a second holder counts for as a spare.
+    /// Returns the value of the next holder as a spare: zero unless it would be the second one.
     fn spare_of_next(&self, model: &ModelName) -> f64 {
         if self.holders(model) == 1 {
             self.spare_value(model)
@@ -351,9 +363,9 @@
         }
     }
 
-    /// Requests a second that one more holder of a model keeps in time, if it is a replica of
-    /// the usual speed with so many slots that holds nothing else; `None` where holders do
-    /// not follow the work.
+    /// Returns the additional requests per second that are on time with one more holder: a
+    /// replica of usual speed with `slots` slots that holds nothing else. `None` where holders
+    /// do not follow the work.
     pub fn kept_by_next(&self, model: &ModelName, slots: u32) -> Option<f64> {
         let work = self.work.as_ref()?;
         let more = HolderRoom {
@@ -364,8 +376,9 @@
         Some(kept.max(self.spare_of_next(model)))
     }
 
-    /// True if a load from the weight store of some model without a copy elsewhere keeps more
-    /// requests in time than `saved`, in as long.
+    /// Returns true if some model that is held or about to be loaded, and has no unused copy of
+    /// its weights, gains more than `saved` requests on time by a load from the weight store of
+    /// the same duration.
     pub fn store_keeps_more(&self, saved: f64, load: Duration, slots: u32) -> bool {
         if self.work.is_none() {
             return false;
@@ -380,8 +393,8 @@
         most * self.stay_s(load) > saved
     }
 
-    /// True if a holder of a model at a replica saves more requests than are lost with a
-    /// holder that counts for `displaced` requests a second.
+    /// Returns true if a holder of a model at a replica saves more requests than the eviction of
+    /// a holder worth `displaced` requests per second loses.
     pub fn is_worth_at(
         &self,
         model: &ModelName,
@@ -393,8 +406,8 @@
             .unwrap_or_else(|| self.is_worth(model, load, displaced))
     }
 
-    /// The same by the requests that one more holder keeps in time; `None` where holders do
-    /// not follow the work, or the model has no other one.
+    /// Returns the same by the requests that are on time with one more holder; `None` where
+    /// holders do not follow the work, or the model has no holder yet.
     fn is_next_worth(
         &self,
         model: &ModelName,
@@ -418,8 +431,8 @@
         Some(kept.max(spare) * self.stay_s(load) > displaced * horizon_s)
     }
 
-    /// Requests a second of the models that stay on a replica that become late as another
-    /// model shares it.
+    /// Returns the requests per second that become late for the models that stay on a replica
+    /// if another model shares it.
     pub(super) fn late_beside(
         &self,
         model: &ModelName,
