--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -1,4 +1,4 @@
-//! What holders of a model are worth, and what makes way for another.
+//! Tests of placement: values of models and their holders, evictions, and selected replicas.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 const STORE_LOAD: Duration = Duration::from_secs(6);
 const DISK_LOAD: Duration = Duration::from_millis(800);
 const OBJECTIVE: Duration = Duration::from_millis(2500);
-/// Occasions, half a second apart, over which late requests are spread.
+/// Batches, half a second apart, in which late requests are recorded.
 const LATE_OCCASIONS: u64 = 6;
 
 fn at(millis: u64) -> Moment {
@@ -47,7 +47,7 @@
     }
 }
 
-/// One service's replicas and their demand.
+/// The replicas of one service and the demand for its models.
 struct Site {
     service: ServiceName,
     engine: EngineSpec,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Counts so many requests a second over 10 s.
+    /// Records `per_second` requests per second over 10 s.
     fn ask(&mut self, model: &str, per_second: u64) {
         let key = ModelKey {
             service: "llm".into(),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// So many of its requests were served late over the last seconds.
+    /// Records that `late` requests for the model were served late over the last seconds.
     fn serve_late(&mut self, model: &str, late: f64) {
         let key = ModelKey {
             service: "llm".into(),
@@ -161,8 +161,8 @@
     }
 }
 
-/// The busiest model lost both of its holders within 10 ms: two orderers each
-/// took the other's for the one that stays.
+/// Guards against two orderers that both evict a model because each takes the holder of the
+/// other for the one that stays: the busiest model lost both of its holders within 10 ms.
 #[test]
 fn value_of_held_one_of_two_is_the_last() {
     let mut site = Site::new(&[&["m1"], &["m1"]]);
@@ -174,13 +174,13 @@
     assert!(most >= site.view().value_of_model(&"m1".into()));
 }
 
-/// A third holder, still 6 s away, made both that served look spare.
+/// Guards against a replica whose load still takes 6 s making both present holders look spare.
 #[test]
 fn value_of_held_ignores_holders_on_their_way() {
     let mut site = Site::new(&[&["m1"], &[]]);
     site.ask("m1", 4);
     let alone = site.values("m1")[0];
-    site.replicas.get_mut("r1").expect("it exists").goal = Some("m1".into());
+    site.replicas.get_mut("r1").expect("r1 exists").goal = Some("m1".into());
     assert_eq!(site.values("m1")[0], alone);
 }
 
@@ -194,7 +194,7 @@
     assert!(with < 0.5 * without, "without {without}, with {with}");
 }
 
-/// Where a load takes longer than the objective, a swap of equals saves nothing.
+/// If a load takes longer than the objective, replacing a model by an equal one saves nothing.
 #[test]
 fn is_worth_no_swap_of_equals() {
     let mut site = Site::new(&[&["m1"]]);
@@ -206,7 +206,7 @@
     assert!(view.is_worth(&"m2".into(), STORE_LOAD, 0.3 * held));
 }
 
-/// The late share with which each holder of a busy model was asked for.
+/// Returns the value of one more holder besides `holders` holders.
 fn value_of_next(site: &Site, model: &str, holders: usize) -> f64 {
     site.view().value_of_holder(&model.into(), holders + 1)
 }
@@ -223,7 +223,7 @@
     let crowded = value_of_next(&site, "m1", 3);
     assert!(
         crowded >= late,
-        "all are late, so that one more seems to change little: {crowded} {late}"
+        "one more holder counts for less because all requests are late: {crowded} {late}"
     );
 }
 
@@ -236,9 +236,9 @@
     assert!(values.windows(2).all(|pair| pair[0] > pair[1]), "{values:?}");
 }
 
-/// In the first seconds most rare models have not been asked for yet. They counted for
-/// nothing, and made way for further holders of models that were: of 430 that made way
-/// on a day of 50 s, 287 were loaded again, half of them within 2 s.
+/// In the first seconds most rare models have not been requested yet. Valued at zero, they were
+/// evicted for additional holders of requested models: of 430 models evicted in a simulated day
+/// of 50 s, 287 were loaded again, half of them within 2 s.
 #[test]
 fn value_of_held_never_asked_for_is_above_a_spare_holder() {
     let mut site = Site::new(&[&["m0"], &["m0"], &["m0", "m1"]]);
@@ -248,7 +248,7 @@
     assert!(unseen > spare, "{unseen} and {spare}");
 }
 
-/// The work of a site of which each cost token takes so long.
+/// Returns placement that follows the work, of which each cost token takes `per_token_s`.
 fn by_work(site: &Site, per_token_s: f64, late_shares: LateShares) -> ServicePlacement<'_> {
     ServicePlacement {
         work: Some(Rc::new(ServiceWork::new(per_token_s, late_shares))),
@@ -268,7 +268,8 @@
     }
 }
 
-/// Ten slow replicas served most of what was late, beside fast ones that had room.
+/// Guards against slow replicas staying in use beside fast ones with free capacity: ten slow
+/// replicas served most of the late requests.
 #[test]
 fn value_of_held_slow_holder_is_the_spare_one() {
     let mut site = Site::new(&[&["m1"], &["m1"], &["m1"]]);
@@ -282,7 +283,7 @@
     assert!(value("r2") > value("r0"), "{} {}", value("r2"), value("r0"));
 }
 
-/// Nothing was late yet, but what is asked fills more than the holder can do.
+/// The demand alone exceeds the capacity of the holder: no request was late yet.
 #[test]
 fn kept_by_next_rises_with_work_beyond_the_room() {
     let mut site = Site::new(&[&["m1", "m2"]]);
@@ -290,14 +291,16 @@
     site.ask("m2", 1);
     let kept = |per_token_s: f64| {
         let view = by_work(&site, per_token_s, LateShares::default());
-        view.kept_by_next(&"m1".into(), 24).expect("by work")
+        view.kept_by_next(&"m1".into(), 24).expect("follows work")
     };
-    // 100 tokens a request: 2 and 20 requests at once, of 12 that a replica can do in time.
+    // With 100 tokens per request, 2 and 20 requests run concurrently; a replica can serve 12 on
+    // time.
     assert!(kept(0.001) < 1.0, "{}", kept(0.001));
     assert!(kept(0.01) > 5.0, "{}", kept(0.01));
 }
 
-/// Slow replicas were late with a third of all streams also with room.
+/// Guards against loading a model at slow replicas, which were late with a third of all streams
+/// despite free capacity.
 #[test]
 fn best_place_of_a_waiting_model_not_where_streams_are_late() {
     let mut site = Site::new(&[&["m1"], &["m2"]]);
@@ -307,10 +310,12 @@
     tell_work_time(&mut site, "r0", 160);
     tell_work_time(&mut site, "r1", 100);
     let mut late_shares = LateShares::default();
-    let class = |id: &str| site.replicas.get(id).expect("it is there").capacity.speed_class();
+    let class = |id: &str| site.replicas.get(id).expect("it exists").capacity.speed_class();
     late_shares.count(class("r0"), 100.0, 35.0);
     late_shares.count(class("r1"), 100.0, 1.0);
     let view = by_work(&site, 0.01, late_shares);
-    let place = view.best_place(&"m3".into(), true, Among::All).expect("a place");
+    let place = view
+        .best_place(&"m3".into(), true, Among::All)
+        .expect("a replica");
     assert_eq!(&*place.replica, "r1");
 }
--- a/crates/croftrill-scheduler/tests/shares_and_plans.rs
+++ b/crates/croftrill-scheduler/tests/shares_and_plans.rs
@@ -1,4 +1,4 @@
-//! Shares of groups, and plans for wished configurations.
+//! Tests of group shares in the fair queue, and of plans for a desired configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         let place = waiting
             .iter()
             .position(|(number, _)| queue.try_start(*number))
-            .expect("one is first");
+            .expect("one request can start");
         served_large += usize::from(waiting.remove(place).1);
         queue.release();
     }
@@ -44,7 +44,10 @@
     let other = queue.enter(&busy, 1, 100);
     assert!(queue.try_start(first));
     queue.release();
-    assert!(!queue.try_start(second) || !queue.try_start(other), "one place");
+    assert!(
+        !queue.try_start(second) || !queue.try_start(other),
+        "there is one slot"
+    );
 }
 
 #[test]
