--- a/crates/croftrill-scheduler/src/placement/choice.rs
+++ b/crates/croftrill-scheduler/src/placement/choice.rs
@@ -132,9 +132,9 @@
     }
 
     /// Returns the same where holders follow the work: a replica is also rated by the requests
-    /// it serves on time and by what the other models there lose. Among all replicas, `None` is
-    /// returned as well if the best one has another goal at the moment: waiting for it is
-    /// better than a worse replica or a load from the weight store.
+    /// it serves on time and by what the other models there lose. If all replicas are in scope,
+    /// `None` is returned as well if the best one has another goal at the moment: waiting for it
+    /// is better than a worse replica or a load from the weight store.
     fn place_by_work(
         &self,
         model: &ModelName,
