--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -49,7 +49,7 @@
     pub ledger: ReplicaLedger,
     /// The model that it should load next.
     pub goal: Option<ModelName>,
-    /// A model that gets no more requests since the given time because it is to be evicted.
+    /// A model that is to be evicted, and the time since which it gets no more requests.
     pub withdrawn: Option<(ModelName, Moment)>,
     /// Times at which models were loaded here.
     pub loaded_at: HashMap<ModelName, Moment>,
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -1,7 +1,7 @@
 //! The replicas that an orderer knows, with an index by what they hold.
 //!
-//! Every mutating method marks the replicas it may change. The index is updated for just
-//! those when it is next read.
+//! Methods that may change what the index reflects mark the replicas they change. The index is
+//! updated for just those when it is next read.
 
 use std::cell::{Ref, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
