--- a/crates/croftrill-scheduler/src/replica_table/change_log.rs
+++ b/crates/croftrill-scheduler/src/replica_table/change_log.rs
@@ -1,23 +1,23 @@
-//! Which replicas changed lately, for readers that follow a table step by step.
+//! Log of changed replicas, for readers that follow a table incrementally.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::replica::ReplicaId;
 
-/// Replicas that are gone of which the log keeps the last change, besides one for each
-/// replica that is there: a reader that is further behind reads everything.
+/// Number of changes that the log retains beyond one for each present replica, for replicas
+/// that were removed. A reader that is further behind reads the whole table.
 const MOST_GONE: usize = 1024;
 
-/// How far a reader has followed a table; the default has read nothing.
+/// Version of a table that a reader has reached; the default is a reader that has read nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct TableVersion(u64);
 
-/// What a reader has to look at again.
+/// What a reader has to read again.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChangedReplicas {
-    /// These replicas; those of them that are not in the table are gone.
+    /// These replicas; those that are not in the table were removed.
     These(Vec<ReplicaId>),
-    /// Everything: it is too far behind.
+    /// The whole table, because the reader is too far behind.
     Everything,
 }
 
@@ -27,12 +27,12 @@
     version: u64,
     changes: BTreeMap<u64, ReplicaId>,
     changed_at: HashMap<ReplicaId, u64>,
-    /// Changes up to this version may be missing.
+    /// Changes up to this version may be missing from the log.
     complete_after: u64,
 }
 
 impl ChangeLog {
-    /// A replica changed; `present`: replicas that are in the table now.
+    /// Records a change of a replica; `present` is the number of replicas in the table.
     pub(super) fn note(&mut self, id: &ReplicaId, present: usize) {
         self.version += 1;
         if let Some(former) = self.changed_at.insert(id.clone(), self.version) {
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -1,4 +1,4 @@
-//! One replica as a node's table holds it.
+//! A replica as a node's table stores it.
 
 use super::own_begun::OwnBegun;
 use super::own_word::OwnWord;
@@ -9,26 +9,26 @@
 use crate::replica::{ReplicaListing, ReplicaState};
 use crate::time::Moment;
 
-/// One replica in the table.
+/// A replica in the table.
 #[derive(Debug, Clone)]
 pub struct ReplicaEntry {
-    /// The replica as listed; its holdings are the newest known.
+    /// The replica as listed, with the newest known holdings.
     pub listing: ReplicaListing,
-    /// Models on their way, as the orderer told.
+    /// Models that are being loaded or are about to be, as published by the orderer.
     pub arriving: Vec<Arrival>,
-    /// Health as answers showed it.
+    /// Health, as observed in responses.
     pub health: ReplicaHealth,
-    /// What it told this node of itself.
+    /// Signals that it sent to this node.
     pub(super) own_word: OwnWord,
     pub(super) from_orderer: bool,
     pub(super) absent: Vec<(ModelName, Option<AdapterName>)>,
     pub(super) own_sends: u32,
     pub(super) own_tokens: u64,
-    /// When the last of this node's requests there began.
+    /// When the latest of this node's requests there started.
     pub(super) own_begun: OwnBegun,
-    /// What it can do, as it told in answers.
+    /// Capacity and load, as reported in responses.
     pub capacity: Capacity,
-    /// False while this node has heard of it just by ways that tell nothing of copies.
+    /// False while all sources that this node has for the replica carry no weight copies.
     pub(super) knows_copies: bool,
 }
 
@@ -49,8 +49,9 @@
         }
     }
 
-    /// The replica after it started again under its identity: just the requests that
-    /// this node has there go on counting, as each of them ends once.
+    /// Returns the entry after the replica restarted under its identity. Carries over this node's
+    /// own requests, as each of them still ends once, and signals unless they are of an earlier
+    /// incarnation.
     pub(super) fn started_again(&self, listing: ReplicaListing) -> Self {
         ReplicaEntry {
             own_sends: self.own_sends,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What is known of what it holds.
+    /// Returns what is known of the replica's holdings.
     pub fn placement(&self) -> Placement {
         Placement {
             replica: self.listing.id.clone(),
@@ -72,17 +73,17 @@
         }
     }
 
-    /// True if it says more of what it holds than its listing does.
+    /// Returns whether anything is known of its holdings.
     pub(super) fn tells_holdings(&self) -> bool {
         self.from_orderer || !self.listing.holdings.models.is_empty()
     }
 
-    /// True while its orderer's word on what it holds is known.
+    /// Returns whether the holdings come from an orderer's placement.
     pub fn is_told(&self) -> bool {
         self.from_orderer
     }
 
-    /// Whether it leaves, by its listing or by its own word.
+    /// Returns the replica's state by its listing and its own signals.
     pub fn state(&self) -> ReplicaState {
         if self.own_word.is_leaving() {
             ReplicaState::Draining
@@ -91,27 +92,27 @@
         }
     }
 
-    /// True if the replica does not leave.
+    /// Returns whether the replica is not about to leave.
     pub fn is_ready(&self) -> bool {
         self.state() == ReplicaState::Ready
     }
 
-    /// Until when it wants nothing from this node, if so.
+    /// Returns when the replica's cooldown for this node ends, if one is active.
     pub fn rests_until(&self, now: Moment) -> Option<Moment> {
         self.own_word.rests_until(now)
     }
 
-    /// True if it takes only so many requests from all nodes together.
+    /// Returns whether it limits the requests that it accepts from all nodes together.
     pub fn is_limited(&self) -> bool {
         self.own_word.limit().is_some()
     }
 
-    /// True if it takes new requests from this node now.
+    /// Returns whether it accepts new requests from this node now.
     pub fn takes_requests(&self, now: Moment) -> bool {
         self.is_ready() && self.rests_until(now).is_none()
     }
 
-    /// True if the model and adapter are usable there, as far as is known.
+    /// Returns whether the model and adapter are usable there, as far as is known.
     pub fn serves(&self, model: &str, adapter: Option<&str>) -> bool {
         let denied = self.absent.iter().any(|(absent_model, absent_adapter)| {
             &**absent_model == model && (absent_adapter.is_none() || absent_adapter.as_deref() == adapter)
@@ -119,39 +120,41 @@
         !denied && self.listing.holdings.serves(model, adapter)
     }
 
-    /// Models that it holds or awaits.
+    /// Returns the models that it holds or is about to.
     pub fn models(&self) -> impl Iterator<Item = &ModelName> {
         let held = self.listing.holdings.models.iter().map(|held| &held.model);
         held.chain(self.arriving.iter().map(|arrival| &arrival.model))
     }
 
-    /// Models of which it keeps a copy outside its accelerator.
+    /// Returns the models of which it stores a copy outside its accelerator.
     pub(super) fn copies(&self) -> impl Iterator<Item = &ModelName> {
         let copies = &self.listing.holdings.copies;
         copies.in_memory.iter().chain(&copies.on_disk)
     }
 
-    /// Requests believed to be there: this node's own and the others'.
+    /// Returns the estimated number of requests there, of this node and of others.
     pub fn load(&self, now: Moment) -> f64 {
         f64::from(self.own_sends) + self.capacity.others(now)
     }
 
-    /// The same as far as they are likely to run still, by capacity.
+    /// Returns the estimated number of requests that are likely to be running still, for services
+    /// that are routed by capacity.
     pub fn running_load(&self, now: Moment) -> f64 {
         f64::from(self.own_sends) + self.capacity.others_running(now)
     }
 
-    /// Requests that it runs at the same time.
+    /// Returns the number of requests that it runs concurrently.
     pub fn slots(&self) -> u32 {
         self.capacity.slots().unwrap_or(self.listing.slots).max(1)
     }
 
-    /// Own requests that were there already when the replica told its load at `at`.
+    /// Returns how many of this node's requests had started when the replica reported its load
+    /// at `at`.
     pub(super) fn own_sends_at(&self, at: Moment) -> u32 {
         self.own_sends.saturating_sub(self.own_begun.after(at))
     }
 
-    /// Prompt tokens that this node's unanswered requests have there.
+    /// Returns the prompt tokens of this node's requests there that have no first token yet.
     pub fn own_tokens(&self) -> u64 {
         self.own_tokens
     }
--- a/crates/croftrill-scheduler/src/replica_table/index.rs
+++ b/crates/croftrill-scheduler/src/replica_table/index.rs
@@ -1,5 +1,5 @@
-//! Where a service's models are, so that a choice costs a model's holders and not the
-//! fleet.
+//! Index of the models of a service, so that the cost of a choice depends on the number of a
+//! model's holders and not on the size of the fleet.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,21 +7,21 @@
 use crate::catalog::ModelName;
 use crate::replica::ReplicaId;
 
-/// The replicas of one service, by what they hold.
+/// The replicas of one service, by the models that they hold.
 ///
-/// Invariant: exactly the replicas that were last added and not taken out since stand
-/// here, each under the models of its entry at that time.
+/// Invariant: contains exactly the replicas that were added and not removed since, each under
+/// the models of its entry at that time.
 #[derive(Debug, Default)]
 pub(super) struct ServiceIndex {
-    /// All of them.
+    /// All replicas of the service.
     pub(super) ids: BTreeSet<ReplicaId>,
-    /// Those that hold or await a model.
+    /// Replicas that hold a model or are about to.
     by_model: HashMap<ModelName, BTreeSet<ReplicaId>>,
-    /// Those that keep a copy of a model's weights outside their accelerator.
+    /// Replicas that store a copy of a model's weights outside their accelerator.
     by_copy: HashMap<ModelName, BTreeSet<ReplicaId>>,
-    /// Those that tell how long work takes there.
+    /// Replicas that report how long work takes there.
     telling_work_time: BTreeSet<ReplicaId>,
-    /// Those of whose copies nothing is known.
+    /// Replicas whose weight copies are unknown.
     pub(super) unknown_copies: BTreeSet<ReplicaId>,
 }
 
@@ -41,7 +41,7 @@
         self.note_capacity(entry);
     }
 
-    /// A replica that stands here told its load.
+    /// Updates the index after an indexed replica reported its load.
     pub(super) fn note_capacity(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
         if entry.capacity.tells_work_time() && !self.telling_work_time.contains(id) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// True if one of the replicas tells how long work takes there.
+    /// Returns whether any of the replicas reports its work time.
     pub(super) fn tells_work_time(&self) -> bool {
         !self.telling_work_time.is_empty()
     }
@@ -67,12 +67,12 @@
             .for_each(|model| take_from(&mut self.by_copy, model, id));
     }
 
-    /// Replicas that hold or await a model.
+    /// Returns the replicas that hold a model or are about to.
     pub(super) fn with_model(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
         self.by_model.get(model).into_iter().flatten()
     }
 
-    /// Replicas that keep a copy of its weights.
+    /// Returns the replicas that store a copy of a model's weights.
     pub(super) fn with_copy(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
         self.by_copy.get(model).into_iter().flatten()
     }
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -1,10 +1,10 @@
-//! One node's view of replicas: the directory's list, what the orderer tells of
-//! placement, and what answers show in between.
+//! A node's view of the replicas: the directory's listings, the placements that orderers
+//! publish, and what responses from replicas show in between.
 //!
-//! [`entry`] is one replica, [`index`] finds those that hold a model, [`change_log`]
-//! tells which changed, [`own_begun`] when own requests began, [`own_word`] is what
-//! replicas told of themselves, [`unlisted`] keeps what was told of replicas without a
-//! listing.
+//! [`entry`] is one replica, [`index`] finds the replicas that hold a model, [`change_log`]
+//! records which replicas changed, [`own_begun`] records when the node's own requests
+//! started, [`own_word`] is what replicas signal in their responses, and [`unlisted`] retains
+//! what is known of replicas without a listing.
 
 mod change_log;
 mod entry;
@@ -33,35 +33,36 @@
 use crate::time::Moment;
 use crate::work::{RequestWork, UsualRun};
 
-/// A model on its way to a replica.
+/// A model that a replica is loading or is about to load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
     /// The model.
     pub model: ModelName,
-    /// When it should be ready.
+    /// When the model is expected to be ready.
     pub ready_at: Moment,
 }
 
-/// What the orderer tells of one replica.
+/// What an orderer publishes about one replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Placement {
     /// The replica.
     pub replica: ReplicaId,
-    /// When the incarnation that is meant started, if it tells.
+    /// When the incarnation that is meant started, if known.
     pub born_ms: Option<BornMs>,
-    /// What requests may rely on: present, and not about to be dropped.
+    /// Models and copies that requests may rely on: present, and not about to be unloaded.
     pub usable: Holdings,
-    /// Models on their way.
+    /// Models that are being loaded or are about to be.
     pub arriving: Vec<Arrival>,
-    /// True if the copies in `usable` are told; else what is known of them holds on.
+    /// True if `usable` includes the weight copies. If false, the copies known before remain
+    /// valid.
     pub tells_copies: bool,
 }
 
-/// Expected times that differ by less are the same to the nodes.
+/// Difference up to which two expected ready times count as equal.
 const SAME_ARRIVAL: Duration = Duration::from_millis(150);
 
 impl Placement {
-    /// True if a node that knows `other` learns nothing from this one.
+    /// Returns whether this placement holds nothing new for a node that knows `other`.
     pub fn says_the_same_as(&self, other: &Placement) -> bool {
         let same_arrivals = self.arriving.len() == other.arriving.len()
             && self.arriving.iter().zip(&other.arriving).all(|(left, right)| {
@@ -77,49 +78,50 @@
     }
 }
 
-/// All replicas that this node knows.
+/// All replicas that a node knows.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     replicas: BTreeMap<ReplicaId, ReplicaEntry>,
     services: HashMap<ServiceName, ServiceIndex>,
-    /// Replicas of which outcomes of sends are known.
+    /// Replicas with recorded outcomes of requests.
     judged: BTreeSet<ReplicaId>,
-    /// Replicas that were listed before their orderer's word came.
+    /// Replicas that were listed before their orderer published a placement for them.
     awaiting_word: BTreeSet<ReplicaId>,
-    /// What orderers told of replicas that are not listed.
+    /// Placements of replicas that are not listed.
     unlisted: Unlisted<Placement>,
-    /// What such replicas told of themselves.
+    /// Signals of replicas that are not listed.
     unlisted_words: Unlisted<OwnWord>,
     changes: ChangeLog,
-    /// Least times to load a model, from whoever knows all replicas.
+    /// Shortest times to load a model, received from nodes that know all replicas.
     told_reloads: HashMap<(ServiceName, ModelName), Duration>,
-    /// Requests to each service, as those of this node usually are.
+    /// Typical requests to each service, by this node's own requests.
     usual_runs: HashMap<ServiceName, UsualRun>,
-    /// True if all services' requests go by capacity.
+    /// True if the requests of all services are routed by capacity.
     by_capacity: bool,
 }
 
-/// Judged replicas from which on those without a recent outcome are sorted out.
+/// Number of replicas with recorded outcomes above which those without a recent outcome
+/// are removed.
 const MOST_JUDGED: usize = 64;
 
 impl ReplicaTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How far whoever has read the whole table now has followed it.
+    /// Returns the version that a reader of the whole table has reached.
     pub fn version(&self) -> TableVersion {
         self.changes.version()
     }
 
-    /// What changed after a version.
+    /// Returns the replicas that changed after `version`.
     pub fn changed_since(&self, version: TableVersion) -> ChangedReplicas {
         self.changes.since(version)
     }
 
-    /// Takes in a listing. Its holdings may be older than an order, so they are
-    /// believed only while no orderer tells of this replica.
+    /// Applies a listing. Its holdings may be older than the latest order, so they are used
+    /// only while no orderer publishes placements for the replica.
     pub fn apply_listing(&mut self, listing: ReplicaListing) {
         self.unlisted.take(&listing.id);
         let entry = match self.replicas.get(&listing.id) {
@@ -135,8 +137,8 @@
         self.put(entry);
     }
 
-    /// The entry of a replica that was not listed: what it told of itself before holds on,
-    /// as its entry may have lapsed while it lives.
+    /// Returns the entry of a replica that was not listed. Its earlier signals remain valid, as
+    /// its directory entry may have lapsed while it kept running.
     fn newly_listed(&mut self, listing: ReplicaListing) -> ReplicaEntry {
         let told = self.unlisted_words.take(&listing.id).unwrap_or_default();
         ReplicaEntry {
@@ -145,7 +147,8 @@
         }
     }
 
-    /// A replica told this node of itself, in answer to a call.
+    /// Applies the signals that a replica sent in its response to `call`, and returns what
+    /// changed.
     pub fn hear(&mut self, id: &ReplicaId, call: AnsweredCall, word: ReplicaWord) -> WordNews {
         let Some(entry) = self.replicas.get_mut(id) else {
             let mut told = self.unlisted_words.take(id).unwrap_or_default();
@@ -165,8 +168,8 @@
         news
     }
 
-    /// The limit that a replica named to this node, and the start of the incarnation that
-    /// did, if it told.
+    /// Returns the request limit that a replica reported to this node, and when the incarnation
+    /// that reported it started, if known.
     pub fn limit_of(&self, id: &str) -> Option<(NamedLimit, Option<BornMs>)> {
         let told = match self.replicas.get(id) {
             Some(entry) => entry.own_word,
@@ -175,7 +178,8 @@
         told.limit().map(|limit| (limit, told.born_ms()))
     }
 
-    /// True if the replica told this node not to send it anything (for now).
+    /// Returns whether the replica has asked this node not to send it requests, for now or for
+    /// good.
     pub fn is_turned_away(&self, id: &str, now: Moment) -> bool {
         let told = match self.replicas.get(id) {
             Some(entry) => entry.own_word,
@@ -184,8 +188,8 @@
         told.is_leaving() || told.rests_until(now).is_some()
     }
 
-    /// Takes in what a listed replica holds by its listing, unless its orderer tells; answers
-    /// what it holds if that is news.
+    /// Applies the holdings in a listing of a known replica, unless an orderer publishes
+    /// placements for it. Returns its new placement if anything changed.
     pub fn apply_listed_holdings(&mut self, listing: ReplicaListing) -> Option<Placement> {
         let known = self.replicas.get(&listing.id)?;
         let is_same = Incarnation::of(listing.born_ms, known.listing.born_ms) == Incarnation::Same;
@@ -205,8 +209,8 @@
         Some(placement)
     }
 
-    /// Takes in a listing that came by a way which tells nothing of what the replica
-    /// holds: what its orderer told while it was not listed holds on.
+    /// Applies a listing from a source that carries no holdings. A placement that arrived while
+    /// the replica was not listed remains valid.
     pub fn apply_relayed_listing(&mut self, listing: ReplicaListing) {
         let told = self.unlisted.take(&listing.id);
         let id = listing.id.clone();
@@ -239,15 +243,15 @@
         }
     }
 
-    /// True if a ready replica of the service was just listed, and the orderer of its
-    /// shard, which is linked, has not told yet what it holds.
+    /// Returns whether a ready replica of the service was listed but its placement has not
+    /// arrived yet, although the orderer of its shard is linked.
     pub fn awaits_word(&self, service: &str, is_linked: impl Fn(Shard) -> bool) -> bool {
         let awaiting = self.awaiting_word.iter().filter_map(|id| self.replicas.get(id));
         let mut awaiting = awaiting.filter(|entry| &*entry.listing.service == service && entry.is_ready());
         awaiting.any(|entry| is_linked(Shard::of_replica(&entry.listing.id)))
     }
 
-    /// The one way in which an entry comes into the table or changes what is indexed.
+    /// Inserts or replaces an entry. Every change to a field that is indexed goes through here.
     fn put(&mut self, entry: ReplicaEntry) {
         let id = entry.listing.id.clone();
         self.take_out(&id);
@@ -269,7 +273,8 @@
         Some(entry)
     }
 
-    /// Forgets a replica that is gone.
+    /// Removes a replica that is no longer listed. Its signals and placement are retained, in
+    /// case it is listed again.
     pub fn remove(&mut self, id: &str) {
         let Some(entry) = self.take_out(id) else {
             return;
@@ -285,13 +290,14 @@
         }
     }
 
-    /// Forgets a replica that this node is not told of any more: it may be there still.
+    /// Removes a replica about which this node receives no more updates. It may still be
+    /// running.
     pub fn forget(&mut self, id: &str) {
         self.remove(id);
         self.unlisted.take(id);
     }
 
-    /// Keeps just the replicas for which `keep` holds.
+    /// Removes all replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
         let gone: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
         for id in gone {
@@ -299,7 +305,8 @@
         }
     }
 
-    /// Takes in what the orderer tells; true if it changes what can be used.
+    /// Applies a placement from an orderer. Returns false, and leaves the entry as it is, unless
+    /// the placement is about the listed incarnation.
     pub fn apply_placement(&mut self, placement: Placement) -> bool {
         let Some(known) = self.replicas.get(&placement.replica) else {
             self.unlisted.keep(placement.replica.clone(), placement);
@@ -309,7 +316,7 @@
             Incarnation::Same => {}
             Incarnation::Earlier => return false,
             Incarnation::Later => {
-                // Its listing is still to come.
+                // The listing of this incarnation has not arrived yet.
                 self.unlisted.keep(placement.replica.clone(), placement);
                 return false;
             }
@@ -329,13 +336,13 @@
         true
     }
 
-    /// What is known of what replicas hold, for a node that knows nothing of it yet.
+    /// Returns the known placements, for a node that has none yet.
     pub fn placements(&self) -> Vec<Placement> {
         let known = self.replicas.values().filter(|entry| entry.tells_holdings());
         known.map(ReplicaEntry::placement).collect()
     }
 
-    /// The orderer of a shard no longer tells: from now on the list is believed again.
+    /// Handles the loss of a shard's orderer: from now on, listed holdings are used again.
     pub fn orderer_lost(&mut self, shard: Shard) {
         let told =
             |entry: &&ReplicaEntry| entry.from_orderer && Shard::of_replica(&entry.listing.id) == shard;
@@ -348,14 +355,14 @@
         self.unlisted.retain(|id| Shard::of_replica(id) != shard);
     }
 
-    /// A replica answered that it does not hold a model or adapter.
+    /// Records that a replica responded that it does not hold a model or adapter.
     pub fn mark_absent(&mut self, id: &str, model: ModelName, adapter: Option<AdapterName>) {
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.absent.push((model, adapter));
         }
     }
 
-    /// A request goes to the replica.
+    /// Records that a request is sent to the replica.
     pub fn begin_send(&mut self, id: &str, work: RequestWork, now: Moment) {
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.own_sends += 1;
@@ -366,21 +373,22 @@
         }
     }
 
-    /// The prompt of a request has been read: its first token came, or it is over.
+    /// Records that the replica has processed the prompt of a request: the first token arrived,
+    /// or the request ended.
     pub fn prompt_done(&mut self, id: &str, tokens: u64) {
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.own_tokens = entry.own_tokens.saturating_sub(tokens);
         }
     }
 
-    /// A request at the replica is over.
+    /// Records that a request at the replica ended.
     pub fn end_send(&mut self, id: &str) {
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.own_sends = entry.own_sends.saturating_sub(1);
         }
     }
 
-    /// A request held its place at the replica for so long, to its end.
+    /// Records for how long a completed request occupied its slot at the replica.
     pub fn ran_for(&mut self, id: &str, held: Duration) {
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
@@ -389,7 +397,7 @@
         }
     }
 
-    /// A stream at the replica ended; its longest pause between two events.
+    /// Records the longest pause between two events of a completed stream.
     pub fn paused_for(&mut self, id: &str, longest: Duration) {
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
@@ -398,24 +406,24 @@
         }
     }
 
-    /// What the requests to a service usually are, if this node sent any.
+    /// Returns what requests to the service are usually like, if this node has sent any.
     pub fn usual_run(&self, service: &str) -> Option<&UsualRun> {
         self.usual_runs.get(service)
     }
 
-    /// From now on the requests to all services go by what is known of replicas' capacity.
+    /// Routes the requests of all services by the capacity of replicas from now on.
     pub fn go_by_capacity(&mut self) {
         self.by_capacity = true;
     }
 
-    /// True if requests to the service go by capacity: its replicas tell how long work
-    /// takes there, or the node's operators asked for it.
+    /// Returns whether requests to the service are routed by capacity: its replicas report their
+    /// work time, or the node's settings ask for it.
     pub fn goes_by_capacity(&self, service: &str) -> bool {
         let tells = |index: &ServiceIndex| index.tells_work_time();
         self.by_capacity || self.services.get(service).is_some_and(tells)
     }
 
-    /// Counts the outcome of a send for the replica's health.
+    /// Records the outcome of a request for the replica's health.
     pub fn record_outcome(&mut self, id: &str, outcome: SendOutcome, now: Moment) {
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
@@ -432,7 +440,7 @@
         }
     }
 
-    /// A replica told its load at `at`: to this node, or to another that told of it.
+    /// Records a load that the replica reported at `at`, to this node or to another one.
     pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
@@ -443,17 +451,17 @@
         }
     }
 
-    /// The entry of a replica.
+    /// Returns the entry of a replica.
     pub fn get(&self, id: &str) -> Option<&ReplicaEntry> {
         self.replicas.get(id)
     }
 
-    /// All replicas.
+    /// Returns all replicas.
     pub fn iter(&self) -> impl Iterator<Item = &ReplicaEntry> {
         self.replicas.values()
     }
 
-    /// The replicas of a service, in no particular order.
+    /// Returns the replicas of a service, in no particular order.
     pub fn of_service<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a ReplicaEntry> + 'a {
         let ids = self
             .services
@@ -463,7 +471,7 @@
         ids.filter_map(|id| self.replicas.get(id))
     }
 
-    /// Those that hold or await a model.
+    /// Returns the replicas of a service that hold a model or are about to.
     pub fn with_model<'a>(
         &'a self,
         service: &str,
@@ -474,8 +482,8 @@
         ids.filter_map(|id| self.replicas.get(id))
     }
 
-    /// Usual share of failures among a service's replicas: their median, the
-    /// lower one of two.
+    /// Returns the usual failure rate of a service's replicas: the median of their rates, or the
+    /// lower one of the two in the middle.
     pub fn usual_failure_rate(&self, service: &str, now: Moment) -> f64 {
         let judged = self.judged.iter().filter_map(|id| self.replicas.get(id));
         let mut rates: Vec<f64> = judged
@@ -487,7 +495,8 @@
         rates.get(middle).copied().unwrap_or(0.0)
     }
 
-    /// Earliest moment at which a model on its way to the service should be ready.
+    /// Returns the earliest time at which a model that is being loaded for the service should
+    /// be ready.
     pub fn arrival(&self, service: &str, model: &str) -> Option<Moment> {
         self.with_model(service, model)
             .filter(|entry| entry.is_ready())
@@ -497,8 +506,9 @@
             .min()
     }
 
-    /// Least time in which a ready replica of the service that can be reached could load
-    /// the model: as told by whoever knows all replicas, else by those known here.
+    /// Returns the shortest time in which a ready and reachable replica of the service could load
+    /// the model. A time received from a node that knows all replicas takes precedence over the
+    /// replicas known here.
     pub fn reload_time(&self, service: &str, spec: &ModelSpec, now: Moment) -> Duration {
         let key = (ServiceName::from(service), spec.name.clone());
         if let Some(told) = self.told_reloads.get(&key) {
@@ -517,8 +527,8 @@
             .unwrap_or(spec.store_load)
     }
 
-    /// True if a copy of the model may lie at a replica of the service without this node
-    /// having heard of it: its time from the weight store is then no more than a bound.
+    /// Returns whether a replica of the service may have a copy of the model that this node does
+    /// not know of. The load time from the weight store is then only an upper bound.
     pub fn may_have_unknown_copy(&self, service: &str, model: &ModelName) -> bool {
         let is_told = self
             .told_reloads
@@ -530,24 +540,26 @@
         !is_told && index.with_copy(model).next().is_none() && unknown.any(ReplicaEntry::is_ready)
     }
 
-    /// Whoever knows all replicas told how soon one of them could load a model.
+    /// Records how soon a replica could load a model, as received from a node that knows all
+    /// replicas.
     pub fn told_reload(&mut self, service: ServiceName, model: ModelName, reload: Duration) {
         self.told_reloads.insert((service, model), reload);
     }
 
-    /// From now on this table knows all replicas itself.
+    /// Drops the received load times, because this table knows all replicas itself from now on.
     pub fn forget_told_reloads(&mut self) {
         self.told_reloads.clear();
     }
 
-    /// Number of ready replicas that hold the model, with or without an adapter.
+    /// Returns the number of ready replicas that hold the model, with or without adapters.
     pub fn holders(&self, service: &str, model: &str) -> usize {
         self.with_model(service, model)
             .filter(|entry| entry.is_ready() && entry.serves(model, None))
             .count()
     }
 
-    /// Number of those that requests can be sent to, as far as is known.
+    /// Returns the number of ready holders that accept requests and are reachable, as far as is
+    /// known.
     pub fn reachable_holders(&self, service: &str, model: &str, now: Moment) -> usize {
         self.with_model(service, model)
             .filter(|entry| entry.takes_requests(now) && entry.serves(model, None))
@@ -555,23 +567,23 @@
             .count()
     }
 
-    /// When the first of a model's holders that only rest wants requests again.
+    /// Returns the earliest end of a cooldown among the model's ready holders.
     pub fn holder_rests_until(&self, service: &str, model: &str, now: Moment) -> Option<Moment> {
         let holders = self.with_model(service, model);
         first_rest_end(holders.filter(|entry| entry.serves(model, None)), now)
     }
 
-    /// When the first of a service's replicas that only rest wants requests again.
+    /// Returns the earliest end of a cooldown among the service's ready replicas.
     pub fn service_rests_until(&self, service: &str, now: Moment) -> Option<Moment> {
         first_rest_end(self.of_service(service), now)
     }
 
-    /// Number of replicas.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// True if no replica is known.
+    /// Returns whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
@@ -582,8 +594,8 @@
     ready.filter_map(|entry| entry.rests_until(now)).min()
 }
 
-/// A known replica after it was listed anew; `None` if the listing is of an earlier start
-/// than the known one, and so was written late.
+/// Returns the entry of a known replica after a new listing, or `None` if the listing is of an
+/// earlier incarnation than the known one and therefore out of date.
 fn relisted(known: &ReplicaEntry, listing: ReplicaListing) -> Option<ReplicaEntry> {
     match Incarnation::of(listing.born_ms, known.listing.born_ms) {
         Incarnation::Same => {}
@@ -592,8 +604,8 @@
     }
     let mut entry = known.clone();
     if entry.from_orderer {
-        // Copies stand in the entry as soon as in a report; a listing that came
-        // by a way which tells nothing of them names the known ones.
+        // The directory entry lists weight copies as early as a report does. A listing from a
+        // source without holdings repeats the known copies.
         let mut holdings = std::mem::take(&mut entry.listing.holdings);
         holdings.copies = listing.holdings.copies.clone();
         entry.listing = ReplicaListing { holdings, ..listing };
--- a/crates/croftrill-scheduler/src/replica_table/own_begun.rs
+++ b/crates/croftrill-scheduler/src/replica_table/own_begun.rs
@@ -1,15 +1,14 @@
-//! When a node's own requests at a replica began, so that an account of the replica's load
-//! which is older than they are is not taken to count them.
+//! Start times of a node's own requests at a replica, so that a load sample which is older
+//! than a request is not assumed to count it.
 
 use std::collections::VecDeque;
 
 use crate::time::Moment;
 
-/// Begins that are kept: more than a node sends to one replica while an account is on its
-/// way.
+/// More than a node sends to one replica while a load sample is on its way.
 const MOST_KEPT: usize = 16;
 
-/// The last begins, oldest first.
+/// The latest start times, oldest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OwnBegun(VecDeque<Moment>);
 
@@ -21,7 +20,7 @@
         self.0.push_back(at);
     }
 
-    /// How many of them lie after a moment.
+    /// Returns how many requests started after `at`.
     pub(super) fn after(&self, at: Moment) -> u32 {
         self.0.iter().rev().take_while(|begun| **begun > at).count() as u32
     }
--- a/crates/croftrill-scheduler/src/replica_table/own_word.rs
+++ b/crates/croftrill-scheduler/src/replica_table/own_word.rs
@@ -1,50 +1,51 @@
-//! What replicas told this node of themselves in their answers.
+//! Signals that replicas send to this node in their responses.
 //!
-//! A replica's own word is newer than any listing, which reaches a node by way of the
-//! store: that may be away for as long as the replica takes to leave. So the word stands
-//! beside the listing, and no listing of the same start undoes it.
+//! A replica's own signals are newer than any listing: listings reach a node by way of the
+//! store, which may be unavailable for as long as the replica takes to leave. Signals are
+//! therefore stored beside the listing, and a listing of the same incarnation doesn't
+//! override them.
 
 use crate::quota::limits::NamedLimit;
 use crate::replica::{BornMs, Incarnation, LimitWord, ReplicaWord};
 use crate::time::Moment;
 
-/// A call to a replica that was answered, as its node saw it.
+/// A call to a replica that was answered, as the calling node observed it.
 #[derive(Debug, Clone, Copy)]
 pub struct AnsweredCall {
-    /// When the incarnation started that it went to, if that tells.
+    /// When the called incarnation started, if known.
     pub born_ms: Option<BornMs>,
     /// When it was sent.
     pub sent_at: Moment,
-    /// When its answer came.
+    /// When its answer arrived.
     pub answered_at: Moment,
 }
 
-/// What an answer told that was not known.
+/// What an answer changed in the known signals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WordNews {
-    /// The replica was not known to leave.
+    /// The replica was not known to be leaving before.
     pub leaves: bool,
-    /// It named a limit where it had named none or another, or none any more.
+    /// It set or changed its limit, or removed it.
     pub limit: bool,
 }
 
-/// What a replica told this node of itself.
+/// The known signals of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) struct OwnWord {
-    /// When the incarnation started that said it, if it tells. Kept beside the listing's,
-    /// which may be of an earlier one that was written late.
+    /// When the incarnation that sent the signals started, if known. Stored beside the listing's
+    /// start, as the listing may be of an earlier incarnation and written late.
     born_ms: Option<BornMs>,
-    /// It leaves. Whoever has begun to leave does not come back but by a new start.
+    /// The replica is leaving. A replica that is leaving is back only after a restart.
     is_leaving: bool,
-    /// Until then it wants nothing from this node.
+    /// Until then it wants no requests from this node.
     rests_until: Option<Moment>,
-    /// Requests that it takes from all nodes together.
+    /// Requests that it accepts from all nodes together.
     limit: Option<NamedLimit>,
 }
 
 impl OwnWord {
-    /// Takes in what an answer says. A later answer may ask for less rest than is left of
-    /// an earlier one, which still holds.
+    /// Applies the signals of an answer. A later answer may ask for a shorter cooldown than is
+    /// left of an earlier one, which remains in force.
     pub(super) fn hear(&mut self, call: AnsweredCall, word: ReplicaWord) -> WordNews {
         if Incarnation::of(call.born_ms, self.born_ms) == Incarnation::Earlier {
             return WordNews::default();
@@ -59,8 +60,9 @@
         WordNews { leaves, limit }
     }
 
-    /// Answers overtake each other. Only a call that was sent after the present limit was
-    /// heard was answered after it was named for sure; any other answer may just lower it.
+    /// Updates the limit, and returns whether it changed. Answers may arrive out of order: an
+    /// answer is certainly newer than the known limit only if its call was sent after that limit
+    /// arrived. Any other answer can only lower the limit.
     fn hear_limit(&mut self, call: AnsweredCall, word: LimitWord) -> bool {
         let known = self.limit;
         let is_later = known.is_none_or(|known| call.sent_at >= known.heard_at);
@@ -77,7 +79,7 @@
         self.limit.map(|limit| limit.rate) != known.map(|known| known.rate)
     }
 
-    /// The word as far as it holds for the incarnation that started at `born_ms`.
+    /// Returns the signals that are valid for the incarnation that started at `born_ms`.
     pub(super) fn of_incarnation(self, born_ms: Option<BornMs>) -> Self {
         match Incarnation::of(born_ms, self.born_ms) {
             Incarnation::Later => OwnWord::default(),
@@ -89,7 +91,7 @@
         self.is_leaving
     }
 
-    /// When its rest ends, if that is still to come.
+    /// Returns when the cooldown ends, if it is active.
     pub(super) fn rests_until(&self, now: Moment) -> Option<Moment> {
         self.rests_until.filter(|until| now < *until)
     }
@@ -98,7 +100,7 @@
         self.limit
     }
 
-    /// When the incarnation started that said it, if it told.
+    /// Returns when the incarnation that sent the signals started, if known.
     pub(super) fn born_ms(&self) -> Option<BornMs> {
         self.born_ms
     }
--- a/crates/croftrill-scheduler/src/replica_table/unlisted.rs
+++ b/crates/croftrill-scheduler/src/replica_table/unlisted.rs
@@ -1,15 +1,15 @@
-//! What is known of replicas that are not listed (yet, or any more).
+//! What is known of replicas that are not listed yet, or no longer.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::replica::ReplicaId;
 
-/// Replicas of which something is kept in any fleet, some 200 bytes each. A larger one
-/// keeps as many as it has replicas: all of them lapse together when the store is away
-/// for long.
+/// Entries that are retained in a fleet of any size, about 200 bytes each. A larger fleet
+/// retains as many as it has replicas, because all of them lapse together when the store is
+/// unavailable for long.
 const LEAST_KEPT: usize = 1024;
 
-/// Something known of each of some replicas without a listing, the oldest dropped first.
+/// A bounded map of values for replicas without a listing. The oldest values are dropped first.
 #[derive(Debug)]
 pub(super) struct Unlisted<T> {
     known: HashMap<ReplicaId, (u64, T)>,
@@ -30,7 +30,7 @@
 }
 
 impl<T> Unlisted<T> {
-    /// So many replicas are listed now.
+    /// Records the number of replicas that are listed now.
     pub(super) fn note_listed(&mut self, count: usize) {
         self.most_listed = self.most_listed.max(count);
     }
@@ -59,7 +59,7 @@
         Some(known)
     }
 
-    /// Keeps just the replicas for which `keep` holds.
+    /// Removes the values of all replicas for which `keep` returns false.
     pub(super) fn retain(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
         self.known.retain(|id, _| keep(id));
         let known = &self.known;
