--- a/crates/croftrill-scheduler/src/load_news/heard.rs
+++ b/crates/croftrill-scheduler/src/load_news/heard.rs
@@ -1,27 +1,27 @@
-//! Accounts that wait to be passed on.
+//! Load samples that wait to be forwarded.
 
 use std::collections::HashMap;
 
 use super::{LoadAccount, LoadKey, LONGEST_AGE, MOST_REPLICAS};
 use crate::time::Moment;
 
-/// What became of an account that was heard.
+/// Outcome of recording a load sample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Hearing {
-    /// It is the newest of its replica.
+    /// The sample is the newest of its replica and was stored.
     Kept,
-    /// It is too old, or older than the known one.
+    /// The sample is too old, or not newer than the known one.
     Old,
-    /// There are too many.
+    /// Samples of too many replicas are stored already.
     LeftOut,
 }
 
-/// The newest account of each replica since the last ones were taken.
+/// The newest load sample of each replica since the buffer was last drained.
 #[derive(Debug, Default)]
 pub struct HeardLoads(HashMap<LoadKey, LoadAccount>);
 
 impl HeardLoads {
-    /// An account was heard.
+    /// Records a sample.
     pub fn hear(&mut self, account: LoadAccount, now: Moment) -> Hearing {
         if now.since(account.at) >= LONGEST_AGE {
             return Hearing::Old;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes what is still worth passing on.
+    /// Removes all samples and returns those that are recent enough to be forwarded.
     pub fn take(&mut self, now: Moment) -> Vec<LoadAccount> {
         let accounts = self.0.drain().map(|(_, account)| account);
         accounts
@@ -49,12 +49,12 @@
             .collect()
     }
 
-    /// Number of accounts that wait.
+    /// Returns the number of stored samples.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// True if none waits.
+    /// Returns whether no sample is stored.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/croftrill-scheduler/src/load_news/keys.rs
+++ b/crates/croftrill-scheduler/src/load_news/keys.rs
@@ -1,4 +1,4 @@
-//! Which replica an account is about.
+//! Keys that identify replicas in load samples.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,15 @@
 use crate::replica::{BornMs, ReplicaId};
 use crate::replica_table::{ChangedReplicas, ReplicaTable, TableVersion};
 
-/// Stands for one incarnation of a replica: part of a hash of its identity and of when it
-/// started. A replica that started again has another one, so an account of the former
-/// incarnation is about nobody that is known.
+/// Identifies one incarnation of a replica: part of a hash of the replica's identity and of its
+/// start time. A restarted replica has another key, so a sample of the former incarnation
+/// matches no known replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadKey(pub u32);
 
 impl LoadKey {
-    /// The key of an incarnation; `born_ms`: when it started, if its listing tells.
+    /// Returns the key of the incarnation that started at `born_ms`, or of a replica whose start
+    /// time is unknown.
     pub fn of(id: &str, born_ms: Option<BornMs>) -> Self {
         LoadKey(xxh3_64_with_seed(id.as_bytes(), born_ms.unwrap_or(0)) as u32)
     }
@@ -23,14 +24,14 @@
 /// The keys of all replicas of a table.
 #[derive(Debug, Default)]
 pub struct LoadKeys {
-    /// More than one replica where keys are the same by chance.
+    /// More than one replica if their keys collide.
     replicas: HashMap<LoadKey, Vec<ReplicaId>>,
     keys: HashMap<ReplicaId, LoadKey>,
     followed: TableVersion,
 }
 
 impl LoadKeys {
-    /// Brings them in line with the table.
+    /// Applies the changes of the table since the last call.
     pub fn follow(&mut self, table: &ReplicaTable) {
         let followed = std::mem::replace(&mut self.followed, table.version());
         if followed == self.followed && !self.keys.is_empty() {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The replica that a key stands for; `None` if it stands for none, or for several.
+    /// Returns the replica that a key identifies, or `None` if it matches none or several.
     pub fn replica(&self, key: LoadKey) -> Option<&ReplicaId> {
         match self.replicas.get(&key)?.as_slice() {
             [id] => Some(id),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The key of a replica's present incarnation.
+    /// Returns the key of a replica's present incarnation.
     pub fn key(&self, id: &str) -> Option<LoadKey> {
         self.keys.get(id).copied()
     }
--- a/crates/croftrill-scheduler/src/load_news/mod.rs
+++ b/crates/croftrill-scheduler/src/load_news/mod.rs
@@ -1,9 +1,9 @@
-//! News of replicas' loads: what nodes heard in answers, on its way to all others.
+//! Load samples: what nodes learn of replicas' loads from responses, on its way to all others.
 //!
-//! A node hears a replica seldom, all nodes together hear it often. [`HeardLoads`] gathers
-//! accounts until they are passed on, [`LoadTelling`] chooses which of them all nodes are
-//! told, [`LoadKeys`] says which replica an account is about. All of it is soft: what is
-//! lost, late or left out is old news, and nothing else.
+//! A single node rarely receives a sample from a given replica, but all nodes together often do.
+//! [`HeardLoads`] collects samples until they are forwarded, [`LoadTelling`] chooses which of
+//! them to publish to all nodes, and [`LoadKeys`] maps samples to replicas. All of this state
+//! is soft: if samples are lost, delayed or dropped, nodes only use older ones.
 
 mod heard;
 mod keys;
@@ -17,27 +17,27 @@
 use crate::capacity::ReplicaLoad;
 use crate::time::Moment;
 
-/// Age from which an account is not passed on: what it says of requests has faded.
+/// Age from which a sample is not forwarded: it says little about present requests.
 pub const LONGEST_AGE: Duration = Duration::from_secs(2);
-/// Replicas of which accounts are kept at a time.
+/// Number of replicas of which samples are stored at a time.
 pub const MOST_REPLICAS: usize = 4096;
-/// Difference in time up to which two accounts that say the same are one, which came on
-/// two ways: ages are rounded at each of them.
+/// Difference in time up to which two equal samples count as one that arrived by two routes:
+/// each hop rounds the sample's age.
 const SAME_ACCOUNT: Duration = Duration::from_millis(100);
 
-/// What an incarnation of a replica told of its load, and when.
+/// The load that an incarnation of a replica reported, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadAccount {
     /// The incarnation.
     pub key: LoadKey,
-    /// What it told.
+    /// The reported load.
     pub load: ReplicaLoad,
-    /// When it did, by the clock of whoever holds the account.
+    /// When the replica reported it, by the clock of the node that stores the sample.
     pub at: Moment,
 }
 
 impl LoadAccount {
-    /// True if it says something to who knows `newest` of the replica.
+    /// Returns whether the sample adds to `newest`, the newest known sample of the replica.
     pub fn is_news(&self, newest: Option<(ReplicaLoad, Moment)>) -> bool {
         newest.is_none_or(|(load, at)| {
             let is_same = load == self.load && self.at.since(at) <= SAME_ACCOUNT;
--- a/crates/croftrill-scheduler/src/load_news/telling.rs
+++ b/crates/croftrill-scheduler/src/load_news/telling.rs
@@ -1,5 +1,5 @@
-//! Which accounts all nodes are told: those that say something new, as far as a bound on
-//! bytes allows.
+//! Selection of the load samples to publish to all nodes: those that would change decisions,
+//! within a limit on bytes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,32 +8,33 @@
 use crate::capacity::ReplicaLoad;
 use crate::time::Moment;
 
-/// Least change of a replica's requests that is told.
+/// Smallest change of a replica's number of requests that is published.
 const LEAST_REQUESTS: u32 = 2;
-/// The change must also be more than one part in so many of its slots.
+/// The change must also exceed the replica's slots divided by this.
 const SLOT_PARTS: u32 = 10;
-/// The time that work takes may change by one part in so many without being told.
+/// A change of work time is published if it exceeds the published work time divided by this.
 const WORK_TIME_PARTS: u32 = 5;
-/// Time after which a replica at work is told of again, changed or not: less than what an
-/// account takes to lose its meaning, or it would be taken for one with less to do.
+/// Time after which the load of a replica with requests is published again, changed or not.
+/// Shorter than the time in which a sample fades, as the replica would otherwise be assumed to
+/// have fewer requests than it has.
 const TOLD_AGAIN: Duration = Duration::from_millis(500);
-/// Time for which bytes that were not used are kept.
+/// Time for which unused bytes accumulate.
 const BURST: Duration = Duration::from_millis(500);
 
-/// How much is told.
+/// Limits on published samples.
 #[derive(Debug, Clone, Copy)]
 pub struct TellingConfig {
-    /// Bytes of accounts a second, to each listener.
+    /// Bytes of samples per second, for each receiver.
     pub bytes_per_s: u32,
-    /// Most bytes of one account.
+    /// Maximum size of an encoded sample.
     pub account_bytes: u32,
 }
 
-/// What is known of a replica, and was told of it.
+/// The newest sample of a replica and the last published one.
 #[derive(Debug, Clone, Copy)]
 struct Known {
     newest: LoadAccount,
-    /// The account that was told last, and when.
+    /// The last published sample, and when it was published.
     told: Option<(LoadAccount, Moment)>,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// True if what is known of a replica changed so much that others would decide otherwise.
+/// Returns whether the load changed so much that other nodes would decide differently.
 fn differs(told: ReplicaLoad, load: ReplicaLoad) -> bool {
     let change = told.requests().abs_diff(load.requests());
     let is_part_of_slots = change.saturating_mul(SLOT_PARTS) > load.slots.unwrap_or(0);
@@ -68,27 +69,27 @@
     load.waiting > 0 || load.slots.is_some_and(|slots| load.running >= slots)
 }
 
-/// Accounts of replicas, with what was told of them.
+/// Newest and published samples of replicas.
 #[derive(Debug)]
 pub struct LoadTelling {
     config: TellingConfig,
     replicas: HashMap<LoadKey, Known>,
-    /// Bytes that may be told now.
+    /// Bytes that may be published now.
     allowance: f64,
     counted_at: Moment,
 }
 
-/// What is told now.
+/// The samples to publish now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Due {
-    /// Accounts to tell.
+    /// Samples to publish.
     pub accounts: Vec<LoadAccount>,
-    /// Those that have to wait.
+    /// Number of samples that have to wait.
     pub left_out: usize,
 }
 
 impl LoadTelling {
-    /// Nothing is known yet.
+    /// Creates a publisher without samples.
     pub fn new(config: TellingConfig, now: Moment) -> Self {
         LoadTelling {
             config,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// An account was heard.
+    /// Records a sample.
     pub fn hear(&mut self, account: LoadAccount, now: Moment) -> Hearing {
         if now.since(account.at) >= LONGEST_AGE {
             return Hearing::Old;
@@ -122,17 +123,17 @@
         }
     }
 
-    /// Replicas of which something is known.
+    /// Returns the number of replicas of which a sample is stored.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// True if nothing is known.
+    /// Returns whether no sample is stored.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// Takes what is told now: what was told longest ago goes first.
+    /// Returns the samples to publish now, least recently published replicas first.
     pub fn take_due(&mut self, now: Moment) -> Due {
         self.earn(now);
         self.replicas
