--- a/crates/croftrill-scheduler/src/replica.rs
+++ b/crates/croftrill-scheduler/src/replica.rs
@@ -1,30 +1,30 @@
-//! What is known of a replica: identity, state, and the models it holds.
+//! Replicas: identity, state, holdings, signals and orders.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::catalog::{AdapterName, ModelName, ServiceName};
 
-/// Identity of a replica. It may start again under the same one; then [`BornMs`] tells
-/// its incarnations apart.
+/// Identity of a replica. A restarted replica may keep it; [`BornMs`] then distinguishes its
+/// incarnations.
 pub type ReplicaId = Arc<str>;
 
-/// When a replica's incarnation started, by its own clock, in Unix milliseconds.
+/// Start time of a replica's incarnation by its own clock, in Unix milliseconds.
 pub type BornMs = u64;
 
-/// How two accounts of one replica lie to each other in time.
+/// How the incarnation that a message is about relates to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Incarnation {
-    /// Of the same start, or one of them does not tell.
+    /// The same incarnation, or at least one of the start times is unknown.
     Same,
-    /// Of an earlier start than the known one: what it says is over.
+    /// An earlier incarnation: the message is out of date.
     Earlier,
-    /// Of a later start: nothing that is known of the replica holds any more.
+    /// A later incarnation: nothing that is known of the replica is valid any more.
     Later,
 }
 
 impl Incarnation {
-    /// What an account that tells `told` is to one that is known as `known`.
+    /// Compares the start time that a message reports with the known one.
     pub fn of(told: Option<BornMs>, known: Option<BornMs>) -> Self {
         match (told, known) {
             (Some(told), Some(known)) if told < known => Incarnation::Earlier,
@@ -34,75 +34,75 @@
     }
 }
 
-/// Whether a replica takes new requests.
+/// Whether a replica accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Is about to leave and takes no new requests.
+    /// Is about to leave and accepts no new requests.
     Draining,
 }
 
-/// A rate of requests, in thousandths of a request a second.
+/// A rate of requests, in thousandths of a request per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// The rate of so many requests a second, the largest that can be told at most;
-    /// `None` if that is no rate.
+    /// Converts from requests per second, saturating at the largest rate that can be represented.
+    /// Returns `None` for a number that is no rate.
     pub fn from_per_s(per_s: f64) -> Option<Self> {
-        // The conversion to an integer stops at its bounds.
+        // The conversion to an integer saturates.
         let is_rate = per_s.is_finite() && per_s >= 0.0;
         is_rate.then_some(RequestRate((per_s * 1000.0) as u64))
     }
 
-    /// The rate of so many thousandths of a request a second.
+    /// Converts from thousandths of a request per second.
     pub fn from_millis_per_s(millis_per_s: u64) -> Self {
         RequestRate(millis_per_s)
     }
 
-    /// In thousandths of a request a second.
+    /// Returns the rate in thousandths of a request per second.
     pub fn millis_per_s(self) -> u64 {
         self.0
     }
 
-    /// In requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
-/// What an answer of a replica says of the requests that it takes from all nodes together.
+/// What an answer of a replica says about a limit on its requests from all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LimitWord {
-    /// Nothing: no answer came, or it cannot be read.
+    /// Nothing: no answer arrived, or it is unreadable.
     #[default]
     Unsaid,
-    /// It names no limit.
+    /// The replica sets no limit.
     Unlimited,
-    /// It takes so many at most, until it says otherwise.
+    /// The replica accepts at most this rate, until a later answer changes it.
     Limited(RequestRate),
 }
 
-/// What a replica says of itself in one of its answers to a node.
+/// Signals that a replica sends in an answer to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReplicaWord {
-    /// It is about to leave.
+    /// The replica is about to leave.
     pub is_leaving: bool,
-    /// Time for which it wants nothing more from that node.
+    /// Time for which the replica wants no more requests from that node.
     pub rest: Option<Duration>,
-    /// Requests that it takes from all nodes together.
+    /// Limit on requests from all nodes together.
     pub limit: LimitWord,
 }
 
 impl ReplicaWord {
-    /// True if it says nothing of leaving or rest.
+    /// Returns whether the answer signals neither leaving nor a cooldown.
     pub fn is_empty(&self) -> bool {
         !self.is_leaving && self.rest.is_none()
     }
 }
 
-/// One model that a replica holds.
+/// A model that a replica holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldModel {
     /// Name of the model.
@@ -111,19 +111,19 @@
     pub adapters: Vec<AdapterName>,
 }
 
-/// Copies of weights that a replica keeps outside its accelerator.
+/// Copies of weights that a replica stores outside its accelerator.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WeightCopies {
-    /// Models in main memory: the fastest load.
+    /// Models in main memory, which load fastest.
     pub in_memory: Vec<ModelName>,
     /// Models on the replica's disk.
     pub on_disk: Vec<ModelName>,
 }
 
-/// What a replica holds, as of a number of orders taken.
+/// What a replica holds after a number of accepted orders.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Holdings {
-    /// Orders that the replica had taken; zero where a listing does not tell.
+    /// Number of orders that the replica had accepted; zero in listings without it.
     pub sequence: u64,
     /// Models with their adapters.
     pub models: Vec<HeldModel>,
@@ -132,12 +132,12 @@
 }
 
 impl Holdings {
-    /// The entry of a model, if it is held.
+    /// Returns the entry of a model, if it is held.
     pub fn model(&self, model: &str) -> Option<&HeldModel> {
         self.models.iter().find(|held| &*held.model == model)
     }
 
-    /// True if the model, and the adapter if one is asked for, is held.
+    /// Returns whether the model is held, with the adapter if one is given.
     pub fn serves(&self, model: &str, adapter: Option<&str>) -> bool {
         self.model(model).is_some_and(|held| match adapter {
             None => true,
@@ -145,47 +145,47 @@
         })
     }
 
-    /// Number of adapters that are present.
+    /// Returns the number of adapters that are present.
     pub fn adapter_count(&self) -> usize {
         self.models.iter().map(|held| held.adapters.len()).sum()
     }
 }
 
-/// A replica as the directory lists it.
+/// A replica as listed in the directory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaListing {
-    /// Identity of the incarnation.
+    /// Identity of the replica.
     pub id: ReplicaId,
     /// The service it belongs to.
     pub service: ServiceName,
     /// `IP:PORT`.
     pub address: Arc<str>,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: Arc<str>,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: ReplicaState,
-    /// Time it has left, if it is taken away at short notice.
+    /// Time until it is removed, if that is announced at short notice.
     pub leaves_in: Option<Duration>,
-    /// When it started, if it tells.
+    /// When it started, if known.
     pub born_ms: Option<BornMs>,
     /// What it holds; empty for services without models.
     pub holdings: Holdings,
 }
 
-/// A replica's own report.
+/// A replica's report on itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaReport {
     /// What it holds.
     pub holdings: Holdings,
-    /// True while a weights order is under way.
+    /// True while an order about weights is in progress.
     pub busy: bool,
-    /// Requests waiting there.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests running there.
+    /// Number of running requests.
     pub running: u32,
-    /// When it started, if it tells.
+    /// When it started, if known.
     pub born_ms: Option<BornMs>,
 }
 
@@ -194,16 +194,16 @@
 pub enum Order {
     /// Load a model.
     LoadModel(ModelName),
-    /// Drop a model, its adapters and its prompt memory.
+    /// Unload a model, its adapters and its prompt cache.
     UnloadModel(ModelName),
     /// Load an adapter of a model that is present.
     LoadAdapter(ModelName, AdapterName),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(ModelName, AdapterName),
 }
 
 impl Order {
-    /// The model that the order is about.
+    /// Returns the model that the order is about.
     pub fn model(&self) -> &ModelName {
         match self {
             Order::LoadModel(model) | Order::UnloadModel(model) => model,
@@ -211,7 +211,7 @@
         }
     }
 
-    /// True if `holdings` show the order's effect.
+    /// Returns whether `holdings` show the effect of the order.
     pub fn holds_in(&self, holdings: &Holdings) -> bool {
         match self {
             Order::LoadModel(model) => holdings.serves(model, None),
@@ -221,7 +221,8 @@
         }
     }
 
-    /// True for orders about weights, of which a replica carries out one at a time.
+    /// Returns whether the order loads or unloads weights. A replica executes one such order at a
+    /// time.
     pub fn is_weights(&self) -> bool {
         matches!(self, Order::LoadModel(_) | Order::UnloadModel(_))
     }
@@ -230,18 +231,18 @@
 /// How a replica answered an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is in progress.
+    /// The order is in progress.
     Accepted,
-    /// It already holds.
+    /// The order's effect is present already.
     AlreadyHolds,
-    /// Another order is in progress, or the expected sequence is not the present one.
+    /// Another order is in progress, or the expected sequence is not the current one.
     Conflict,
-    /// A newer fencing token has been seen.
+    /// The replica has seen a newer fencing token.
     Fenced,
     /// Another incarnation answered.
     OtherIncarnation,
-    /// The replica rejected the order as such.
+    /// The replica rejected the order itself.
     Rejected,
-    /// No answer: it may have been taken, or may be carried out later.
+    /// No answer arrived: the order may have been accepted, or may still be executed.
     Unknown,
 }
