--- a/crates/croftrill-scheduler/src/capacity.rs
+++ b/crates/croftrill-scheduler/src/capacity.rs
@@ -1,78 +1,80 @@
-//! What one replica can do: how fast it works, and how much it has to do.
+//! Capacity of a replica: how fast it works, and how loaded it is.
 //!
-//! Built from what replicas tell in their answers, to this node or to others. Bounded, and
-//! aged: an older account never replaces a newer one, and what was told long ago counts less.
+//! Derived from the loads that replicas report in responses to this node or to others. The
+//! state is bounded, an older sample never replaces a newer one, and samples lose weight as
+//! they age.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// What a replica tells of its load in an answer.
+/// The load that a replica reports in a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaLoad {
-    /// Requests running there.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting there.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that it runs at the same time, if told.
+    /// Number of requests that it runs concurrently, if reported.
     pub slots: Option<u32>,
-    /// Time that work takes there at this moment, in hundredths of the usual, if told.
+    /// Current work time as a percentage of the usual one, if reported.
     pub work_time_pct: Option<u32>,
 }
 
 impl ReplicaLoad {
-    /// Requests running and waiting.
+    /// Returns the number of running and waiting requests.
     pub fn requests(&self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
-/// Work time of a replica that tells none.
+/// Work time of a replica that reports none.
 const USUAL_WORK_TIME_PCT: u32 = 100;
-/// Told work times of which the median counts as the replica's own: enough for a short
+/// Number of reported work times whose median is the replica's usual one: enough for a short
 /// disturbance not to change it.
 const WORK_TIMES_KEPT: usize = 9;
-/// Told work times from which a replica's usual speed counts as known.
+/// Number of reported work times from which on a replica's usual speed counts as known.
 const WORK_TIMES_NEEDED: usize = 3;
-/// Time constant with which a told load loses its meaning.
+/// Time constant with which a reported load decays.
 const LOAD_MEMORY: Duration = Duration::from_millis(700);
-/// The same where requests go by capacity: about the time for which a stream runs, as a
-/// replica whose requests all end tells nothing more.
+/// Time constant for requests that are routed by capacity: about the duration of a stream. A
+/// replica whose requests have all ended sends no more reports, so its load has to decay.
 const RUNS_MEMORY: Duration = Duration::from_secs(2);
-/// Time for which a told work time is taken for the present one.
+/// Time for which a reported work time counts as the current one.
 const WORK_TIME_HOLDS: Duration = Duration::from_millis(600);
 
-/// Classes of speed from zero to the usual one: speeds that differ by less than a class count
-/// as the same.
+/// Number of speed classes between zero and the usual speed. Speeds of the same class count as
+/// equal.
 const CLASSES_PER_SPEED: f64 = 20.0;
 
-/// Replicas that usually work about as fast.
+/// A class of replicas that usually work at about the same speed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SpeedClass(u32);
 
-/// The newest account of a replica's load.
+/// The newest load sample of a replica.
 #[derive(Debug, Clone, Copy)]
 struct Account {
     load: ReplicaLoad,
-    /// Of these requests, those that the node did not send itself.
+    /// The requests among these that this node did not send itself.
     others: f64,
     at: Moment,
 }
 
-/// What is known of what a replica can do.
+/// The known capacity and load of a replica.
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
     account: Option<Account>,
-    /// The last told work times, in hundredths of the usual; the next one goes to `next`.
+    /// The latest reported work times, as percentages. A ring buffer once it is full, with the
+    /// oldest at `next`.
     work_times_pct: Vec<u32>,
     next: usize,
-    /// Their median: it is asked for at each choice of a replica, and changes seldom.
+    /// Median of the work times. Cached, as each choice of a replica uses it and it rarely changes.
     median_pct: Option<u32>,
 }
 
 impl Capacity {
-    /// Takes in what the replica told at `at`, while `own` requests of this node were there.
-    /// An account older than the known one changes nothing.
+    /// Records a load that the replica reported at `at`, when `own` requests of this node were
+    /// there. Ignores samples that are older than the known one.
     pub fn hear(&mut self, load: ReplicaLoad, own: u32, at: Moment) {
         if self.account.is_some_and(|known| at < known.at) {
             return;
@@ -100,19 +102,19 @@
         self.median_pct = known.get(known.len() / 2).copied();
     }
 
-    /// The newest account, and when it was given.
+    /// Returns the newest sample and when it was reported.
     pub fn newest(&self) -> Option<(ReplicaLoad, Moment)> {
         self.account.map(|account| (account.load, account.at))
     }
 
-    /// Requests of other nodes that are believed to be there; for services whose requests
-    /// do not go by capacity.
+    /// Returns the estimated number of other nodes' requests there, for services whose requests
+    /// are not routed by capacity.
     pub fn others(&self, now: Moment) -> f64 {
         self.fading(LOAD_MEMORY, now)
     }
 
-    /// The same where requests go by capacity: they count for as long as they are likely to
-    /// run.
+    /// Returns the estimated number of other nodes' requests there, for services whose requests
+    /// are routed by capacity: requests count for as long as they are likely to run.
     pub fn others_running(&self, now: Moment) -> f64 {
         self.fading(RUNS_MEMORY, now)
     }
@@ -123,23 +125,23 @@
         account.others * (-age).exp()
     }
 
-    /// Requests that it runs at the same time, if told.
+    /// Returns the number of requests that it runs concurrently, if reported.
     pub fn slots(&self) -> Option<u32> {
         self.account.and_then(|account| account.load.slots)
     }
 
-    /// True if the replica tells how long work takes there.
+    /// Returns whether the replica reports its work time.
     pub fn tells_work_time(&self) -> bool {
         !self.work_times_pct.is_empty()
     }
 
-    /// How fast it usually works: 1 is the usual speed of a replica, 2 twice that.
+    /// Returns the replica's usual speed, relative to the usual speed of replicas.
     pub fn speed(&self) -> f64 {
         speed_of(self.median_pct.unwrap_or(USUAL_WORK_TIME_PCT))
     }
 
-    /// How fast it usually works; 1 until it told often enough, so that all who heard it
-    /// judge it alike.
+    /// Returns the replica's usual speed, or 1 until it has reported enough work times for nodes
+    /// that received different reports to agree.
     pub fn lasting_speed(&self) -> f64 {
         if self.work_times_pct.len() < WORK_TIMES_NEEDED {
             return speed_of(USUAL_WORK_TIME_PCT);
@@ -147,12 +149,12 @@
         self.speed()
     }
 
-    /// The class of replicas that usually work about as fast.
+    /// Returns the class of replicas that usually work at about this replica's speed.
     pub fn speed_class(&self) -> SpeedClass {
         SpeedClass((self.lasting_speed() * CLASSES_PER_SPEED).round() as u32)
     }
 
-    /// How fast it works at this moment, as far as that was told lately.
+    /// Returns the replica's current speed if it was reported recently, else its usual speed.
     pub fn speed_now(&self, now: Moment) -> f64 {
         let fresh = self
             .account
