--- a/crates/croftrill-scheduler/src/load_summary.rs
+++ b/crates/croftrill-scheduler/src/load_summary.rs
@@ -1,4 +1,4 @@
-//! How full and how evenly used the replicas of each service are, as a node knows it.
+//! Load of the replicas of each service, and how evenly it is spread, as a node knows it.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,28 @@
 use crate::replica_table::{ReplicaEntry, ReplicaTable};
 use crate::time::Moment;
 
-/// A replica that works at less than this part of the usual speed of replicas, whatever its
-/// own usual one is, counts as slow: by as much as a change of work time that nodes tell
-/// each other.
+/// Speed, relative to the usual speed of replicas, below which a replica counts as slow,
+/// whatever its own usual speed is. Corresponds to the smallest change of work time that nodes
+/// publish.
 const SLOW_SPEED: f64 = 0.8;
 
-/// The load of one replica, with what it is judged by.
+/// The load of a replica, with the figures that put it in proportion.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct JudgedLoad {
-    /// What it told last.
+    /// The latest reported load.
     pub load: ReplicaLoad,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// When it told that.
+    /// When the load was reported.
     pub at: Moment,
-    /// How fast it usually works.
+    /// Usual speed.
     pub speed: f64,
-    /// How fast it works now.
+    /// Current speed.
     pub speed_now: f64,
 }
 
 impl JudgedLoad {
-    /// The load of a replica; `None` if nothing was told.
+    /// Returns the load of a replica, or `None` if none was reported.
     pub fn of(entry: &ReplicaEntry, now: Moment) -> Option<Self> {
         let (load, at) = entry.capacity.newest()?;
         Some(JudgedLoad {
@@ -41,12 +41,12 @@
         })
     }
 
-    /// True if it runs all that it can, or requests wait there.
+    /// Returns whether all of its slots are taken, or requests wait there.
     pub fn is_full(&self) -> bool {
         self.load.waiting > 0 || self.load.running >= self.slots
     }
 
-    /// True if it works at well under the usual speed of replicas now.
+    /// Returns whether its current speed is well below the usual speed of replicas.
     pub fn is_slow(&self) -> bool {
         self.speed_now < SLOW_SPEED
     }
@@ -56,20 +56,20 @@
     }
 }
 
-/// The load of a service's replicas of which something was told lately.
+/// The load of those replicas of a service that reported theirs recently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceLoad {
-    /// These replicas.
+    /// Number of these replicas.
     pub replicas: u32,
-    /// Their requests, running and waiting.
+    /// Number of their running and waiting requests.
     pub requests: u32,
-    /// Those of the busiest.
+    /// Number of requests at the busiest replica.
     pub busiest: u32,
-    /// Places of them that are free.
+    /// Number of free slots.
     pub free: u32,
-    /// Full replicas.
+    /// Number of full replicas.
     pub full: u32,
-    /// Slow replicas.
+    /// Number of slow replicas.
     pub slow: u32,
 }
 
@@ -84,7 +84,8 @@
         self.slow += u32::from(judged.is_slow());
     }
 
-    /// Requests of the busiest replica, in times of the mean; 1 where there are none.
+    /// Returns the requests of the busiest replica as a multiple of the mean, or 1 if there are no
+    /// requests.
     pub fn spread(&self) -> f64 {
         if self.requests == 0 {
             return 1.0;
@@ -93,7 +94,7 @@
     }
 }
 
-/// The load of each service's ready replicas.
+/// Returns the load of each service's ready replicas.
 pub fn by_service(table: &ReplicaTable, now: Moment) -> BTreeMap<ServiceName, ServiceLoad> {
     let mut services: BTreeMap<ServiceName, ServiceLoad> = BTreeMap::new();
     for entry in table.iter().filter(|entry| entry.is_ready()) {
