--- a/crates/croftrill-scheduler/src/health.rs
+++ b/crates/croftrill-scheduler/src/health.rs
@@ -1,30 +1,30 @@
-//! Health of replicas as their answers show it, judged against their peers.
+//! Health of replicas, derived from the outcomes of requests and compared with their peers.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// How one send to a replica ended, as far as its health goes.
+/// Outcome of sending a request to a replica, as far as it concerns the replica's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// A whole answer.
+    /// A complete response.
     Success,
-    /// A failure of the replica's own, or a broken answer.
+    /// A failure of the replica, or a broken response.
     Failure,
-    /// It could not be reached.
+    /// The replica was unreachable.
     Unreachable,
 }
 
-/// Weight that a past outcome keeps after `MEMORY`.
+/// Time constant with which the weight of an outcome decays.
 const MEMORY: Duration = Duration::from_secs(3);
-/// Failures in a row, by weight, at which a replica counts as an outlier.
+/// Difference to the failure rate of its peers above which a replica counts as an outlier.
 const OUTLIER_RATE: f64 = 0.3;
-/// Outcomes, by weight, before a rate means anything.
+/// Weight of outcomes below which a failure rate is not meaningful.
 const LEAST_EVIDENCE: f64 = 1.5;
-/// How long an unreachable replica is passed over.
+/// Time for which an unreachable replica is skipped.
 const UNREACHABLE_FOR: Duration = Duration::from_millis(1500);
 
-/// Decaying record of one replica's outcomes.
+/// Decaying record of a replica's outcomes.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaHealth {
     successes: f64,
@@ -34,7 +34,7 @@
 }
 
 impl ReplicaHealth {
-    /// Counts the outcome of a send.
+    /// Records the outcome of a request.
     pub fn record(&mut self, outcome: SendOutcome, now: Moment) {
         self.decay(now);
         match outcome {
@@ -50,12 +50,12 @@
         }
     }
 
-    /// True while the replica could recently not be reached.
+    /// Returns whether the replica was unreachable recently.
     pub fn is_unreachable(&self, now: Moment) -> bool {
         self.unreachable_until.is_some_and(|until| now < until)
     }
 
-    /// Share of failures among recent outcomes; `None` without enough of them.
+    /// Returns the share of failures among recent outcomes, or `None` if there are too few.
     pub fn failure_rate(&self, now: Moment) -> Option<f64> {
         let fade = fade(now.since(self.updated));
         let total = (self.successes + self.failures) * fade;
@@ -65,8 +65,8 @@
         Some(self.failures / (self.successes + self.failures))
     }
 
-    /// True if the replica fails far more often than `peer_rate`, the usual
-    /// share of failures among its peers.
+    /// Returns whether the replica fails far more often than `peer_rate`, the usual failure rate
+    /// among its peers.
     pub fn is_outlier(&self, peer_rate: f64, now: Moment) -> bool {
         self.failure_rate(now)
             .is_some_and(|rate| rate > peer_rate + OUTLIER_RATE)
