--- a/crates/croftrill-scheduler/tests/capacity.rs
+++ b/crates/croftrill-scheduler/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! What a replica can do, as its answers tell it.
+//! Capacity of replicas as reported in their responses.
 
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
     assert!((capacity.speed_now(at(900)) - 1.0 / 1.5).abs() < 1e-9);
     assert!(
         (capacity.speed_now(at(5000)) - 1.0 / 0.6).abs() < 1e-9,
-        "what was told long ago is not the present"
+        "an old report doesn't count as the current speed"
     );
 }
 
@@ -61,7 +61,7 @@
     assert!(capacity.others(at(10_000)) < 0.01);
 }
 
-/// Whoever chooses places for models must find the same as others who heard other answers.
+/// Placement decisions must agree between nodes that received different responses.
 #[test]
 fn lasting_speed_usual_until_told_often() {
     let mut capacity = Capacity::default();
--- a/crates/croftrill-scheduler/tests/load_news.rs
+++ b/crates/croftrill-scheduler/tests/load_news.rs
@@ -1,4 +1,4 @@
-//! News of replicas' loads: what is kept, passed on and told.
+//! Load samples: storing, forwarding and publishing.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     }
 }
 
-/// Tells what is due; answers which replicas.
+/// Publishes what is due and returns the keys.
 fn told(telling: &mut LoadTelling, ms: u64) -> Vec<u32> {
     let due = telling.take_due(at(ms));
     due.accounts.iter().map(|account| account.key.0).collect()
@@ -77,7 +77,7 @@
     assert_eq!(heard.hear(account(2, load(3, 100), 101), now), Hearing::Kept);
     assert!(
         heard.take(now + LONGEST_AGE).is_empty(),
-        "it grew old as it waited"
+        "it was outdated by then"
     );
 }
 
@@ -101,9 +101,9 @@
     telling.hear(account(1, load(10, 100), 500), at(500));
     assert_eq!(told(&mut telling, 500), [1]);
     telling.hear(account(1, load(12, 110), 600), at(600));
-    assert!(told(&mut telling, 600).is_empty(), "two of 24 places");
+    assert!(told(&mut telling, 600).is_empty(), "two of 24 slots");
     telling.hear(account(1, load(13, 110), 700), at(700));
-    assert_eq!(told(&mut telling, 700), [1], "three");
+    assert_eq!(told(&mut telling, 700), [1], "three of 24 slots");
     let of_few = |running: u32| ReplicaLoad {
         slots: Some(12),
         ..load(running, 100)
@@ -113,7 +113,7 @@
     telling.hear(account(2, of_few(6), 710), at(710));
     assert!(told(&mut telling, 710).is_empty());
     telling.hear(account(2, of_few(7), 720), at(720));
-    assert_eq!(told(&mut telling, 720), [2], "two of twelve places");
+    assert_eq!(told(&mut telling, 720), [2], "two of twelve slots");
     telling.hear(account(1, load(13, 135), 800), at(800));
     assert_eq!(
         told(&mut telling, 800),
@@ -123,7 +123,7 @@
     telling.hear(account(1, load(23, 135), 900), at(900));
     assert_eq!(told(&mut telling, 900), [1]);
     telling.hear(account(1, load(24, 135), 1000), at(1000));
-    assert_eq!(told(&mut telling, 1000), [1], "full");
+    assert_eq!(told(&mut telling, 1000), [1], "the replica is full");
 }
 
 #[test]
@@ -137,8 +137,8 @@
         telling.hear(account(key, load(running, 100), 900), at(900));
     }
     assert!(told(&mut telling, 950).is_empty());
-    assert_eq!(told(&mut telling, 1000), [1], "the other one has nothing to do");
-    assert!(told(&mut telling, 2600).is_empty(), "nobody heard of it since");
+    assert_eq!(told(&mut telling, 1000), [1], "the other replica is idle");
+    assert!(told(&mut telling, 2600).is_empty(), "no newer sample arrived");
 }
 
 #[test]
@@ -171,7 +171,7 @@
     table.apply_listing(listing("r1", Some(8)));
     keys.follow(&table);
     assert_eq!(keys.replica(former), None);
-    let present = keys.key("r1").expect("it is known");
+    let present = keys.key("r1").expect("the replica is known");
     assert_eq!(keys.replica(present).map(|id| &**id), Some("r1"));
     table.remove("r1");
     keys.follow(&table);
@@ -187,7 +187,7 @@
             let other = ids.insert(LoadKey::of(&id, None), id.clone())?;
             Some((other, id))
         })
-        .expect("a hash of 32 bits");
+        .expect("32-bit hashes collide");
     let (mut table, mut keys) = (ReplicaTable::new(), LoadKeys::default());
     table.apply_listing(listing(&first, None));
     table.apply_listing(listing(&second, None));
@@ -240,8 +240,8 @@
 }
 
 proptest! {
-    /// Whatever is heard and whenever: what is told stays below the bound, is the newest
-    /// that is known of its replica, never old, and never the same account twice.
+    /// For any sequence of samples: published samples stay within the limit on bytes, are the
+    /// newest known of their replica, are never outdated and never repeat.
     #[test]
     fn telling_is_bounded_and_tells_only_news(steps in steps()) {
         let mut telling = LoadTelling::new(CONFIG, at(0));
--- a/crates/croftrill-scheduler/tests/load_summary.rs
+++ b/crates/croftrill-scheduler/tests/load_summary.rs
@@ -1,4 +1,4 @@
-//! How full and how evenly used replicas are.
+//! Summaries of the load of replicas.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Moment::from_start(Duration::from_millis(60_000 + ms))
 }
 
-/// A table of ready replicas of twelve places.
+/// A table of ready replicas with twelve slots.
 fn table(ids: &[&str]) -> ReplicaTable {
     let mut table = ReplicaTable::new();
     for id in ids {
@@ -74,12 +74,12 @@
         table.told_load("r1", load(1, 0, Some(100)), at(100 * ms));
     }
     let judged = |table: &ReplicaTable, id: &str, ms: u64| {
-        let entry = table.get(id).expect("it is listed");
+        let entry = table.get(id).expect("the replica is listed");
         JudgedLoad::of(entry, at(ms))
     };
-    assert!(!judged(&table, "r1", 500).expect("told").is_slow());
+    assert!(!judged(&table, "r1", 500).expect("a load was reported").is_slow());
     table.told_load("r1", load(1, 0, Some(250)), at(500));
-    let slowed = judged(&table, "r1", 500).expect("told");
+    let slowed = judged(&table, "r1", 500).expect("a load was reported");
     assert!(slowed.is_slow() && !slowed.is_full());
     assert_eq!((slowed.speed, slowed.speed_now), (1.0, 0.4));
     assert_eq!(judged(&table, "r2", 500), None);
--- a/crates/croftrill-scheduler/tests/own_word.rs
+++ b/crates/croftrill-scheduler/tests/own_word.rs
@@ -1,4 +1,4 @@
-//! What replicas tell a node of themselves, against listings and lapses in any order.
+//! Signals that replicas send to a node, with listings and lapses in any order.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// True if the replica was not known to leave.
+/// Returns whether the replica was not known to be leaving before.
 fn hear(
     table: &mut ReplicaTable,
     id: &ReplicaId,
@@ -88,20 +88,20 @@
     choose(table, &request, now)
 }
 
-/// What happens to one replica, as a node sees it.
+/// An event at one replica, as a node observes it.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// Its entry is read, of this start.
+    /// Its directory entry, of this incarnation, is read.
     Listed(BornMs),
-    /// Its entry lapses.
+    /// Its directory entry lapses.
     Lapses,
-    /// The node is not told of it any more.
+    /// The node receives no more updates about it.
     Forgotten,
-    /// It says that it leaves, in answer to what went to the incarnation of this start.
+    /// It signals that it is leaving, in the answer to a call to this incarnation.
     Leaves(BornMs),
-    /// It asks for so much rest.
+    /// It asks for a cooldown of so many milliseconds.
     Rests(BornMs, u64),
-    /// Time goes by.
+    /// Time passes, in milliseconds.
     Waits(u64),
 }
 
@@ -118,8 +118,8 @@
 }
 
 proptest! {
-    /// A replica gets nothing after its word of leaving, nor in the longest rest that it
-    /// asked for, unless a later start is known, whatever listings say or lapse.
+    /// A replica gets no requests after it signaled that it is leaving, nor before the end of its
+    /// longest cooldown, unless a later incarnation is known. Listings and lapses don't matter.
     #[test]
     fn choose_heeds_every_word_of_the_newest_start(steps in prop::collection::vec(step(), 1..60)) {
         let mut table = ReplicaTable::new();
@@ -143,8 +143,8 @@
                     hear(&mut table, &id, Some(born), rest(millis), at(now_ms));
                     rests.push((born, now_ms + millis));
                 }
-                // An answer of an earlier start than the known one, or of one that was
-                // never listed and so was sent nothing.
+                // An answer from an earlier incarnation than the known one is ignored. An incarnation
+                // that was never listed was sent nothing.
                 Step::Leaves(born) | Step::Rests(born, _) if born < newest && table.get("r1").is_some() => {
                     let listed = table.get("r1").and_then(|entry| entry.listing.born_ms);
                     if listed > Some(born) {
@@ -207,7 +207,8 @@
     assert_eq!(table.service_rests_until("llm", at(720)), None);
 }
 
-/// The home of a prompt rests: all of its requests go to one other holder meanwhile.
+/// While the home of a prompt is in cooldown, all of the prompt's requests go to one other
+/// holder.
 #[test]
 fn choose_finds_another_home_while_the_home_rests() {
     let mut table = ReplicaTable::new();
--- a/crates/croftrill-scheduler/tests/replica_table.rs
+++ b/crates/croftrill-scheduler/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! What orderers tell of replicas and their listings come in any order.
+//! Placements from orderers and listings of replicas, in any order.
 
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
 
 const NOW: Moment = Moment::from_start(Duration::from_secs(3600));
 
-/// The only holder of a model crashed and is still listed: whoever asks for the model
-/// waited for 45 % of its patience as if it were there.
+/// A crashed replica is still listed as the only holder of a model. Counted as reachable, it
+/// makes requests for the model wait for 45 % of their patience.
 #[test]
 fn reachable_holders_leaves_out_one_that_cannot_be_reached() {
     let mut table = ReplicaTable::new();
@@ -66,7 +66,7 @@
     assert_eq!(
         reload,
         Duration::from_millis(13_200),
-        "its disk cannot be reached either"
+        "its disk is unreachable too"
     );
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Listings that come over a relay tell nothing of copies: the first request for each model
-/// on a disk 0.76 s away was sent away with the time of a load from the weight store.
+/// Listings from a relay carry no weight copies. The first request for a model whose copy is on
+/// a disk, 0.76 s away, must not be rejected with the load time from the weight store.
 #[test]
 fn may_have_unknown_copy_until_copies_are_told() {
     let model: ModelName = "m1".into();
@@ -92,7 +92,10 @@
     table.apply_relayed_listing(listing("r1"));
     assert!(table.may_have_unknown_copy("llm", &model));
     table.apply_placement(told("r1", "m2"));
-    assert!(table.may_have_unknown_copy("llm", &model), "no word of copies");
+    assert!(
+        table.may_have_unknown_copy("llm", &model),
+        "the placement carries no copies"
+    );
     let mut with_copies = told("r1", "m2");
     with_copies.usable.copies.on_disk = vec!["m3".into()];
     with_copies.tells_copies = true;
@@ -101,15 +104,18 @@
     table.apply_listing(listing("r2"));
     assert!(
         !table.may_have_unknown_copy("llm", &model),
-        "a whole listing tells of them"
+        "a listing from the store includes them"
     );
     table.apply_relayed_listing(listing("r3"));
     table.told_reload("llm".into(), model.clone(), Duration::from_millis(13_200));
-    assert!(!table.may_have_unknown_copy("llm", &model), "it was told");
+    assert!(
+        !table.may_have_unknown_copy("llm", &model),
+        "a received load time takes precedence"
+    );
 }
 
-/// A model made way at the only replica that held it: a copy stays there, and a
-/// caller is told the time of that load, not of one from the weight store.
+/// The only holder of a model evicts it but retains a copy: callers get the load time of that
+/// copy, not the one from the weight store.
 #[test]
 fn reload_time_of_a_model_that_made_way_goes_by_the_copy_that_stayed() {
     let mut table = ReplicaTable::new();
@@ -134,11 +140,11 @@
         table.reload_time("llm", &spec("m3"), NOW),
         Duration::from_millis(680)
     );
-    // A placement without news of copies changes nothing of them.
+    // A placement without copies leaves the known ones as they are.
     table.apply_placement(told("r1", "m2"));
     let reload = table.reload_time("llm", &spec("m3"), NOW);
     assert_eq!(reload, Duration::from_millis(680));
-    // A relayed listing tells nothing of copies.
+    // A relayed listing carries no copies.
     table.apply_relayed_listing(ReplicaListing {
         holdings: table.get("r1").expect("listed").listing.holdings.clone(),
         ..listing("r1")
@@ -167,7 +173,7 @@
     assert_eq!(table.holders("llm", "m1"), 1);
 }
 
-/// The store's own listing tells what the replica holds, and is newer.
+/// A listing from the store includes the holdings and is newer.
 #[test]
 fn apply_listing_of_one_that_came_back_goes_by_the_listing() {
     let mut table = ReplicaTable::new();
@@ -176,7 +182,7 @@
     table.remove("r1");
     table.apply_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 0);
-    // Nor does what was told before come back with a later change.
+    // A later change doesn't bring the old placement back either.
     table.apply_relayed_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 0);
 }
@@ -190,8 +196,8 @@
     assert_eq!(table.holders("llm", "m1"), 0);
 }
 
-/// A replica that started again under its identity held nothing of before, and its
-/// former orderer's word, health and absences were taken for the new one's.
+/// A restarted replica holds nothing yet: the placement, health and absences of its former
+/// incarnation don't apply to it.
 #[test]
 fn apply_listing_of_a_later_start_forgets_what_was_known() {
     let mut table = ReplicaTable::new();
@@ -210,9 +216,9 @@
     table.begin_send("r1", work, NOW);
     table.apply_listing(born("r1", 2000));
     assert_eq!(table.holders("llm", "m1"), 0);
-    let entry = table.get("r1").expect("it is listed");
+    let entry = table.get("r1").expect("the replica is listed");
     assert!(!entry.is_told() && !entry.health.is_unreachable(NOW));
-    assert_eq!(entry.own_tokens(), 100, "its end is still to be counted");
+    assert_eq!(entry.own_tokens(), 100, "the request has not ended yet");
 }
 
 #[test]
@@ -242,7 +248,7 @@
     assert_eq!(table.holders("llm", "m1"), 1);
 }
 
-/// An entry that names another service than before was found under both.
+/// A replica whose entry names another service must not be found under the former one.
 #[test]
 fn apply_listing_of_another_service_moves_the_replica() {
     let mut table = ReplicaTable::new();
@@ -294,8 +300,8 @@
 }
 
 proptest! {
-    /// The index finds just the replicas that a walk over all of them finds, whatever
-    /// came in which order.
+    /// The index finds exactly the replicas that a scan of the table finds, after any sequence of
+    /// events.
     #[test]
     fn with_model_finds_what_a_walk_finds(steps in prop::collection::vec((0u8..6, 0u8..5, 0u8..3, 0u64..3), 1..80)) {
         let mut table = ReplicaTable::new();
@@ -330,14 +336,14 @@
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(born("r1", 1000));
     assert!(table.awaits_word("llm", |_| true));
-    assert!(!table.awaits_word("llm", |_| false), "its orderer is away");
+    assert!(!table.awaits_word("llm", |_| false), "its orderer is not linked");
     table.apply_placement(Placement {
         born_ms: Some(1000),
         ..told("r1", "m1")
     });
     assert!(!table.awaits_word("llm", |_| true));
     table.apply_relayed_listing(born("r1", 2000));
-    assert!(table.awaits_word("llm", |_| true), "it started again");
+    assert!(table.awaits_word("llm", |_| true), "the replica restarted");
 }
 
 fn listed_with(id: &str, model: &str) -> ReplicaListing {
@@ -347,17 +353,19 @@
     }
 }
 
-/// Where no orderer tells, what a replica loaded is known by its listing alone.
+/// Without an orderer, only the listing shows what a replica has loaded.
 #[test]
 fn apply_listed_holdings_of_an_untold_replica_is_news_once() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listed_with("r1", "m1"));
     let read = listed_with("r1", "m2");
-    let news = table.apply_listed_holdings(read.clone()).expect("news");
+    let news = table
+        .apply_listed_holdings(read.clone())
+        .expect("the holdings changed");
     assert_eq!(news.usable.models, read.holdings.models);
     assert_eq!((table.holders("llm", "m1"), table.holders("llm", "m2")), (0, 1));
     assert_eq!(table.apply_listed_holdings(read.clone()), None);
-    // It did not hold the model for a while; what it lists now counts again.
+    // The replica responded that it doesn't hold the model; its next listing is used again.
     table.mark_absent("r1", "m2".into(), None);
     assert!(table.apply_listed_holdings(read).is_some());
     assert_eq!(table.holders("llm", "m2"), 1);
