--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! What one tenant may spend at one keeper.
+//! The units that one tenant may spend at one keeper.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use super::ruling::{KeeperConfig, Ruling, Want, MOST_AHEAD};
 use crate::tenants::Quota;
 
-/// Part of the income that urgent requests leave to the others, while these ask.
+/// Fraction of the income set aside for non-urgent requests while the tenant sends any.
 const KEPT_PART: f64 = 0.1;
-/// Requests of mean cost for which units are kept at most.
+/// Maximum balance set aside for non-urgent requests, in requests of mean cost.
 const KEPT_REQUESTS: f64 = 2.0;
-/// Part of what can be saved that is kept for them at most.
+/// Maximum balance set aside for non-urgent requests, as a fraction of the maximum savings.
 const MOST_KEPT_PART: f64 = 0.5;
-/// Time constant after which units that were refused are no more expected to be asked for
-/// once more: callers come back once or not at all.
+/// Time constant with which refused units stop being expected again: callers retry once or not at
+/// all.
 const REFUSED_MEMORY_S: f64 = 2.0;
-/// Requests over which means are taken.
+/// Number of requests over which moving averages are taken.
 const MEAN_OVER: f64 = 64.0;
-/// Others are granted ahead for one part in so many of the time that urgent requests can wait,
-/// at most: what comes in later is left to the urgent ones until it is there.
+/// Non-urgent requests are granted ahead for at most the time that urgent ones can wait, divided
+/// by this. Income beyond that stays available to urgent requests until it arrives.
 const OTHERS_AHEAD: u32 = 2;
 
-/// Bounds of an account, by the part of the quota that belongs to its keeper.
+/// Limits of an account, scaled to its keeper's share of the quota.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AccountBounds {
-    /// Units gained in a second.
+    /// Income in units per second.
     pub income_per_s: f64,
-    /// Most units saved.
+    /// Maximum savings, in units.
     pub most_saved: f64,
-    /// Most units of debt.
+    /// Maximum debt, in units.
     pub debt: f64,
-    /// Longest time told or waited.
+    /// Maximum for any returned or waited time.
     pub window: Duration,
 }
 
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Time in which so much has surely come in, whatever is kept of the income.
+    /// Returns the time after which this many units are certain to have arrived, even while part
+    /// of the income is set aside.
     fn time_to_gain(&self, units: f64) -> Duration {
         let sure_per_s = self.income_per_s * (1.0 - KEPT_PART);
         let time = Duration::try_from_secs_f64(units.max(0.0) / sure_per_s.max(f64::MIN_POSITIVE));
@@ -52,37 +53,38 @@
     }
 }
 
-/// What one tenant may spend.
+/// The units that one tenant may spend.
 ///
-/// Invariant: `balance` never falls so low that what surely comes in until a grant's time
-/// leaves it below `-debt` then; `kept` never falls below zero. Both together gain no more
-/// than the income and save no more than the most, so in any time `t` the requests that both
-/// ask and have their turn in it count for at most `income` x `t` + `saved` + `debt`.
+/// Invariant: `balance` never drops so low that the income certain to arrive before a grant's
+/// time would leave it below `-debt` at that time; `kept` is never negative. Together they gain
+/// at most the income and hold at most the maximum savings. So within any time `t`, the requests
+/// that are both made and granted for a time within it cost at most `income` x `t` + `saved` +
+/// `debt`.
 #[derive(Debug, Clone)]
 pub(super) struct Account {
-    /// Its quota.
+    /// The tenant's quota.
     pub quota: Quota,
-    /// Version of the configuration that told the quota.
+    /// Version of the configuration that defines the quota.
     pub version: u64,
-    /// Units that may be spent on any request; below zero: a debt, and what was granted
-    /// ahead.
+    /// Units available to any request. Negative values are debt, including units granted ahead.
     balance: f64,
-    /// Units that only requests may spend that are not urgent.
+    /// Units available only to non-urgent requests.
     kept: f64,
-    /// Time since one of these asked; `None`: none did.
+    /// Time since the last non-urgent request; `None` before the first.
     since_others: Option<Duration>,
-    /// Units that were refused and may be asked for once more.
+    /// Refused units that may be requested again.
     refused: f64,
-    /// Mean cost of the requests.
+    /// Moving average of the cost of requests.
     mean_cost: f64,
-    /// Refused requests that may ask again, the last of each reach.
+    /// Refused requests that may be retried: the costliest of each step of time granted ahead.
     returning: Returning,
-    /// Mean time for which urgent requests can wait, in seconds; `None`: none asked yet.
+    /// Moving average of the time that urgent requests can wait, in seconds; `None` before the
+    /// first.
     urgent_patience_s: Option<f64>,
 }
 
 impl Account {
-    /// An account without a balance.
+    /// Creates an account without a balance.
     pub(super) fn new(quota: Quota, version: u64) -> Self {
         Account {
             quota,
@@ -97,12 +99,12 @@
         }
     }
 
-    /// Units that may be spent, on any request and on those that are not urgent.
+    /// Returns the units available in total, including those for non-urgent requests only.
     pub(super) fn balance(&self) -> f64 {
         self.balance + self.kept
     }
 
-    /// What is saved is given up; a debt stays.
+    /// Drops all savings but retains debt.
     pub(super) fn drop_savings(&mut self) {
         self.balance = self.balance.min(0.0);
         self.kept = 0.0;
@@ -110,13 +112,13 @@
         self.returning = Returning::default();
     }
 
-    /// Debts are forgotten, too.
+    /// Drops all savings and debt.
     pub(super) fn clear(&mut self) {
         self.drop_savings();
         self.balance = 0.0;
     }
 
-    /// The quota changed: what is above a lower one's savings is lost.
+    /// Applies a new quota, which cuts savings down to the new maximum.
     pub(super) fn set_quota(&mut self, quota: Quota, version: u64, bounds: &AccountBounds) {
         self.quota = quota;
         self.version = version;
@@ -124,7 +126,7 @@
         self.balance = self.balance.min(bounds.most_saved - self.kept);
     }
 
-    /// Units that are kept at most for requests that are not urgent.
+    /// Returns the maximum balance set aside for non-urgent requests.
     fn most_kept(&self, bounds: &AccountBounds) -> f64 {
         let is_wanted = self.since_others.is_some_and(|since| since < bounds.window);
         if !is_wanted {
@@ -133,8 +135,8 @@
         (self.mean_cost * KEPT_REQUESTS).min(bounds.most_saved * MOST_KEPT_PART)
     }
 
-    /// Time passed. What is above the most, as after a node left, is neither added to nor
-    /// taken.
+    /// Adds the income of the elapsed time. A balance above the maximum, as after a node left,
+    /// neither grows nor is cut.
     pub(super) fn gain(&mut self, elapsed: Duration, bounds: &AccountBounds) {
         let income = bounds.income_per_s * elapsed.as_secs_f64();
         self.since_others = self.since_others.map(|since| since + elapsed);
@@ -153,7 +155,7 @@
         self.balance = (self.balance + units).min(most.max(self.balance));
     }
 
-    /// A request wants to run.
+    /// Decides on a request and charges the account if it is granted.
     pub(super) fn ask(&mut self, want: Want, bounds: &AccountBounds) -> Ruling {
         let cost = want.cost as f64;
         self.note_asked(&want);
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A request came, whatever becomes of it.
+    /// Updates the averages with a request, whether or not it is granted.
     fn note_asked(&mut self, want: &Want) {
         self.mean_cost += (want.cost as f64 - self.mean_cost) / MEAN_OVER;
         if !want.is_urgent {
@@ -193,12 +195,13 @@
         *mean_s += (patience_s - *mean_s) / MEAN_OVER;
     }
 
-    /// Units that a request can leave and still be granted when all is saved.
+    /// Returns the units that a request can leave to others and still be granted once the savings
+    /// are full.
     fn most_left(&self, cost: f64, bounds: &AccountBounds) -> f64 {
         (bounds.most_saved - self.kept + bounds.debt - cost).max(0.0)
     }
 
-    /// Longest time for which an urgent request, or another one, is granted ahead.
+    /// Returns the maximum time for which a request is granted ahead.
     fn most_ahead(&self, is_urgent: bool, bounds: &AccountBounds) -> Duration {
         let most = MOST_AHEAD.min(bounds.window / 2);
         match self.urgent_patience_s {
@@ -207,8 +210,8 @@
         }
     }
 
-    /// Pays now, with what is kept as far as the balance falls short that is not left to
-    /// others; false if both do not suffice.
+    /// Pays immediately, from the shared balance first and from the one for non-urgent requests
+    /// if that falls short. Returns false if both, less `left_to_others`, do not suffice.
     fn pay_with_kept(&mut self, cost: f64, left_to_others: f64, bounds: &AccountBounds) -> bool {
         let free = self.balance + bounds.debt - left_to_others;
         let from_balance = free.clamp(0.0, cost);
@@ -221,13 +224,14 @@
         true
     }
 
-    /// So much was granted ahead by another keeper, and runs while this one rules.
+    /// Charges units that another keeper granted ahead and that are used while this keeper is in
+    /// charge.
     pub(super) fn owe(&mut self, cost: u64) {
         self.balance -= cost as f64;
     }
 
-    /// A request that was granted did not run. What is more than can be saved is lost: it
-    /// would else be spent together with what came in meanwhile.
+    /// Returns the units of a granted request that did not run. Units above the maximum savings
+    /// are lost: otherwise they could be spent on top of the income received in the meantime.
     pub(super) fn give_back(&mut self, cost: u64, bounds: &AccountBounds) {
         self.save(cost as f64, bounds);
     }
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -1,4 +1,4 @@
-//! The balances of tenants at the node that keeps them.
+//! Tenant balances on the node that keeps them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 use crate::tenants::{Quota, Tenant};
 use crate::time::Moment;
 
-/// Time for which a node counts as listed after it was: a machine that the store lost
-/// may go on, with a keeper and listeners of its own. Longer than any cut known (12 s)
-/// and the lease that an entry has still.
+/// How long a node still counts as listed after it was last seen. A machine whose entry the store
+/// lost may continue with a keeper and listeners of its own. Exceeds the longest known partition
+/// (12 s) plus the lease that an entry still has.
 const LISTED_MEMORY: Duration = Duration::from_secs(20);
 
-/// The balances of the tenants of one part.
+/// The balances of the tenants of one partition.
 ///
-/// Invariant: in any time `t` it grants a tenant at most `share` x (`income` x `t` +
-/// `saved` + `debt`), while `share` holds: the part of the listed nodes that listen
-/// to it. A new keeper begins without a balance. So where `k` keepers begin within
-/// a window, a tenant gets at most `spent_in_window` + (`k` + 1) x `debt` in it, and
-/// for a node that fell silent `share` is counted twice until its old keeper notices.
-/// A request granted ahead counts when it may run, at whichever keeper its node
-/// listens to then ([`QuotaKeeper::carry`]).
+/// Invariant: while its share is `share`, the fraction of the listed nodes that listen to it,
+/// this keeper grants a tenant at most `share` x (`income` x `t` + `saved` + `debt`) in any time
+/// `t`. A new keeper starts without a balance. So where `k` keepers start within a window, a
+/// tenant gets at most `spent_in_window` + (`k` + 1) x `debt` in that window. For a node that
+/// becomes silent, `share` counts twice until its old keeper notices. A request granted ahead
+/// counts at the time it may run, at the keeper that its node listens to then
+/// ([`QuotaKeeper::carry`]).
 #[derive(Debug)]
 pub struct QuotaKeeper {
     config: KeeperConfig,
     accounts: HashMap<Arc<str>, Account>,
-    /// Nodes that listen to this keeper.
+    /// Number of nodes that listen to this keeper.
     listeners: usize,
-    /// Counts of the listed nodes, with when they were last seen.
+    /// Numbers of listed nodes, with the time each was last observed.
     listed: Vec<(Moment, usize)>,
     settled_at: Moment,
     /// When the last listener left.
@@ -37,7 +37,7 @@
 }
 
 impl QuotaKeeper {
-    /// A keeper without listeners.
+    /// Creates a keeper without listeners.
     pub fn new(config: KeeperConfig, now: Moment) -> Self {
         QuotaKeeper {
             config,
@@ -49,14 +49,15 @@
         }
     }
 
-    /// Part of each quota that belongs to the listeners. Of the listed nodes the most of
-    /// the last time count: entries of living nodes lapse while the store is away.
+    /// Returns the fraction of each quota that belongs to the listeners. It uses the highest
+    /// recent number of listed nodes, since entries of live nodes expire while the store is
+    /// unavailable.
     pub fn share(&self) -> f64 {
         let listed = self.listed.iter().map(|(_, count)| *count).max();
         self.listeners as f64 / listed.unwrap_or(1).max(self.listeners).max(1) as f64
     }
 
-    /// So many nodes listen now.
+    /// Sets the number of listening nodes.
     pub fn set_listeners(&mut self, listeners: usize, now: Moment) {
         self.settle(now);
         let had = std::mem::replace(&mut self.listeners, listeners);
@@ -67,8 +68,8 @@
         }
     }
 
-    /// The first listener came: what it may have had elsewhere is not given twice,
-    /// so only debts stay, and these for a window.
+    /// Handles the arrival of the first listener. Nodes may have spent their savings at another
+    /// keeper, so savings are dropped and only debts remain, for one window.
     fn begin(&mut self, now: Moment) {
         let idle = self.idle_since.take().map(|since| now.since(since));
         let is_forgotten = idle.is_some_and(|idle| idle > self.config.window);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// So many nodes are listed now.
+    /// Sets the number of listed nodes.
     pub fn count_listed(&mut self, nodes: usize, now: Moment) {
         self.settle(now);
         self.listed.retain(|(seen, _)| now.since(*seen) <= LISTED_MEMORY);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// The quota of a tenant as a version of the configuration tells it.
+    /// Applies a tenant's quota as of a version of the configuration.
     pub fn learn(&mut self, name: &Arc<str>, quota: Quota, version: u64, now: Moment) {
         let is_known = self
             .accounts
@@ -110,7 +111,7 @@
         account.set_quota(quota, version, &bounds);
     }
 
-    /// The quotas of all tenants as a version of the configuration tells them.
+    /// Applies the quotas of all tenants as of a version of the configuration.
     pub fn learn_all<'a>(&mut self, tenants: impl Iterator<Item = &'a Tenant>, version: u64, now: Moment) {
         for tenant in tenants {
             if let Some(quota) = tenant.quota {
@@ -119,9 +120,9 @@
         }
     }
 
-    /// A request of a tenant wants to run. One that the balance will have paid for within
-    /// its patience is granted ahead: a wait of some ten milliseconds serves
-    /// its caller, where a refusal would have it come back to the same balance.
+    /// Decides on a request of a tenant. A request that the balance can pay for within its
+    /// patience is granted ahead: a wait of tens of milliseconds serves the caller better than a
+    /// refusal, after which it would retry against the same balance.
     pub fn ask(&mut self, name: &str, want: Want, now: Moment) -> Ruling {
         self.settle(now);
         let share = self.share();
@@ -134,8 +135,8 @@
         account.ask(want, &bounds)
     }
 
-    /// A listener that came has so much granted ahead by another keeper: it runs while
-    /// this one rules, and counts here.
+    /// Charges units that another keeper granted ahead to a listener that has moved here, since
+    /// they are used while this keeper is in charge.
     pub fn carry(&mut self, name: &str, cost: u64, now: Moment) {
         self.settle(now);
         if let Some(account) = self.accounts.get_mut(name) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A request that was granted did not run.
+    /// Returns the units of a granted request that did not run.
     pub fn give_back(&mut self, name: &str, cost: u64, now: Moment) {
         self.settle(now);
         let share = self.share();
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Balance of each tenant, in units.
+    /// Returns the balance of each tenant, in units.
     pub fn balances(&self) -> impl Iterator<Item = (&Arc<str>, f64)> {
         self.accounts
             .iter()
             .map(|(name, account)| (name, account.balance()))
     }
 
-    /// Brings all balances up to now.
+    /// Brings all balances up to date.
     fn settle(&mut self, now: Moment) {
         let elapsed = now.since(self.settled_at);
         self.settled_at = self.settled_at.max(now);
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -1,14 +1,14 @@
-//! Requests that all nodes together send to a replica that named a limit.
+//! Limits on the requests that all nodes together send to a replica which reported one.
 //!
-//! One node keeps the limit ([`LimitKeeper`]); the others ask it before each send. Its
-//! balance gains what the limit allows and saves little, so that calls to the replica are
-//! spread over time. Beyond that a place is booked ahead, for a short time only: what was
-//! booked at one keeper is not known to the next one.
+//! One node keeps the limit ([`LimitKeeper`]), and the others request a reservation from it
+//! before each send. The balance grows at the rate of the limit and saves little, so that sends
+//! are spread over time. When the balance is used up, sends are reserved ahead, but only for a
+//! short time, since the next keeper does not know of reservations made at this one.
 //!
-//! The worst sum in any time `t`, with `L` the limit, over nodes whose lists agree:
-//! `L` x `t` and two savings from the first keeper, a quarter of `L` x `t` and two savings
-//! from the second, and once `L` x [`MOST_AHEAD`] where one follows the other. With limits
-//! of up to ten a second that is 5.5 `L` + 4 in 4 s, where 6 `L` + 5 are promised.
+//! With nodes whose lists agree, and `L` the limit, the worst sum in any time `t` is `L` x `t`
+//! plus two savings from the first keeper, a quarter of `L` x `t` plus two savings from the
+//! second, and `L` x [`MOST_AHEAD`] once when one keeper replaces the other. For limits of up to
+//! ten per second that is 5.5 `L` + 4 in 4 s, where 6 `L` + 5 are promised.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,56 +18,57 @@
 use crate::replica::{BornMs, Incarnation, RequestRate};
 use crate::time::Moment;
 
-/// Least rate, in requests a second, whatever a replica names: only an answer tells that
-/// its need is over, so somebody has to go on asking. One in 4 s over all nodes.
+/// Minimum rate regardless of the reported limit, in requests per second over all nodes. Only an
+/// answer shows that the limit is lifted, so some requests must continue: one in 4 s.
 pub const LEAST_PER_S: f64 = 0.25;
-/// Time whose gain is saved up while nobody asks, one request at least.
+/// Time whose income can be saved while there are no requests; at least one request is saved.
 const SAVED_FOR: Duration = Duration::from_millis(100);
-/// Longest time for which a place is booked ahead. A request that waits longer is better
-/// refused with a time; and a keeper that follows another does not know of its bookings.
+/// Maximum time for which a send is reserved ahead. A request that would wait longer is better
+/// refused with a time to retry after, and the next keeper does not know of reservations made at
+/// this one.
 pub const MOST_AHEAD: Duration = Duration::from_millis(500);
-/// Part of the limit at a keeper that is not the first of its list: the first may be there
-/// all the same, for other nodes. Both together stay under what a replica bears for a
-/// while; until the list says that the first is gone, three quarters are lost.
+/// Fraction of the limit granted by a keeper that is not the first of its list, as the first may
+/// still serve other nodes. A replica can take the sum of both for a while. Three quarters of the
+/// limit are unused until the list no longer has the first keeper.
 const SECOND_PART: f64 = 0.25;
-/// Longest time to come back that is told: beyond it a limit has changed more likely than
-/// not.
+/// Maximum time to retry after: beyond it the limit has probably changed.
 const LONGEST_RETURN: Duration = Duration::from_secs(60);
-/// Time without a question after which an account is dropped.
+/// Time without requests after which an account is dropped.
 const ACCOUNT_MEMORY: Duration = Duration::from_secs(60);
-/// Part of the gain that is kept for urgent requests, at least and at most: see
+/// Bounds of the fraction of the income that is set aside for urgent requests; see
 /// [`super::account`].
 const LEAST_URGENT_PART: f64 = 0.05;
 const MOST_URGENT_PART: f64 = 0.6;
-/// What is kept for urgent requests, in what they asked for: they come unevenly.
+/// Factor on the demand of urgent requests by which income is set aside for them, as they arrive
+/// unevenly.
 const URGENT_MARGIN: f64 = 1.25;
-/// Time constant of what urgent requests ask for.
+/// Time constant with which the measured demand of urgent requests decays.
 const URGENT_MEMORY_S: f64 = 2.0;
 
-/// A limit as a node heard it.
+/// A replica's limit as a node received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NamedLimit {
-    /// Requests that the replica takes from all nodes together.
+    /// Rate that the replica accepts from all nodes together.
     pub rate: RequestRate,
-    /// When the answer came that named it.
+    /// When the answer with this limit arrived.
     pub heard_at: Moment,
 }
 
-/// What a call wants of a replica's limit.
+/// A request to send one call to a replica that has a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitWant {
-    /// Time for which it can wait for its turn.
+    /// Time that the call can wait for its reservation.
     pub patience: Duration,
     /// True if no other calls are more urgent.
     pub is_urgent: bool,
 }
 
-/// Place of a keeper in its own list of those that may keep a limit.
+/// Position of a keeper in its own list of the keepers of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// The first: all ask it who reach it.
+    /// The first choice, used by all nodes that can reach it.
     First,
-    /// Asked by nodes that do not reach the first.
+    /// Used by nodes that cannot reach the first choice.
     Second,
 }
 
@@ -80,17 +81,17 @@
     }
 }
 
-/// Places for calls of one kind, as a balance that never saves much.
+/// A token bucket with little capacity for calls of one kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct Lane {
-    /// Places that may be taken now; below zero: as many are booked ahead.
+    /// Calls that may be sent now; negative if calls are reserved ahead.
     balance: f64,
-    /// Calls that were refused, less those that have had their turn since.
+    /// Calls that were refused, less those that could have been granted since.
     refused: f64,
 }
 
 impl Lane {
-    /// Gains places; answers those beyond what is saved.
+    /// Adds tokens and returns those beyond the capacity.
     fn gain(&mut self, places: f64, most_saved: f64) -> f64 {
         self.refused = (self.refused - places).max(0.0);
         let room = (most_saved - self.balance).max(0.0);
@@ -98,7 +99,7 @@
         (places - room).max(0.0)
     }
 
-    /// Time until a call has its turn, behind `ahead` others.
+    /// Returns the time until a call can be sent, behind `ahead` others.
     fn turn_in(&self, gain_per_s: f64, ahead: f64) -> Duration {
         let missing = (1.0 + ahead - self.balance).max(0.0);
         let turn_in = Duration::try_from_secs_f64(missing / gain_per_s.max(f64::MIN_POSITIVE));
@@ -106,21 +107,21 @@
     }
 }
 
-/// What is left of one replica's limit.
+/// The balance of one replica's limit.
 #[derive(Debug, Clone)]
 struct Account {
     born_ms: Option<BornMs>,
     limit: NamedLimit,
     usual: Lane,
     urgent: Lane,
-    /// Urgent calls that asked, fading with [`URGENT_MEMORY_S`].
+    /// Urgent calls requested, decaying with [`URGENT_MEMORY_S`].
     urgent_asked: f64,
     settled_at: Moment,
     asked_at: Moment,
 }
 
 impl Account {
-    /// An account without places: those of a former keeper may just have been taken.
+    /// Creates an account without a balance, as a former keeper may just have used it.
     fn new(born_ms: Option<BornMs>, limit: NamedLimit, now: Moment) -> Self {
         Account {
             born_ms,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// A node told what it heard of the replica: the newest holds.
+    /// Applies a limit received by a node if it is newer than the known one.
     fn learn(&mut self, born_ms: Option<BornMs>, limit: NamedLimit) {
         let is_newer = match Incarnation::of(born_ms, self.born_ms) {
             Incarnation::Earlier => false,
@@ -150,8 +151,8 @@
         self.limit.rate.per_s().max(LEAST_PER_S) * standing.part()
     }
 
-    /// Part of the gain that is kept for urgent calls. Others would else take all of it,
-    /// as those that can wait longest book first.
+    /// Returns the fraction of the income to set aside for urgent calls. Otherwise the other
+    /// calls would use all of it, as those that can wait longest reserve first.
     fn urgent_part(&self, gain_per_s: f64) -> f64 {
         let asked_per_s = self.urgent_asked / URGENT_MEMORY_S;
         let wanted = URGENT_MARGIN * asked_per_s / gain_per_s;
@@ -204,13 +205,13 @@
         }
     }
 
-    /// A call that was granted did not leave.
+    /// Returns the reservation of a call that was not sent.
     fn give_back(&mut self) {
         self.usual.balance += 1.0;
     }
 }
 
-/// The limits that one node keeps for all.
+/// The limits that one node keeps for all nodes.
 #[derive(Debug)]
 pub struct LimitKeeper {
     standing: Standing,
@@ -218,7 +219,7 @@
 }
 
 impl LimitKeeper {
-    /// A keeper without accounts.
+    /// Creates a keeper without accounts.
     pub fn new() -> Self {
         LimitKeeper {
             standing: Standing::Second,
@@ -226,12 +227,12 @@
         }
     }
 
-    /// Its place in its own list.
+    /// Returns this keeper's position in its own list.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
-    /// Its place in its own list is this from now on.
+    /// Sets this keeper's position in its own list.
     pub fn stand(&mut self, standing: Standing, now: Moment) {
         if standing == self.standing {
             return;
@@ -242,8 +243,8 @@
         self.standing = standing;
     }
 
-    /// A call wants to go to a replica of which its node heard this limit, at the
-    /// incarnation that started at `born_ms`.
+    /// Decides on a call to a replica. `limit` is the limit that the calling node received from
+    /// the incarnation started at `born_ms`.
     pub fn ask(
         &mut self,
         replica: &Arc<str>,
@@ -263,7 +264,7 @@
         account.ask(want, self.standing, now)
     }
 
-    /// So many calls were granted by another keeper and are still to leave.
+    /// Charges calls that another keeper granted and that are still to be sent.
     pub fn carry(&mut self, replica: &str, calls: u64, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
             account.settle(self.standing, now);
@@ -271,7 +272,7 @@
         }
     }
 
-    /// A call that was granted did not leave.
+    /// Returns the reservation of a call that was not sent.
     pub fn give_back(&mut self, replica: &str, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
             account.settle(self.standing, now);
@@ -286,9 +287,9 @@
     }
 }
 
-/// Turns of a node that reaches no keeper: its even part of the limit, at fixed times that
-/// differ between nodes. A turn that is not taken lapses, so however many nodes are alone
-/// and for however long, they do not save up what they then send together.
+/// Reservations of a node that cannot reach a keeper: an even share of the limit, at fixed times
+/// that differ between nodes. A reservation that is not used expires, so nodes cannot save up a
+/// burst, no matter how many are standalone and for how long.
 #[derive(Debug, Default)]
 pub struct LoneTurns {
     turns: HashMap<Arc<str>, Turn>,
@@ -301,8 +302,8 @@
 }
 
 impl LoneTurns {
-    /// A call wants to go to a replica with this limit, of `nodes` nodes in all. `unit`:
-    /// drawn evenly from 0 to 1.
+    /// Decides on a call to a replica with this limit, shared evenly by `nodes` nodes. `unit` is
+    /// drawn uniformly from 0 to 1.
     pub fn ask(
         &mut self,
         replica: &Arc<str>,
--- a/crates/croftrill-scheduler/src/quota/mod.rs
+++ b/crates/croftrill-scheduler/src/quota/mod.rs
@@ -1,12 +1,12 @@
-//! Quotas of tenants and limits of replicas, which all nodes keep together.
+//! Quotas of tenants and limits of replicas, enforced by all nodes together.
 //!
-//! A node asks a keeper before it runs a request; the keeper holds one balance a
-//! tenant ([`keeper`]). Tenants are spread over a few parts, each with a keeper of
-//! its own ([`keepers`]). A keeper spends only the part of each quota that belongs
-//! to the nodes that listen to it, so that two keepers of one part, as in a
-//! partition, spend no more together than one that all listen to. The limits that replicas
-//! in need name ([`limits`]) are kept in parts of their own. How long a request waits for its
-//! turn, and how far ahead it may be granted, its node decides ([`turn`]).
+//! A node requests a reservation from a keeper before it runs a request. The keeper has one
+//! balance per tenant ([`keeper`]). Tenants are spread over a few partitions, each with its own
+//! keeper ([`keepers`]). A keeper spends only the share of each quota that belongs to the nodes
+//! listening to it. So when a network partition leaves two keepers for the same tenants, they
+//! spend no more together than a single keeper would. Limits reported by overloaded replicas
+//! ([`limits`]) have partitions of their own. The requesting node decides how long a request
+//! waits for its reservation and how far ahead it may be granted ([`turn`]).
 
 mod account;
 pub mod keeper;
--- a/crates/croftrill-scheduler/src/quota/turn.rs
+++ b/crates/croftrill-scheduler/src/quota/turn.rs
@@ -1,9 +1,9 @@
-//! How long a request waits for its turn in its tenant's quota, and how far ahead it may
-//! be granted.
+//! Limits how long a request waits for its quota reservation, and how far ahead it may be
+//! granted.
 //!
-//! What is granted ahead cannot be taken back. So a request is granted ahead for less time
-//! than more urgent ones of its tenant can wait: what comes in after that is left to them
-//! until it is there. A request that can wait longer asks again.
+//! A grant ahead of time cannot be revoked. So a request is granted ahead for less time than more
+//! urgent requests of its tenant can wait: later income stays available to those until it
+//! arrives. A request that can wait longer retries.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,22 +11,21 @@
 use super::ruling::MOST_AHEAD;
 use crate::time::Moment;
 
-/// A request waits for its turn for one part in so many of the time that it has beyond
-/// reading its prompt; the rest is for a queue or a load at its replica.
+/// A request waits for its reservation for the time left after reading its prompt, divided by
+/// this. The rest covers a queue or a model load at its replica.
 const WAIT_PART: u32 = 2;
-/// A request is granted ahead for one part in so many of the time for which those that come
-/// before it can wait.
+/// A request is granted ahead for the time that requests of higher precedence can wait, divided
+/// by this.
 const AHEAD_PART: u32 = 2;
-/// Least time before a request asks again: the round trip to a keeper and its work are
-/// small beside it.
+/// Minimum time before a retry: large compared with the round trip to a keeper and its work.
 const LEAST_PAUSE: Duration = Duration::from_millis(25);
 
-/// Time for which a request can wait for its turn and still be in time.
+/// Returns the time that a request can wait for its reservation and still meet its objective.
 pub fn patience(objective: Duration, reading: Duration) -> Duration {
     objective.saturating_sub(reading) / WAIT_PART
 }
 
-/// Longest time for which requests of each rank are granted ahead.
+/// Maximum time for which requests of each rank are granted ahead.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AheadLimits {
     ranks: BTreeMap<u8, RankLimits>,
@@ -34,21 +33,21 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct RankLimits {
-    /// Longest time for any request of the rank.
+    /// Maximum time for any request of the rank.
     most: Duration,
-    /// The least objective of its routes.
+    /// Shortest objective of the rank's routes.
     least_objective: Duration,
 }
 
 impl RankLimits {
-    /// Time for which those of its requests that have the least can wait.
+    /// Returns the time that the rank's requests with the shortest objective can wait.
     fn least_patience(&self) -> Duration {
         patience(self.least_objective, Duration::ZERO).min(self.most)
     }
 }
 
 impl AheadLimits {
-    /// The limits where routes have these ranks, 0 the most urgent, and objectives.
+    /// Derives the limits from the ranks (0 is the most urgent) and objectives of routes.
     pub fn new(routes: impl Iterator<Item = (u8, Duration)>) -> Self {
         let mut least: BTreeMap<u8, Duration> = BTreeMap::new();
         for (rank, objective) in routes.filter(|(_, objective)| !objective.is_zero()) {
@@ -68,8 +67,8 @@
         AheadLimits { ranks }
     }
 
-    /// Longest time for which a request is granted ahead: less than more urgent ones can
-    /// wait, and those of its rank that have less time.
+    /// Returns the maximum time for which a request is granted ahead. It is shorter than more
+    /// urgent requests can wait, and than requests of the same rank with shorter objectives can.
     pub fn most_ahead(&self, rank: u8, objective: Duration) -> Duration {
         match self.ranks.get(&rank) {
             Some(limits) if objective > limits.least_objective => limits.least_patience() / AHEAD_PART,
@@ -79,7 +78,7 @@
     }
 }
 
-/// The wait of one request for its turn.
+/// Tracks how long one request waits for its reservation.
 #[derive(Debug, Clone, Copy)]
 pub struct TurnWait {
     until: Moment,
@@ -87,7 +86,8 @@
 }
 
 impl TurnWait {
-    /// A request came that can wait so long, and is granted ahead for `most_ahead`.
+    /// Creates the wait of a request that arrives now, can wait for `patience` and is granted
+    /// ahead for at most `most_ahead`.
     pub fn new(now: Moment, patience: Duration, most_ahead: Duration) -> Self {
         TurnWait {
             until: now + patience,
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Time for which it may be granted ahead now.
+    /// Returns the time for which the request may be granted ahead now.
     pub fn ahead(&self, now: Moment) -> Duration {
         let left = self.until.since(now);
         left.min(self.most_ahead)
     }
 
-    /// It was refused, and told to come back after this time: when it asks again; `None`
-    /// if that is too late for it.
+    /// Returns when to retry after a refusal that gave `again_after`, or `None` if that is too
+    /// late for the request.
     pub fn pause(&self, again_after: Duration, now: Moment) -> Option<Duration> {
         let pause = again_after.max(LEAST_PAUSE);
         (now + pause < self.until).then_some(pause)
--- a/crates/croftrill-scheduler/src/quota/waiting.rs
+++ b/crates/croftrill-scheduler/src/quota/waiting.rs
@@ -1,16 +1,16 @@
-//! Places at one node for requests that wait to ask for their turn again.
+//! Slots of one node for requests that wait to retry their quota reservation.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests of all tenants that wait at a node: each holds its connection and its body.
+/// Maximum number of waiting requests of all tenants. Each holds a connection and a body.
 const MOST_WAITING: usize = 512;
 
-/// Places for requests that wait, shared among tenants.
+/// Wait slots shared among tenants.
 ///
-/// Invariant: at most [`MOST_WAITING`] wait, and a tenant has no more than were
-/// free when its last one came. So one tenant takes half, `n` of them leave one part of
-/// `n + 1` free, and one that comes later finds a place.
+/// Invariant: at most [`MOST_WAITING`] requests wait, and a tenant has no more slots than were
+/// free when its last request got one. So one tenant takes at most half of the slots, `n` tenants
+/// leave one in `n + 1` free, and a tenant that comes later still finds one.
 #[derive(Debug, Default)]
 pub struct WaitPlaces {
     by_tenant: HashMap<Arc<str>, usize>,
@@ -18,7 +18,7 @@
 }
 
 impl WaitPlaces {
-    /// A request of a tenant begins to wait; false if it may not.
+    /// Takes a slot for a request of a tenant; returns false if there is none for it.
     pub fn enter(&mut self, tenant: &Arc<str>) -> bool {
         let free = MOST_WAITING - self.waiting;
         let own = self.by_tenant.get(tenant).copied().unwrap_or_default();
@@ -30,7 +30,7 @@
         true
     }
 
-    /// A request of the tenant does not wait any more.
+    /// Releases a slot of a tenant.
     pub fn leave(&mut self, tenant: &Arc<str>) {
         let Some(own) = self.by_tenant.get_mut(tenant) else {
             return;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn count(&self) -> usize {
         self.waiting
     }
