--- a/crates/croftrill-scheduler/tests/admission.rs
+++ b/crates/croftrill-scheduler/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What happens to requests whose model is not there yet.
+//! Admission of requests whose model is not loaded yet.
 
 use std::time::Duration;
 
@@ -30,12 +30,12 @@
 #[test]
 fn a_request_that_cannot_is_refused_at_once_with_a_time_that_holds() {
     let ColdDecision::Refuse { come_back_after } = decide_cold(&cold(0, 1000)) else {
-        panic!("refused")
+        panic!("expected a refusal")
     };
     assert!(come_back_after >= millis(1000) && come_back_after <= millis(5000) / 3);
 }
 
-/// Requests were held to the end of their callers' time while no node gave orders.
+/// Requests were held to the end of their callers' time while no node was the orderer.
 #[test]
 fn a_request_is_not_held_past_its_part_of_the_callers_patience() {
     assert!(matches!(
@@ -52,23 +52,25 @@
         ..cold(1500, 3000)
     };
     let ColdDecision::Refuse { come_back_after } = decide_cold(&request) else {
-        panic!("refused")
+        panic!("expected a refusal")
     };
     assert_eq!(come_back_after, millis(300));
 }
 
-/// All holders rest for a moment: a short rest is waited for, a longer one is told.
+/// All holders are in cooldown: a request waits for a short cooldown, and is refused with a time
+/// to retry after for a longer one.
 #[test]
 fn decide_resting_waits_only_if_the_answer_is_in_time() {
     assert_eq!(decide_resting(&cold(0, 600), 1, 0.5), ColdDecision::Wait);
     let ColdDecision::Refuse { come_back_after } = decide_resting(&cold(0, 3000), 1, 0.5) else {
-        panic!("it cannot be in time");
+        panic!("expected a refusal");
     };
     assert!(come_back_after >= millis(3000) && come_back_after <= millis(3750));
 }
 
 proptest! {
-    /// Nobody comes back within the rest, and the less urgent come later on the whole.
+    /// No caller retries within the cooldown, and less urgent ones retry later for the same
+    /// sample.
     #[test]
     fn return_after_rest_keeps_the_rest_and_the_order(rest_ms in 1u64..100_000, rank in 0u8..12, unit in 0.0f64..1.0) {
         let rest = millis(rest_ms);
--- a/crates/croftrill-scheduler/tests/full_holders.rs
+++ b/crates/croftrill-scheduler/tests/full_holders.rs
@@ -1,4 +1,4 @@
-//! What happens to requests while every holder of their model is full.
+//! Admission of requests while every holder of their model is full.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(value)
 }
 
-/// An interactive request: first event within 500 ms, its caller waits for 2 s.
+/// An interactive request: first event within 500 ms, and its caller waits for 2 s.
 fn interactive(waited: u64, starts_in: u64) -> FullRequest {
     FullRequest {
         waited: millis(waited),
@@ -34,14 +34,14 @@
     }
 }
 
-/// Batches fill the replicas: interactive requests queue at them, by rank.
+/// Batches fill the replicas: interactive requests are queued there by rank.
 #[test]
 fn urgent_request_that_can_be_in_time_goes_to_a_queue() {
     assert_eq!(decide_full(&interactive(0, 100), 0, 0.5), FullDecision::Send);
 }
 
-/// Batches wait at the replicas for seconds: an interactive request passes them there, and
-/// is not refused for the time that they have to wait.
+/// Batches are queued at the replicas for seconds. An interactive request overtakes them there,
+/// and is not refused because of the time that they have to wait.
 #[test]
 fn urgent_request_passes_the_queue_of_others() {
     let passing = FullRequest {
@@ -52,38 +52,39 @@
     assert_ne!(
         decide_full(&interactive(0, 4000), 0, 0.5),
         FullDecision::Send,
-        "once turned away"
+        "a replica already rejected it"
     );
 }
 
-/// The same: batches that come on top leave the queues to them, and go in time.
+/// In the same situation, further batches leave the queues to interactive requests, and are sent
+/// while they can still be in time.
 #[test]
 fn patient_request_waits_at_its_node_while_it_can_spare_it() {
     assert_eq!(decide_full(&patient(0, 100), 2, 0.5), FullDecision::Wait);
     assert_eq!(decide_full(&patient(3600, 200), 2, 0.5), FullDecision::Send);
 }
 
-/// A crowd: who is late anyway makes nobody else late.
+/// In a burst, a request that is late anyway makes no other request late.
 #[test]
 fn late_request_takes_only_a_free_place() {
     assert_eq!(decide_full(&interactive(100, 600), 0, 0.5), FullDecision::Wait);
     assert_eq!(decide_full(&patient(5000, 100), 2, 0.5), FullDecision::Wait);
 }
 
-/// A crowd that will not be served while its callers wait.
+/// A burst that cannot be served while its callers wait.
 #[test]
 fn hopeless_request_is_refused_at_its_first_look_with_a_time() {
     let FullDecision::Refuse { come_back_after } = decide_full(&interactive(0, 1500), 0, 0.5) else {
-        panic!("refused")
+        panic!("expected a refusal")
     };
-    assert!(come_back_after >= millis(1500), "a place should be free then");
+    assert!(come_back_after >= millis(1500), "a slot should be free then");
     assert!(
         come_back_after <= millis(10_000) / 3,
-        "its caller waits no longer"
+        "its caller waits no longer than that"
     );
 }
 
-/// Requests that were refused come back the more urgent first, and spread out.
+/// More urgent requests that were refused retry earlier, and retries are spread.
 #[test]
 fn refused_requests_come_back_by_rank_and_spread() {
     let again = |rank, unit| match decide_full(&interactive(0, 1500), rank, unit) {
@@ -110,8 +111,7 @@
 }
 
 proptest! {
-    /// Nothing is held for more than its part of the caller's patience, unless it can
-    /// still be in time.
+    /// No request waits for longer than its fraction of the caller's patience.
     #[test]
     fn wait_is_bounded(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if decide_full(&request, rank, unit) == FullDecision::Wait {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Only what can be in time, or passes others, goes to the queue of a full replica.
+    /// Only a request that can be in time or overtakes others is sent to a full replica's queue.
     #[test]
     fn send_is_in_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if decide_full(&request, rank, unit) == FullDecision::Send {
@@ -137,7 +137,7 @@
         prop_assert!(!(is_refused && decide_full(&patient, 2, unit) == FullDecision::Send));
     }
 
-    /// No caller is told to come back later than it waits.
+    /// No caller is told to retry later than it waits.
     #[test]
     fn told_time_is_within_the_callers_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if let FullDecision::Refuse { come_back_after } = decide_full(&request, rank, unit) {
--- a/crates/croftrill-scheduler/tests/limits.rs
+++ b/crates/croftrill-scheduler/tests/limits.rs
@@ -17,7 +17,7 @@
 const SLACK: f64 = 10.0;
 const RATIO: f64 = 0.2;
 
-/// The budget of a process that began at `begun`.
+/// The budget of a process that started at `begun`.
 fn budget_from(begun: Moment) -> RetryBudget {
     let config = RetryBudgetConfig {
         ratio: RATIO,
@@ -28,7 +28,7 @@
     RetryBudget::new(config, begun)
 }
 
-/// The budget of a process that began long ago.
+/// The budget of a process that started long ago.
 fn budget() -> RetryBudget {
     budget_from(Moment::default())
 }
@@ -38,13 +38,13 @@
 enum Step {
     /// A request arrives at a machine.
     Request(usize),
-    /// A machine wants to repeat one.
+    /// A machine needs to retry a request.
     Repeat(usize),
-    /// A machine's process ends and begins anew.
+    /// A machine's process restarts.
     Restart(usize),
-    /// The store's entries of so many machines lapse.
+    /// The store's entries of this many machines expire.
     Lapse(usize),
-    /// The entries are back.
+    /// All entries are back.
     Return,
 }
 
@@ -60,7 +60,7 @@
     ]
 }
 
-/// Times, in milliseconds, within `window_ms` before `now_ms`.
+/// Returns how many times, in milliseconds, are within `window_ms` before `now_ms`.
 fn recent(moments: &[u64], window_ms: u64, now_ms: u64) -> f64 {
     let within = |moment: &&u64| now_ms - **moment <= window_ms;
     moments.iter().filter(within).count() as f64
@@ -110,15 +110,15 @@
                 requests.push(now);
             } else if nodes[node].take(&service, at(now)) {
                 repeats.push(now);
-                // Nodes spend by their own last window, so together by at most two.
+                // Nodes spend by their own last window, so together by at most two windows.
                 let allowed = RATIO * recent(&requests, 10_000, now) + SLACK;
                 prop_assert!(recent(&repeats, 5000, now) <= allowed);
             }
         }
     }
 
-    /// A process that began anew had its whole part of the slack again, and nodes
-    /// whose fellows' entries had lapsed each took all of it.
+    /// A restarted process had its full share of the slack again, and nodes each took the whole
+    /// slack while the entries of the other nodes had expired.
     #[test]
     fn repeats_stay_within_the_budget_when_machines_restart_and_entries_lapse(
         steps in prop::collection::vec((step(), 0u64..120), 1..600),
@@ -148,7 +148,7 @@
                 }
                 Step::Restart(machine) => machines[machine] = budget_from(at(now)),
                 Step::Lapse(gone) => known = MACHINES - gone,
-                // Entries are back within about two seconds: before the count is forgotten.
+                // Entries are back within about two seconds, before the higher count expires.
                 Step::Return => known = MACHINES,
             }
             if now % 4000 > 2000 {
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas kept together: the worst sum of a window, whatever happens to keepers.
+//! Quotas enforced by keepers: the worst sum of any window, whatever happens to keepers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     rate_per_s: 29_000.0,
     burst: 29_000.0,
 };
-/// Tokens of a review.
+/// Tokens of a review request.
 const COST: u64 = 9_190;
 
 fn at(millis: u64) -> Moment {
@@ -38,7 +38,7 @@
     "t".into()
 }
 
-/// A keeper that all of so many nodes listen to, with a full balance.
+/// A keeper with a full balance that all nodes listen to.
 fn full(nodes: usize) -> QuotaKeeper {
     let mut keeper = keeper(at(0));
     keeper.count_listed(nodes, at(0));
@@ -87,14 +87,14 @@
     for _ in 0..5 {
         match keeper.ask("t", want(COST, Duration::ZERO), at(5_000)) {
             Ruling::Refused { again_after, .. } => times.push(again_after),
-            Ruling::Granted { .. } => panic!("beyond the quota"),
+            Ruling::Granted { .. } => panic!("granted beyond the quota"),
         }
     }
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]));
 }
 
-/// A window of a tenant that asks without end uses nearly all that the bounds allow,
-/// and never more, also with the debts of two more keepers.
+/// A window of a tenant with unlimited demand uses nearly all that the bounds allow, and never
+/// more, even with the debts of two more keepers.
 #[test]
 fn window_of_one_keeper_uses_the_bounds() {
     let allowed = (QUOTA.rate_per_s * 8.0 + QUOTA.burst) * (1.0 + CONFIG.overage) + CONFIG.slack;
@@ -111,9 +111,9 @@
     assert!(spent as f64 > 0.75 * allowed, "{spent} of {allowed}");
 }
 
-/// All machines were lost, and everybody comes back at once to a keeper without a
-/// balance: 460,000 units a second of a tenant that may have 832,714. Refused would be
-/// who comes in the first tenths of a second; granted ahead, nobody is.
+/// All machines restart, and all callers return at once to a keeper without a balance: 460,000
+/// units per second of a tenant with a quota of 832,714. Without grants ahead of time, the
+/// requests of the first tenths of a second would be refused.
 #[test]
 fn ask_of_everybody_after_a_restart_waits_instead_of_being_refused() {
     let large = Quota {
@@ -127,7 +127,7 @@
     keeper.set_listeners(84, at(0));
     let mut longest = Duration::ZERO;
     for millis in (0..3_000).step_by(20) {
-        // Twice the usual in the first half second.
+        // Twice the usual demand in the first half second.
         let requests = if millis < 500 { 2 } else { 1 };
         for _ in 0..requests {
             match keeper.ask("t", want(COST, Duration::from_millis(1_200)), at(millis)) {
@@ -139,8 +139,8 @@
     assert!(longest < Duration::from_millis(100), "{longest:?}");
 }
 
-/// A tenant asks for several times its quota in requests of two kinds, of which one
-/// has little time: what can wait gets what there is, in its turn.
+/// A tenant requests several times its quota in two kinds of requests, one of which can hardly
+/// wait. The patient ones get what is available, in order.
 #[test]
 fn ask_ahead_is_refused_beyond_its_patience_and_granted_in_turn() {
     let mut keeper = full(84);
@@ -151,7 +151,7 @@
         if let Ruling::Granted { after } = keeper.ask("t", want(COST, Duration::from_millis(1_200)), now) {
             patient += 1;
             let runs_at = Duration::from_millis(millis) + after;
-            assert!(runs_at >= granted_until, "out of turn");
+            assert!(runs_at >= granted_until, "granted out of order");
             granted_until = runs_at;
         }
         if let Ruling::Granted { .. } = keeper.ask("t", want(COST, Duration::from_millis(120)), now) {
@@ -161,16 +161,16 @@
     assert!(patient > 4 * hasty, "{patient} and {hasty}");
 }
 
-/// A tenant at six times its usual: reviews of 9,190 tokens that can wait take all
-/// that comes in, and alerts of 200 that cannot wait were refused beside them, though
-/// all of them together are a twentieth of the quota.
+/// A tenant at six times its usual demand. Reviews of 9,190 tokens that can wait used up all
+/// income, and alerts of 200 tokens that cannot wait were refused, although all alerts together
+/// are a twentieth of the quota.
 #[test]
 fn ask_of_small_requests_passes_beside_large_ones_that_wait() {
     let mut keeper = full(84);
     let (mut alerts, mut passed) = (0, 0);
     for millis in 5_000..13_000 {
         let now = at(millis);
-        // 60 reviews a second, 8 alerts a second: 1,600 tokens of 29,000.
+        // 60 reviews per second and 8 alerts per second: 1,600 tokens of 29,000.
         if millis % 16 == 0 {
             keeper.ask("t", want(COST, Duration::from_millis(1_200)), now);
         }
@@ -182,8 +182,8 @@
     assert!(passed * 10 >= alerts * 9, "{passed} of {alerts}");
 }
 
-/// The keeper of a tenant at several times its quota changes: what the old one granted
-/// ahead runs beside what the new one grants.
+/// The keeper of a tenant at several times its quota changes. Grants that the old keeper made
+/// ahead run in addition to those of the new one.
 #[test]
 fn carry_counts_what_another_keeper_granted_ahead() {
     let patience = Duration::from_millis(1_200);
@@ -209,8 +209,8 @@
     );
 }
 
-/// A tenant at several times its quota in reviews that can wait and questions that are
-/// more urgent, 1,050 tokens each and 40 % of the quota together: the questions pass.
+/// A tenant exceeds its quota several times with reviews that can wait and with more urgent
+/// questions of 1,050 tokens, which are 40 % of the quota together. The questions pass.
 #[test]
 fn ask_of_urgent_requests_passes_before_patient_ones() {
     let mut keeper = full(84);
@@ -234,8 +234,8 @@
     assert!(reviews > 15, "{reviews}");
 }
 
-/// A third of the nodes was cut from the store for 12 s and lost its entries; they went
-/// on with a keeper among them, while the other keeper took all of the quota.
+/// A third of the nodes was cut off from the store for 12 s, and their entries were lost. They
+/// continued with a keeper among them, while the other keeper used the whole quota.
 #[test]
 fn share_of_nodes_that_the_store_lost_is_not_taken_over_soon() {
     let mut keeper = keeper(at(0));
@@ -249,8 +249,8 @@
     assert_eq!(keeper.share(), 1.0);
 }
 
-/// A tenant asked for six times its quota for seconds, and asks for a fifth of it since:
-/// what it asked for then is not waited for any more.
+/// A tenant requested six times its quota for seconds, and a fifth of it since. The times to
+/// retry after no longer include the earlier demand.
 #[test]
 fn time_told_after_a_surge_is_that_of_the_balance() {
     let mut keeper = full(84);
@@ -268,12 +268,12 @@
     if let Ruling::Refused { again_after, .. } = keeper.ask("t", want(COST, Duration::ZERO), at(18_000)) {
         told = again_after;
     }
-    // Two such requests at 0.9 of the income, of 32,900 units a second.
+    // Two such requests at 0.9 of the income of 32,900 units per second.
     assert!(told < Duration::from_millis(700), "{told:?}");
 }
 
-/// Many requests were granted, wait for their model, and did not run after all: what they
-/// paid does not come in on top of what came in meanwhile.
+/// Many requests were granted, waited for their model and did not run. The units that they return
+/// must not add to the income received in the meantime.
 #[test]
 fn credits_that_go_back_together_are_not_more_than_can_be_saved() {
     let mut keeper = full(84);
@@ -315,7 +315,7 @@
         spent += COST;
     }
     assert!(spent as f64 <= lower.burst + CONFIG.debt());
-    // An older version, told by a node that is behind, changes nothing.
+    // An older version, sent by a node that lags behind, changes nothing.
     keeper.learn(&name(), QUOTA, 1, at(5_000));
     assert!(!granted(&mut keeper, COST, at(6_000)));
     let higher = Quota {
@@ -374,21 +374,21 @@
     }
 }
 
-/// What may happen to the nodes and keepers of a fleet.
+/// Faults of the nodes and keepers of a fleet.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// The node loses its keeper and takes another one, or itself.
+    /// The node loses its keeper and moves to another one, or to itself.
     Moves { node: usize, to: usize },
     /// As above, and the old keeper notices only later.
     MovesInSilence { node: usize, to: usize },
-    /// The keeper's process starts anew; its listeners come back.
+    /// The keeper's process restarts, and its listeners return.
     Restarts { keeper: usize },
 }
 
 const NODES: usize = 12;
-/// Keepers that the nodes may choose from; each node may also be its own.
+/// Keepers that the nodes may choose; each node may also be its own keeper.
 const KEEPERS: usize = NODES;
-/// Time after which a keeper notices that a listener fell silent.
+/// Time in milliseconds after which a keeper notices that a listener became silent.
 const SILENCE: u64 = 3_000;
 
 fn fault() -> impl Strategy<Value = (u64, Fault)> {
@@ -401,17 +401,17 @@
     (0u64..20_000, kind)
 }
 
-/// A fleet in which every node asks as often as it can.
+/// A fleet in which every node sends as many requests as it can.
 struct Fleet {
     keepers: Vec<QuotaKeeper>,
     /// The keeper of each node.
     choice: Vec<usize>,
-    /// Listeners that a keeper still counts though they left: until when.
+    /// Keepers that still count a listener that left, and until when.
     ghosts: Vec<(usize, u64)>,
     grants: Vec<(u64, u64)>,
-    /// What was granted ahead, by node, and when it runs.
+    /// Grants ahead of time: node, cost and when the request runs.
     ahead: Vec<(usize, u64, u64)>,
-    /// When keepers began that were not there before.
+    /// Start times of keepers.
     began: Vec<u64>,
     silences: Vec<u64>,
 }
@@ -457,7 +457,7 @@
         self.carry(fault, now);
     }
 
-    /// Nodes that came to another keeper, or back to one that started anew.
+    /// Carries over the grants of nodes that moved to another keeper, or whose keeper restarted.
     fn carry(&mut self, fault: Fault, now: u64) {
         self.ahead.retain(|(_, _, runs_at)| *runs_at > now);
         for (node, cost, _) in &self.ahead {
@@ -484,7 +484,7 @@
         }
     }
 
-    /// Most units that any window may have, by the keeper's invariant.
+    /// Returns the maximum units of a window by the keeper's invariant.
     fn bound(&self, from: u64, to: u64) -> f64 {
         let within = |moments: &[u64], before: u64| {
             let relevant = moments.iter().filter(|at| **at + before >= from && **at <= to);
@@ -539,8 +539,8 @@
     fn window_without_faults_serves_all_that_is_within_the_quota(
         gaps in prop::collection::vec(1u64..900, 30..120),
     ) {
-        // Requests at half of the rate in the mean; each one that a plain bucket of
-        // the same rate and burst lets pass is granted.
+        // Requests at half of the rate on average. Each one that a plain token bucket of the same
+        // rate and burst would allow is granted.
         let mut keeper = full(84);
         let mut balance = QUOTA.burst;
         let mut now = 5_000;
@@ -560,7 +560,7 @@
     }
 }
 
-/// Quotas, bounds and slacks of any size, those without any slack among them.
+/// Quotas, bounds and slacks of any size, including no slack at all.
 fn any_bounds() -> impl Strategy<Value = (KeeperConfig, Quota)> {
     let overage = prop_oneof![Just(0.0), 0.01f64..0.5];
     let slack = prop_oneof![Just(0.0), 100.0f64..200_000.0];
@@ -582,16 +582,16 @@
     )
 }
 
-/// A kind of requests: what one costs, the time between two, how long it can wait, and
-/// whether it is urgent.
+/// A kind of request: cost, interval in milliseconds, patience in milliseconds, and whether it is
+/// urgent.
 fn any_kind() -> impl Strategy<Value = (u64, u64, u64, bool)> {
     (50u64..4_000, 2u64..60, 0u64..2_500, any::<bool>())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
-    /// Hot tenants: urgent requests and patient ones together ask for several times the
-    /// quota, and the patient ones are granted seconds ahead.
+    /// Tenants above their quota: urgent and patient requests together are several times the
+    /// quota, and the patient ones can wait for seconds.
     #[test]
     fn window_of_urgent_and_patient_requests_stays_within_any_quota(
         (config, quota) in any_bounds(),
@@ -616,7 +616,7 @@
         }
         let window = config.window.as_millis() as u64;
         let told = quota.rate_per_s * config.window.as_secs_f64() + quota.burst;
-        // Whole milliseconds are told to a request.
+        // A grant's time is sent to requests in whole milliseconds.
         let rounding = quota.rate_per_s * 0.002 + 1.0;
         let allowed = told * (1.0 + config.overage) + config.slack + rounding;
         for from in (quiet_ms..quiet_ms + 16_000).step_by(100) {
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -1,4 +1,4 @@
-//! A tenant that asks for more than its quota: which of its requests go, wait or are refused.
+//! A tenant that exceeds its quota: which of its requests run, wait or are refused.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     Moment::from_start(Duration::from_secs(3_600) + Duration::from_micros(micros))
 }
 
-/// Requests of one route.
+/// The requests of one route.
 #[derive(Debug, Clone, Copy)]
 struct Kind {
     rank: u8,
@@ -46,7 +46,7 @@
     }
 }
 
-/// What became of the requests of one kind.
+/// The outcome of the requests of one kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcome {
     asked: u64,
@@ -56,7 +56,7 @@
     longest_wait: Duration,
 }
 
-/// One request that asks now, or again.
+/// A request that is about to request a reservation, for the first time or again.
 struct Waiting {
     kind: usize,
     came_at: Moment,
@@ -64,10 +64,10 @@
     wait: TurnWait,
 }
 
-/// What a tenant with such requests gets for `seconds`, at a keeper that all listen to.
+/// The result of a simulation of a tenant at a keeper that all nodes listen to.
 struct Play {
     outcomes: Vec<Outcome>,
-    /// Tokens with their times, in microseconds.
+    /// Times and tokens of the granted requests.
     runs: Vec<(Moment, u64)>,
 }
 
@@ -88,7 +88,7 @@
     for (kind, told) in kinds.iter().enumerate() {
         let gap_us = (1_000_000.0 / told.per_s) as u64;
         for micros in (0..seconds * 1_000_000).step_by(gap_us.max(1) as usize) {
-            // Kinds don't come at the same moments.
+            // Kinds do not arrive at the same moments.
             let came_at = at(micros + 137 * kind as u64);
             let longest = patience(told.objective(), Duration::ZERO);
             let wait = TurnWait::new(came_at, longest, limits.most_ahead(told.rank, told.objective()));
@@ -136,7 +136,7 @@
 }
 
 impl Play {
-    /// Tokens between two moments, in seconds.
+    /// Returns the tokens used between two times.
     fn used(&self, from_s: u64, to_s: u64) -> f64 {
         let span = at(from_s * 1_000_000)..at(to_s * 1_000_000);
         let within = self.runs.iter().filter(|(when, _)| span.contains(when));
@@ -144,8 +144,8 @@
     }
 }
 
-/// Drafts of the most urgent rank, checks of the next, batches and bookings of the last;
-/// batches can wait for seconds, bookings cannot.
+/// Drafts of the most urgent rank, checks of the next, and batches and bookings of the last.
+/// Batches can wait for seconds, bookings cannot.
 fn mix(times: f64) -> [Kind; 4] {
     [
         Kind {
@@ -177,7 +177,7 @@
 
 #[test]
 fn batches_of_a_hot_tenant_wait_or_are_refused_and_no_urgent_request_is() {
-    // Drafts and checks ask for 0.8 of the quota, all together for 1.7 of it.
+    // Drafts and checks demand 0.8 of the quota, all kinds together 1.7.
     let kinds = mix(4.0);
     let urgent = kinds[0].asked_per_s() + kinds[1].asked_per_s();
     assert!(urgent < 0.8 * RATE_PER_S);
@@ -187,7 +187,7 @@
     assert_eq!(drafts.refused, 0);
     assert_eq!(checks.refused, 0);
     assert!(batches.refused > 0);
-    // Bookings have no time to wait, and take a twelfth.
+    // Bookings have no time to wait, and use a twelfth.
     assert!(bookings.refused * 20 <= bookings.asked, "{bookings:?}");
 }
 
@@ -203,8 +203,8 @@
     assert!(used(0) >= 0.8 * all, "{} of {all}", used(0));
 }
 
-/// A small tenant, for which one review is a third of a second of its quota: those of a rank
-/// before the other's are refused no more often.
+/// A small tenant, for which one review is a third of a second of its quota. The more urgent rank
+/// is refused no more often than the less urgent one.
 #[test]
 fn large_requests_of_a_small_tenant_go_by_rank() {
     let quota = Quota {
@@ -255,14 +255,14 @@
             shares[0] <= shares[1] && shares[1] <= shares[2],
             "{times} {slack} {shares:?}"
         );
-        // Up to twice the usual, the first two ranks ask for no more than the quota.
+        // Up to twice the usual demand, the first two ranks stay within the quota.
         assert!(times > 2.0 || shares[1] <= 0.1, "{times} {slack} {shares:?}");
     }
 }
 
 #[test]
 fn requests_of_one_rank_wait_as_long_as_they_can() {
-    // Hardly less than the income, and nothing saved at the beginning.
+    // Hardly less than the income, without savings at the start.
     let kinds = [Kind {
         rank: 3,
         objective_ms: 5_000,
@@ -304,7 +304,7 @@
     assert_eq!(most(&kinds[2]), millis(25));
 }
 
-/// A hot tenant's requests wait as long as they can; another's find a place all the same.
+/// Requests of a tenant above its quota wait as long as they can; other tenants still get slots.
 #[test]
 fn places_to_wait_of_a_hot_tenant_leave_others_theirs() {
     let mut waiting = WaitPlaces::default();
@@ -351,8 +351,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
-    /// Whatever the others ask for, urgent requests that are within the quota by themselves
-    /// are granted: all of them, in the time that they have.
+    /// Whatever the other kinds demand, urgent requests that are within the quota by themselves
+    /// are all granted within their patience.
     #[test]
     fn urgent_request_within_the_quota_is_not_refused_for_patient_ones(
         urgent_part in 0.05f64..0.8,
@@ -382,8 +382,8 @@
         }
     }
 
-    /// The same for each rank: what it and those before it ask for is within the quota, so
-    /// hardly any of it is refused, however much others ask for.
+    /// The same for each rank: hardly any request is refused if the rank and those before it are
+    /// within the quota together, however much the others demand.
     #[test]
     fn rank_within_the_quota_is_hardly_refused_for_those_behind_it(
         parts in (0.05f64..0.4, 0.05f64..0.35),
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that replicas name: what a node believes, and what a keeper rules.
+//! Limits reported by replicas: which one a node uses, and how a keeper decides by it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 }
 
 fn rate(per_s: f64) -> RequestRate {
-    RequestRate::from_per_s(per_s).expect("a rate")
+    RequestRate::from_per_s(per_s).expect("valid rate")
 }
 
 fn replica() -> ReplicaId {
@@ -38,7 +38,7 @@
     }
 }
 
-/// An answer to what was sent and answered then.
+/// Applies the answer to a call with these times.
 fn hear(table: &mut ReplicaTable, born_ms: BornMs, limit: LimitWord, sent_ms: u64, answered_ms: u64) -> bool {
     let call = AnsweredCall {
         born_ms: Some(born_ms),
@@ -66,10 +66,10 @@
 fn hear_a_limit_holds_until_an_answer_to_a_later_call_names_none() {
     let mut table = listed();
     assert!(hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 0, 10));
-    // It was answered before the limit was named, and came later.
+    // It was answered before the limit was reported, and arrived later.
     assert!(!hear(&mut table, 1, LimitWord::Unlimited, 5, 400));
     assert_eq!(known(&table), Some(rate(2.0)));
-    // It says nothing, as no answer did.
+    // An answer without a limit signal changes nothing.
     assert!(!hear(&mut table, 1, LimitWord::Unsaid, 50, 60));
     assert!(hear(&mut table, 1, LimitWord::Unlimited, 50, 70));
     assert_eq!(known(&table), None);
@@ -97,7 +97,7 @@
     assert_eq!(known(&table), Some(rate(2.0)));
     table.apply_listing(listing(2));
     assert_eq!(known(&table), None);
-    // The answer of the former start comes late.
+    // An answer of the former incarnation arrives late.
     hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 20, 30);
     assert_eq!(known(&table), None);
 }
@@ -119,9 +119,9 @@
 }
 
 proptest! {
-    /// A replica is in need from 5 s to 10 s. Whatever way its answers take: a call that is
-    /// sent after an answer that named the limit came finds it believed, and after the need
-    /// the first answer to a call that was sent since ends it.
+    /// A replica is overloaded from 5 s to 10 s. In whatever order its answers arrive, a call
+    /// that is sent after an answer with the limit has arrived finds the limit in use. After the
+    /// overload, the limit ends with the first answer to a call sent since.
     #[test]
     fn hear_of_a_need_is_believed_while_it_lasts(mut answers in answers()) {
         const NEED_MS: std::ops::Range<u64> = 5_000..10_000;
@@ -174,7 +174,7 @@
     matches!(ruling, Ruling::Granted { .. })
 }
 
-/// Calls granted of those that ask every so often.
+/// Returns the number of calls granted when one is requested every 10 ms.
 fn granted_of(
     keeper: &mut LimitKeeper,
     limit: NamedLimit,
@@ -191,7 +191,7 @@
 fn ask_of_none_a_second_is_granted_once_in_four_seconds() {
     let mut keeper = keeper(Standing::First);
     let granted = granted_of(&mut keeper, named(0.0, 0), want(0, true), 0..40_000);
-    // Somebody has to find out that the need is over.
+    // Some call has to discover that the overload is over.
     assert!((5..=11).contains(&granted), "{granted}");
 }
 
@@ -230,7 +230,7 @@
             )));
         }
     }
-    // One urgent call a second, of two that the replica takes, and nine others.
+    // One urgent call per second, of two that the replica accepts, and nine others.
     assert!(urgent >= 45, "{urgent} of 60 urgent calls");
     assert!(usual + urgent >= 96, "{usual} others");
 }
@@ -243,7 +243,7 @@
     for _ in 0..5 {
         match keeper.ask(&replica(), None, limit, want(0, false), at(0)) {
             Ruling::Refused { again_after, .. } => times.push(again_after),
-            Ruling::Granted { .. } => panic!("nothing was saved"),
+            Ruling::Granted { .. } => panic!("granted without savings"),
         }
     }
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
@@ -275,7 +275,7 @@
     assert!(is_granted(ask(&mut keeper, 2_003)));
 }
 
-/// Nodes that are alone for long save up nothing: together they send what the limit allows.
+/// Nodes that are standalone for long save up nothing: together they send what the limit allows.
 #[test]
 fn ask_of_lone_nodes_after_a_long_rest_is_spread() {
     const NODES: usize = 985;
--- a/crates/croftrill-scheduler/tests/tenants.rs
+++ b/crates/croftrill-scheduler/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: look-up by key, and ranks.
+//! Tenants: lookup by key, and ranks.
 
 use croftrill_scheduler::tenants::{KeyDigest, QuotaUnit, Tenant, Tenants};
 use proptest::prelude::*;
@@ -58,7 +58,7 @@
                         let other_pair = (other.priority.unwrap_or(*second), *second);
                         let (rank, other_rank) = (table.rank(one, *route), table.rank(other, *second));
                         prop_assert!(rank <= 9);
-                        // Neighbours may share a rank; none is turned round.
+                        // Neighbours may share a rank, but are never reversed.
                         prop_assert!(pair >= other_pair || rank <= other_rank);
                         prop_assert!(pair != other_pair || rank == other_rank);
                     }
--- a/crates/croftrill-scheduler/tests/waiting_requests.rs
+++ b/crates/croftrill-scheduler/tests/waiting_requests.rs
@@ -1,4 +1,4 @@
-//! The order of requests that wait at a node for a place at a full holder.
+//! The order of requests that wait at a node for a slot at a full holder.
 
 use std::time::Duration;
 
@@ -26,12 +26,12 @@
     }
 }
 
-/// The one that goes next to a holder of the model.
+/// Returns the requests that are next for their model.
 fn next(waiting: &WaitingRequests, ids: &[WaitingId]) -> Vec<WaitingId> {
     ids.iter().copied().filter(|id| waiting.is_next(*id)).collect()
 }
 
-/// Batches wait when an interactive request comes.
+/// Batches wait when an interactive request arrives.
 #[test]
 fn urgent_request_goes_before_all_that_wait_longer() {
     let mut waiting = WaitingRequests::new(BOUNDS);
@@ -50,8 +50,8 @@
     assert_eq!(next(&waiting, &[one, other]), [one, other]);
 }
 
-/// One tenant sends several times its usual: another one's single request goes second at
-/// the latest, though all of the first one's are due before it.
+/// One tenant sends several times its usual demand. Another tenant's single request is second at
+/// the latest, although all requests of the busy tenant are due earlier.
 #[test]
 fn busy_tenant_does_not_hold_up_another() {
     let mut waiting = WaitingRequests::new(BOUNDS);
@@ -72,7 +72,7 @@
     assert_eq!(next(&waiting, &[later, sooner]), [sooner]);
 }
 
-/// A crowd of patient requests fills the node: an urgent one still finds room.
+/// A burst of patient requests fills the node, and an urgent one is still accepted.
 #[test]
 fn beyond_the_bound_the_least_urgent_is_put_out() {
     let mut waiting = WaitingRequests::new(BOUNDS);
@@ -87,7 +87,7 @@
 }
 
 proptest! {
-    /// Whatever comes and goes: bounded, and for each model just one request is next.
+    /// Whatever arrives and leaves, the bounds hold and exactly one request per model is next.
     #[test]
     fn bounds_hold_and_one_is_next(
         steps in prop::collection::vec((0..3u8, 0..3usize, 0..4u8, 0..3usize, 0..1000u64, 0..3000usize), 1..60),
