--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -1,15 +1,15 @@
-//! Which replica takes a request.
+//! Chooses the replica for a request.
 //!
-//! Services without models: the least loaded replica, the own zone first among
-//! equals. Model services: of the replicas that hold the model and adapter, the
-//! one where the prompt will be read soonest, given the tokens that wait there
-//! and the shared part of the prompt that its home replica has likely kept.
-//! The home of a shared part is chosen by rendezvous hashing, so all nodes agree
-//! on it without talking.
+//! Requests to services without models go to the least loaded replica, with a preference
+//! for the node's own zone. Requests to model services go to the replica holding the model
+//! and adapter that will finish reading the prompt first, given the prompt tokens queued
+//! there and whether its KV cache likely contains the shared prefix of the prompt. The home
+//! replica of a shared prefix is chosen by rendezvous hashing, so that all nodes agree on it
+//! without communicating.
 //!
-//! Services whose requests go by capacity: see [`ReplicaTable::goes_by_capacity`]. There a
-//! replica's [`Outlook`] decides: the part of the request's objective, of its deadline and
-//! of the replica's places that it would take. A full one is the last choice.
+//! Services that are routed by capacity (see [`ReplicaTable::goes_by_capacity`]) use the
+//! replica's [`Outlook`] instead: the fractions of the request's objective, of its deadline
+//! and of the replica's slots that the request would take. A full replica is the last choice.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -22,74 +22,76 @@
 use crate::time::Moment;
 use crate::work::RequestWork;
 
-/// What a request needs of a model service.
+/// The model that a request needs, and the prompt prefix that it shares with others.
 #[derive(Debug, Clone, Copy)]
 pub struct ModelNeed<'a> {
     /// The model.
     pub model: &'a str,
-    /// An adapter of it.
+    /// The adapter of the model, if one is needed.
     pub adapter: Option<&'a str>,
-    /// Hash of the deepest part of the prompt that other requests share.
+    /// Hash of the longest prefix of the prompt that other requests share.
     pub shared_part: Option<u64>,
-    /// Tokens of the prompt up to the end of that part.
+    /// Length of that prefix in tokens.
     pub shared_tokens: u64,
 }
 
-/// What is asked of routing.
+/// A request to be routed.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingRequest<'a> {
     /// The service.
     pub service: &'a str,
-    /// Present for model services.
+    /// The model that is needed; `None` for services without models.
     pub need: Option<ModelNeed<'a>>,
-    /// Zone of the asking node.
+    /// Zone of the routing node.
     pub zone: &'a str,
     /// Replicas that were tried already.
     pub tried: &'a [ReplicaId],
-    /// Varies between requests, to break ties.
+    /// Differs between requests, to break ties.
     pub salt: u64,
-    /// What it asks of a replica.
+    /// Expected work of the request.
     pub work: RequestWork,
-    /// Time until its first event should come.
+    /// Time left until the first event is due.
     pub objective_left: Duration,
-    /// Longest pause of an answer that is in time.
+    /// Maximum pause between two events of an answer that is in time.
     pub pause_objective: Option<Duration>,
-    /// Time until its caller, or the route, ends it.
+    /// Time left until the caller or the route ends the request.
     pub deadline_left: Duration,
-    /// Tokens of prompt memory of a replica; zero if not known.
+    /// KV cache of a replica in tokens; zero if unknown.
     pub memory_tokens: u64,
 }
 
-/// Prompt tokens that one request waiting ahead is taken to cost.
+/// Assumed prompt tokens of a request that is ahead in a replica's queue.
 const TOKENS_PER_REQUEST: f64 = 700.0;
-/// Load that another zone counts as, in requests.
+/// Penalty for a replica in another zone, in requests.
 const OTHER_ZONE_COST: f64 = 0.2;
-/// Load that a replica in need counts as, in requests: another holder takes the request
-/// unless it has a fair queue already.
+/// Penalty for a replica that limits its requests, in requests: another holder takes the
+/// request unless a fair number of requests are queued there already.
 const LIMITED_COST: f64 = 16.0;
 /// Cost that makes a failing replica the last choice.
 const OUTLIER_COST: f64 = 1e6;
 
-/// Cost that makes a full replica the last choice among those that are well.
+/// Cost that makes a full replica the last choice among the healthy ones.
 const FULL_COST: f64 = 1e3;
-/// Power to which the chance of no long pause goes into a weight, in which free places count
-/// once: a stream that pauses is late, while one more in a batch holds the others up by
-/// little.
+/// Exponent of the probability that a stream stays free of long pauses, in a weight that is
+/// proportional to the free slots: a stream that pauses too long is late, while one more
+/// request in a batch delays the others only a little.
 const STEADINESS: f64 = 6.0;
-/// Part of a replica's weight that is left in another zone: as if half its places were taken,
-/// since bytes between zones cost something.
+/// Weight factor for a replica in another zone: as if half of its slots were taken, since
+/// traffic between zones has a price.
 const OTHER_ZONE_PART: f64 = 0.5;
-/// Weight of a full replica beside one with room: none may be left.
+/// Weight factor for a full replica: next to nothing beside a replica with free slots, but
+/// not zero, as there may be no other replica.
 const FULL_PART: f64 = 1e-9;
-/// Free places that a replica in need counts as at least, so that it ranks before a full one.
+/// Minimum of the free slots in a weight, so that a replica that limits its requests ranks
+/// before a full one.
 const LEAST_ROOM: f64 = 0.1;
-/// Chance to be in time that any request counts as, so that a replica with room ranks before
-/// a full one also for a request that will be late anyway.
+/// Minimum of each probability in a weight, so that a replica with free slots ranks before a
+/// full one even for a request that will be late anyway.
 const LEAST_CHANCE: f64 = 0.01;
-/// Shortest time that a request is taken to have left.
+/// Minimum time left in a division by the time left.
 const LEAST_TIME_LEFT: Duration = Duration::from_millis(1);
 
-/// Chooses the replica for a request; `None` if no replica can take it.
+/// Returns the replica for a request, or `None` if no replica can take it.
 pub fn choose(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Option<ReplicaId> {
     if table.goes_by_capacity(request.service) {
         return choose_by_capacity(table, request, now);
@@ -109,9 +111,9 @@
         .map(|(_, _, entry)| entry.listing.id.clone())
 }
 
-/// Draws a replica by its weight. Nodes act on the same accounts, up to a second old: if
-/// each took the replica that is best by them, all would go to the same. Where none has a
-/// weight, the least cost decides.
+/// Draws a replica with a probability proportional to its weight. All nodes act on the same
+/// load samples, which are up to a second old: if each took the best replica by these, they
+/// would all choose the same one. If no replica has a weight, the lowest cost decides.
 fn choose_by_capacity(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Option<ReplicaId> {
     let drawn = weigh(table, request, now).map(|weighed| {
         let tie = tie_break(weighed.entry, request.salt);
@@ -126,7 +128,7 @@
         .map(|drawn| drawn.weighed.entry.listing.id.clone())
 }
 
-/// A replica in the draw; the greatest is chosen.
+/// A replica in the weighted draw; the greatest is chosen.
 struct Drawn<'a> {
     lot: f64,
     tie: u64,
@@ -141,8 +143,9 @@
     }
 }
 
-/// A weighted lot (Efraimidis and Spirakis): with `tie` evenly spread, the greatest of
-/// several is each one's with a probability in proportion to its weight.
+/// Returns the key of a replica for weighted random sampling (Efraimidis and Spirakis). If
+/// `tie` is uniformly distributed, a replica has the greatest key with a probability
+/// proportional to its weight.
 fn lot(tie: u64, weight: f64) -> f64 {
     let unit = (tie as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     if weight > 0.0 {
@@ -152,20 +155,20 @@
     }
 }
 
-/// A replica that may take a request, as it is weighed where requests go by capacity.
+/// A candidate for a request that is routed by capacity, with its cost and weight.
 #[derive(Debug, Clone, Copy)]
 pub struct Weighed<'a> {
     /// The replica.
     pub entry: &'a ReplicaEntry,
-    /// What the request would take and cost there.
+    /// Cost of the request at this replica; decides between replicas without a weight.
     pub cost: f64,
-    /// Its part of such requests, relative to the others': its free places by its speed, the
-    /// less the more of the request's time it would take. Next to none if it is full; none
-    /// if it is not well.
+    /// Relative share of such requests that the replica should get: free slots times speed,
+    /// reduced by the fraction of the request's time that it would take. Next to zero for a
+    /// full replica; zero for one that fails or is unreachable.
     pub weight: f64,
 }
 
-/// The replicas that may take a request, weighed by their capacity.
+/// Returns the candidates for a request, weighted by their capacity.
 pub fn weigh<'a>(
     table: &'a ReplicaTable,
     request: &'a RoutingRequest<'a>,
@@ -188,7 +191,7 @@
     })
 }
 
-/// What makes a replica that fails, or cannot be reached, the last choice.
+/// Returns the cost that makes a failing or unreachable replica the last choice.
 fn health_cost(entry: &ReplicaEntry, usual_failures: f64, now: Moment) -> f64 {
     if entry.health.is_unreachable(now) {
         2.0 * OUTLIER_COST
@@ -199,8 +202,8 @@
     }
 }
 
-/// The replicas that may take a request: of a model service, only its holders are looked
-/// at.
+/// Returns the replicas that may take a request. For a model service only replicas indexed
+/// under the model are examined.
 fn candidates<'a>(
     table: &'a ReplicaTable,
     request: &'a RoutingRequest<'a>,
@@ -237,7 +240,8 @@
     }
 }
 
-/// Prompt tokens ahead of this request, and of its own that must be read.
+/// Returns the prompt tokens that the replica must read before the request's first event:
+/// those of the requests ahead, and the shared prefix unless the replica is its home.
 fn model_cost(
     entry: &ReplicaEntry,
     need: &ModelNeed<'_>,
@@ -276,7 +280,8 @@
     }
 }
 
-/// Parts of the request's time, and of the replica's places, that it would take there.
+/// Returns the sum of the fractions of the request's objective, of its deadline and of the
+/// replica's slots that it would take, plus a penalty for a full replica.
 fn capacity_cost(entry: &ReplicaEntry, outlook: &Outlook, request: &RoutingRequest<'_>, now: Moment) -> f64 {
     let full = if outlook.is_full() { FULL_COST } else { 0.0 };
     let is_near = &*entry.listing.zone == request.zone;
@@ -287,7 +292,7 @@
 }
 
 fn weight(entry: &ReplicaEntry, outlook: &Outlook, request: &RoutingRequest<'_>, now: Moment) -> f64 {
-    // A stream outlasts a disturbance, another request does not.
+    // A stream outlasts a short slowdown of the replica, a request without a model does not.
     let speed = match request.need {
         Some(_) => entry.capacity.speed(),
         None => entry.capacity.speed_now(now),
@@ -304,7 +309,7 @@
     room * speed * zone * in_time * steady
 }
 
-/// Parts of the request's objective and of its deadline that it would take there.
+/// Returns the fractions of the request's objective and of its deadline that it would take.
 fn parts_of_time(outlook: &Outlook, request: &RoutingRequest<'_>) -> (f64, f64) {
     let part_of =
         |time: Duration, left: Duration| time.as_secs_f64() / left.max(LEAST_TIME_LEFT).as_secs_f64();
@@ -314,33 +319,33 @@
     )
 }
 
-/// How much room the candidates for a request have, as far as is known.
+/// Known load and free capacity of the candidates for a request, summed up.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Room {
-    /// Replicas that may take it.
+    /// Number of replicas that may take the request.
     pub candidates: usize,
-    /// Of these, those with a free place.
+    /// Number of candidates with a free slot.
     pub free: usize,
-    /// Requests believed to be at them.
+    /// Estimated number of requests at the candidates, running and waiting.
     pub requests: f64,
-    /// Requests that they run at the same time.
+    /// Requests that the candidates run concurrently.
     pub slots: f64,
-    /// Earliest expected time to the first event.
+    /// Shortest expected time to the first event.
     pub first_event_after: Option<Duration>,
-    /// Earliest expected time to the end of the answer.
+    /// Shortest expected time to the end of the answer.
     pub ends_after: Option<Duration>,
-    /// Age of the newest account of the candidates' loads, if there is one.
+    /// Age of the newest load sample of any candidate, if there is one.
     pub newest_account: Option<Duration>,
 }
 
 impl Room {
-    /// Part of the candidates' places that is taken; above one if requests wait.
+    /// Returns the fraction of the slots that is taken; above one if requests wait.
     pub fn fill(&self) -> f64 {
         self.requests / self.slots.max(1.0)
     }
 }
 
-/// The room that a request's candidates have. Those that cannot be reached are left out.
+/// Returns the free capacity of a request's candidates, leaving out unreachable ones.
 pub fn room(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Room {
     let home = request.need.and_then(|need| home_of(table, request, &need, now));
     let mut room = Room::default();
@@ -362,8 +367,8 @@
     left.into_iter().chain(right).min()
 }
 
-/// The replica that keeps a shared part: the highest hash of part and replica
-/// among the replicas that hold the model and are well.
+/// Returns the home replica of a shared prefix: the one with the highest hash of prefix and
+/// replica ID among the reachable replicas that hold the model and take requests.
 fn home_of(
     table: &ReplicaTable,
     request: &RoutingRequest<'_>,
