--- a/crates/croftrill-scheduler/src/outlook.rs
+++ b/crates/croftrill-scheduler/src/outlook.rs
@@ -1,5 +1,5 @@
-//! What a request can expect at one replica: when it would begin and end there, and how
-//! full the replica is, as far as is known.
+//! Estimates of how a request would fare at one replica: the time to its first event and to
+//! its end, and how full the replica is.
 
 use std::time::Duration;
 
@@ -7,65 +7,66 @@
 use crate::time::Moment;
 use crate::work::{RequestWork, UsualRun};
 
-/// Time to read one token of a prompt at the usual speed.
+/// Time to read one prompt token at the usual speed.
 pub const TIME_PER_PROMPT_TOKEN: Duration = Duration::from_micros(30);
-/// Time to write one token at the usual speed, with the others of a batch.
+/// Time to write one token at the usual speed, within a batch.
 pub const TIME_PER_OUTPUT_TOKEN: Duration = Duration::from_micros(6500);
 
-/// Longer times count as this: no caller waits for as long, and they can still be added.
+/// Cap for estimated times: no caller waits for as long, and sums of them do not overflow.
 const LONGEST_EXPECTED: Duration = Duration::from_secs(24 * 3600);
 
-/// What a request can expect at one replica.
+/// The estimate for one request at one replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outlook {
     /// Expected time to the first event.
     pub first_event_after: Duration,
     /// Expected time to the end of the answer.
     pub ends_after: Duration,
-    /// Requests believed to be there, running and waiting.
+    /// Estimated number of requests at the replica, running and waiting.
     pub requests: f64,
-    /// Requests that it runs at the same time.
+    /// Requests that the replica runs concurrently.
     pub slots: f64,
-    /// True if its memory does not hold one more such request.
+    /// True if the KV cache has no space for the request beside the present ones.
     pub is_overfilled: bool,
-    /// Chance that no pause of the answer is too long, by the service's last streams.
+    /// Probability that no pause of the answer is too long, based on recent streams of the
+    /// service.
     pub steady_chance: f64,
 }
 
 impl Outlook {
-    /// True if the request would wait there, or take the place of another.
+    /// Returns true if the request would have to wait, or would preempt another.
     pub fn is_full(&self) -> bool {
         self.is_overfilled || self.free_slots() < 1.0
     }
 
-    /// Places that are free; below zero: requests that wait for one.
+    /// Returns the number of free slots; negative if requests wait for one.
     pub fn free_slots(&self) -> f64 {
         self.slots - self.requests
     }
 
-    /// Part of its places that is taken; above one if requests wait.
+    /// Returns the fraction of the slots that is taken; above one if requests wait.
     pub fn fill(&self) -> f64 {
         self.requests / self.slots
     }
 }
 
-/// What is asked about a replica.
+/// The inputs of an estimate besides the replica.
 #[derive(Debug, Clone, Copy)]
 pub struct OutlookAsk<'a> {
-    /// What the request asks of it.
+    /// Expected work of the request.
     pub work: RequestWork,
-    /// Tokens of the prompt that it has likely kept, and need not read.
+    /// Prompt tokens that are likely in the replica's KV cache and need not be read.
     pub kept_tokens: u64,
-    /// Tokens of prompt memory that it has; zero if not known.
+    /// Size of the replica's KV cache in tokens; zero if unknown.
     pub memory_tokens: u64,
-    /// Longest pause of an answer that is in time.
+    /// Maximum pause between two events of an answer that is in time.
     pub pause_objective: Option<Duration>,
-    /// What requests to the service usually are.
+    /// Profile of the service's requests, if known.
     pub usual: Option<&'a UsualRun>,
 }
 
 impl OutlookAsk<'_> {
-    /// What the request can expect there.
+    /// Estimates the request at a replica.
     pub fn at(&self, entry: &ReplicaEntry, now: Moment) -> Outlook {
         let work_time = 1.0 / entry.capacity.speed();
         let work_time_now = 1.0 / entry.capacity.speed_now(now);
@@ -88,8 +89,9 @@
         }
     }
 
-    /// The longer an answer, the more often it can be held up; less than in proportion, as
-    /// what holds it up lasts.
+    /// Returns the probability that no pause of the answer is too long. It falls with the
+    /// length of the answer, but less than proportionally, since a disturbance of the replica
+    /// lasts and causes several pauses.
     fn steady_chance(&self, speed: f64) -> f64 {
         let (Some(longest), Some(usual)) = (self.pause_objective, self.usual) else {
             return 1.0;
@@ -99,7 +101,7 @@
         steady.powf(length.sqrt())
     }
 
-    /// Time for which a request holds a place at the usual speed.
+    /// Returns the time for which a request occupies a slot at the usual speed.
     fn run_time(&self) -> Duration {
         let own = times(TIME_PER_OUTPUT_TOKEN, self.work.output_tokens as f64);
         self.usual.and_then(UsualRun::held).unwrap_or(own)
@@ -110,7 +112,7 @@
     }
 }
 
-/// The product, bounded: replicas tell any number as their load and work time.
+/// Returns the product, capped: replicas may report any number as load or work time.
 fn times(time: Duration, factor: f64) -> Duration {
     let product = Duration::try_from_secs_f64(time.as_secs_f64() * factor);
     product.map_or(LONGEST_EXPECTED, |product| product.min(LONGEST_EXPECTED))
