--- a/crates/croftrill-scheduler/src/demand.rs
+++ b/crates/croftrill-scheduler/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand for models and adapters, as a rate that fades with time.
+//! Demand for models and adapters, as exponentially decaying request rates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
-    /// An adapter of it; `None`: the model, with or without adapters.
+    /// The adapter; `None` means the model, with or without adapters.
     pub adapter: Option<AdapterName>,
 }
 
 impl ModelKey {
-    /// The same model without an adapter.
+    /// Returns the key of the model without an adapter.
     pub fn base(&self) -> ModelKey {
         ModelKey {
             adapter: None,
@@ -27,49 +27,53 @@
     }
 }
 
-/// Requests that were counted together.
+/// Demand that is counted in one step.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Asked {
     /// Number of requests.
     pub requests: f64,
     /// Their cost, in tokens.
     pub tokens: f64,
-    /// Mean of the times within which their answers earn full credit.
+    /// Mean time within which their answers earn full credit.
     pub objective: Duration,
-    /// Requests, these or earlier ones, that holders served too late.
+    /// Requests that holders served too late, out of these or earlier ones.
     pub late: f64,
 }
 
-/// Time constant of the rate that follows changes.
+/// Time constant of the rate that follows changes of demand.
 const RATE_MEMORY: Duration = Duration::from_secs(6);
-/// Time constant of the rate that shows a rise.
+/// Time constant of the rate that detects a sudden rise.
 const BRIEF_MEMORY: Duration = Duration::from_secs(1);
-/// Standard deviations of a brief count by which it may be chance.
+/// Standard deviations of the short-term count that are attributed to chance.
 const CHANCE_DEVIATIONS: f64 = 2.0;
-/// Time constant of the rate that steadies rare demand.
+/// Time constant of the rate that smooths rare demand.
 const LASTING_MEMORY: Duration = Duration::from_secs(20);
-/// Least time over which the lasting rate is averaged.
+/// Minimum time over which the long-term rate is averaged.
 const LEAST_OBSERVATION: Duration = Duration::from_secs(3);
-/// Requests that a model is taken to have had that was never asked for: of a Poisson
-/// rate all that silence tells is that it is about so many in the time observed.
+/// Requests assumed for a model that was never requested: the absence of requests over a
+/// time only bounds a Poisson rate to about this number in that time.
 const UNSEEN_REQUESTS: f64 = 0.5;
-/// Least time over which an unseen model's silence is counted.
+/// Minimum time over which requests are averaged, and over which the absence of requests
+/// for a model counts.
 const LEAST_SILENCE: Duration = Duration::from_secs(1);
-/// Requests that would have been expected by now in a silence that shows a fall of demand.
+/// Number of requests that must be overdue at the former rate before a lack of requests
+/// shows that demand has fallen.
 const SILENT_REQUESTS: f64 = 2.0;
-/// Longest time between two accounts of requests that go on: so much silence says nothing.
+/// Maximum interval between two demand reports of ongoing requests: silence of this length
+/// carries no information.
 const TOLD_EVERY: Duration = Duration::from_millis(500);
-/// Late requests that come closer together than this count as one occasion: one
-/// long prompt delays every stream at its replica, whatever the number of holders.
+/// Late requests closer together than this count as one occasion: one long prompt delays
+/// every stream at its replica, however many holders there are.
 const LATE_OCCASION: Duration = Duration::from_millis(500);
-/// Requests in time that are assumed besides those that were counted, so that
-/// one late request alone says little.
+/// Requests served in time that are assumed besides the counted ones, so that a single late
+/// request has little effect.
 const ASSUMED_IN_TIME: f64 = 4.0;
-/// Least share of late requests: of a thousand one may always be.
+/// Minimum share of late requests: one in a thousand is always possible.
 const LEAST_LATE_SHARE: f64 = 0.001;
-/// Late requests can be counted before the requests that they are part of.
+/// Maximum share of late requests: they can be counted before the requests that they belong
+/// to, so that the share could exceed one.
 const MOST_LATE_SHARE: f64 = 0.95;
-/// After this time without a request a waiting mark is over.
+/// Time after which a mark of waiting requests expires unless it is renewed.
 const WAITING_FOR: Duration = Duration::from_millis(4000);
 
 /// Demand for one model or adapter.
@@ -77,15 +81,15 @@
 struct Rate {
     requests: f64,
     tokens: f64,
-    /// Requests that fade with [`BRIEF_MEMORY`].
+    /// Requests, decaying with [`BRIEF_MEMORY`].
     brief: f64,
     late: f64,
     /// Occasions on which requests were late.
     late_occasions: f64,
     last_late_occasion: Option<Moment>,
-    /// Requests that fade with [`LASTING_MEMORY`].
+    /// Requests, decaying with [`LASTING_MEMORY`].
     lasting: f64,
-    /// Sum of the objectives of `lasting`, in seconds.
+    /// Sum of the objectives of the requests in `lasting`, in seconds.
     objectives_s: f64,
     updated: Moment,
     first_request: Option<Moment>,
@@ -128,9 +132,9 @@
         self.tokens * self.fade(now) / RATE_MEMORY.as_secs_f64()
     }
 
-    /// Requests a second at present: a rise shows as soon as it is no chance, and no more
-    /// than the silence since the last request allows. `observed` is how long requests
-    /// have been counted.
+    /// Returns the present requests per second. A rise shows as soon as it is statistically
+    /// significant; the time without a request bounds the rate from above. `observed` is how
+    /// long requests have been counted.
     fn present_per_second(&self, observed: Duration, now: Moment) -> f64 {
         let Some(last) = self.last_request else { return 0.0 };
         let steady = self.requests * self.fade(now) / observed_weight_s(RATE_MEMORY, observed);
@@ -141,7 +145,7 @@
         steady.max(risen).min(SILENT_REQUESTS / silence.max(f64::EPSILON))
     }
 
-    /// Mean cost of its requests, in tokens.
+    /// Returns the mean cost of a request in tokens.
     fn tokens_per_request(&self) -> f64 {
         if self.requests > 0.0 {
             self.tokens / self.requests
@@ -150,8 +154,8 @@
         }
     }
 
-    /// The steadier of the two rates, but no more than the silence since the
-    /// last request allows. `observed` is how long requests have been counted.
+    /// Returns the larger of the long-term rate and the usual rate, bounded from above by the
+    /// time without a request. `observed` is how long requests have been counted.
     fn lasting_per_second(&self, observed: Duration, now: Moment) -> f64 {
         let Some(last) = self.last_request else { return 0.0 };
         let memory_s = LASTING_MEMORY.as_secs_f64();
@@ -164,8 +168,8 @@
             .min(SILENT_REQUESTS / silence_s)
     }
 
-    /// The share that is late beyond doubt: less one standard deviation of the
-    /// number of occasions, as a few may be chance.
+    /// Returns the share of late requests, lowered by one standard deviation of the number of
+    /// occasions, since a few occasions may be chance.
     fn late_share(&self, now: Moment) -> f64 {
         let fade = self.fade(now);
         let late = self.late * fade;
@@ -197,37 +201,38 @@
     }
 }
 
-/// What is left of a quantity after `elapsed`.
+/// Returns the fraction of a quantity that is left after `elapsed`.
 fn fade(memory: Duration, elapsed: Duration) -> f64 {
     (-elapsed.as_secs_f64() / memory.as_secs_f64()).exp()
 }
 
-/// Seconds that a fading count stands for, of requests counted for `observed`.
+/// Returns the seconds by which a decaying count must be divided to give a rate, if requests
+/// have been counted for `observed`.
 fn observed_weight_s(memory: Duration, observed: Duration) -> f64 {
     let observed_s = observed.max(LEAST_SILENCE).as_secs_f64();
     let memory_s = memory.as_secs_f64();
     memory_s * (1.0 - (-observed_s / memory_s).exp())
 }
 
-/// Demand of all nodes together.
+/// Demand reported by all nodes.
 #[derive(Debug, Default)]
 pub struct Demand {
     /// When the first request was counted.
     began: Option<Moment>,
     rates: HashMap<ModelKey, Rate>,
-    /// Demand for all adapters of a model together.
+    /// Total demand for the adapters of each model.
     adapters_of: HashMap<ModelKey, Rate>,
-    /// Demand for all models of a service together.
+    /// Total demand for the models of each service.
     services: HashMap<ServiceName, Rate>,
 }
 
 impl Demand {
-    /// No demand yet.
+    /// Creates an empty record of demand.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts requests; for an adapter its model is counted too.
+    /// Counts requests. Requests for an adapter count for its model too.
     pub fn count(&mut self, key: &ModelKey, asked: &Asked, now: Moment) {
         self.began.get_or_insert(now);
         if key.adapter.is_some() {
@@ -243,12 +248,12 @@
         self.rates.entry(key.clone()).or_default().add(asked, now);
     }
 
-    /// How long requests have been counted.
+    /// Returns how long requests have been counted.
     pub fn observed(&self, now: Moment) -> Duration {
         self.began.map_or(Duration::ZERO, |began| now.since(began))
     }
 
-    /// Requests wait for this model or adapter.
+    /// Records that requests are waiting for this model or adapter to be loaded.
     pub fn mark_waiting(&mut self, key: &ModelKey, now: Moment) {
         let rate = self.rates.entry(key.clone()).or_default();
         let over = rate.waiting_until.is_none_or(|until| until < now);
@@ -258,14 +263,14 @@
         rate.waiting_until = Some(now + WAITING_FOR);
     }
 
-    /// What was waited for is there.
+    /// Records that the model or adapter has been loaded.
     pub fn clear_waiting(&mut self, key: &ModelKey) {
         if let Some(rate) = self.rates.get_mut(key) {
             rate.waiting_until = None;
         }
     }
 
-    /// Models and adapters that are waited for, those waiting longest first.
+    /// Returns the models and adapters that requests are waiting for, the longest wait first.
     pub fn waiting(&self, now: Moment) -> Vec<ModelKey> {
         let mut waiting: Vec<(Moment, &ModelKey)> = self
             .rates
@@ -277,20 +282,20 @@
         waiting.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
-    /// How long the model or adapter has been waited for.
+    /// Returns how long requests have been waiting for the model or adapter.
     pub fn waited(&self, key: &ModelKey, now: Moment) -> Duration {
         let since = self.rates.get(key).and_then(|rate| rate.waiting_since);
         since.map_or(Duration::ZERO, |since| now.since(since))
     }
 
-    /// Requests a second.
+    /// Returns the requests per second for a model or adapter.
     pub fn requests_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         self.rates
             .get(key)
             .map_or(0.0, |rate| rate.requests_per_second(now))
     }
 
-    /// Requests a second at present, of which a rise shows within a second.
+    /// Returns the present requests per second, which show a rise within a second.
     pub fn present_requests_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         let observed = self.observed(now);
         self.rates
@@ -298,7 +303,7 @@
             .map_or(0.0, |rate| rate.present_per_second(observed, now))
     }
 
-    /// Cost tokens a second at present, of which a rise shows within a second.
+    /// Returns the present cost in tokens per second, which shows a rise within a second.
     pub fn present_tokens_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         let observed = self.observed(now);
         let rate = self.rates.get(key);
@@ -307,7 +312,7 @@
         })
     }
 
-    /// Cost tokens a second of a service over the last seconds.
+    /// Returns the recent cost of a service's requests in tokens per second.
     pub fn service_tokens_per_second(&self, service: &ServiceName, now: Moment) -> f64 {
         let Some(rate) = self.services.get(service) else {
             return 0.0;
@@ -318,7 +323,7 @@
         rate.tokens * rate.fade(now) / observed_weight_s(RATE_MEMORY, observed)
     }
 
-    /// Requests a second that are likely to go on.
+    /// Returns the requests per second that are likely to continue.
     pub fn lasting_requests_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         let observed = self.observed(now);
         let seen = self.rates.get(key).filter(|rate| rate.last_request.is_some());
@@ -328,8 +333,8 @@
         }
     }
 
-    /// Requests a second that are to be expected for a model that was not asked for yet;
-    /// none while nothing at all was.
+    /// Returns the expected requests per second for a model that was never requested; zero
+    /// while no model was requested at all.
     fn unseen_per_second(&self, observed: Duration) -> f64 {
         match self.began {
             None => 0.0,
@@ -337,14 +342,14 @@
         }
     }
 
-    /// Share of the requests that its holders serve too late.
+    /// Returns the share of the requests that the holders serve too late.
     pub fn late_share(&self, key: &ModelKey, now: Moment) -> f64 {
         self.rates
             .get(key)
             .map_or(LEAST_LATE_SHARE, |rate| rate.late_share(now))
     }
 
-    /// Requests of the last seconds, and those of them that its holders served too late.
+    /// Returns the recent requests, and how many of them the holders served too late.
     pub fn requests_and_late(&self, key: &ModelKey, now: Moment) -> (f64, f64) {
         self.rates.get(key).map_or((0.0, 0.0), |rate| {
             let fade = rate.fade(now);
@@ -352,24 +357,24 @@
         })
     }
 
-    /// When it was asked for last; `None` if never.
+    /// Returns the time of the last request, if there was one.
     pub fn last_request(&self, key: &ModelKey) -> Option<Moment> {
         self.rates.get(key).and_then(|rate| rate.last_request)
     }
 
-    /// Mean objective of the requests; `None` if there were none.
+    /// Returns the mean objective of the requests, if there were any.
     pub fn objective(&self, key: &ModelKey) -> Option<Duration> {
         self.rates.get(key).and_then(Rate::objective)
     }
 
-    /// Requests a second for all adapters of a model.
+    /// Returns the requests per second for all adapters of a model.
     pub fn adapter_requests_per_second(&self, model: &ModelKey, now: Moment) -> f64 {
         self.adapters_of
             .get(model)
             .map_or(0.0, |rate| rate.requests_per_second(now))
     }
 
-    /// Cost tokens a second.
+    /// Returns the cost of the requests for a model or adapter in tokens per second.
     pub fn tokens_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         self.rates
             .get(key)
