--- a/crates/croftrill-scheduler/src/crash_ledger.rs
+++ b/crates/croftrill-scheduler/src/crash_ledger.rs
@@ -1,14 +1,14 @@
-//! Which requests crash the replicas that begin to run them.
+//! Detection of requests that crash the replicas running them.
 //!
-//! A replica that ends takes all its requests with it, so one end is evidence
-//! against each request that had just begun there. What tells them apart:
+//! A replica that ends loses all its requests, so its end is evidence against every request
+//! that had just started there. Two rules separate the causes from the bystanders:
 //!
-//! - a request that was answered whole anywhere is cleared of all ends before;
-//! - of the requests that had begun at a replica, those with the most ends bear
-//!   the blame, and the others were only beside them.
+//! - A request that receives a complete answer anywhere is cleared of all earlier ends.
+//! - Of the requests that had just started at a replica, those with the most ends are
+//!   blamed for its end; the others are taken for bystanders.
 //!
-//! Ends count by replica incarnation. Reports of several nodes are united as sets,
-//! so doubled and late ones change nothing, and every node comes to the same count.
+//! Ends are counted per replica incarnation. The reports of the nodes are merged as sets, so
+//! duplicate and delayed reports change nothing and all nodes arrive at the same counts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -20,7 +20,7 @@
 use crate::replica::BornMs;
 use crate::time::Moment;
 
-/// Identity of a request's content: its path, caller and body.
+/// Hash that identifies a request by its content: path, caller and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
@@ -38,57 +38,57 @@
     }
 }
 
-/// Identity of a replica incarnation that ended.
+/// Hash that identifies a replica incarnation that ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndedReplica(pub u64);
 
 impl EndedReplica {
-    /// The key of the incarnation with this id that started then.
+    /// Returns the key of the incarnation with this ID and start time.
     pub fn of(id: &str, born_ms: Option<BornMs>) -> Self {
         EndedReplica(xxh3_64_with_seed(id.as_bytes(), born_ms.unwrap_or(0)))
     }
 }
 
-/// Ends for which a request bears the blame from which on it is not sent any more.
-/// The users allow three replicas to end under one request.
+/// Number of blamed ends at which a request is refused: users accept that three replicas
+/// end under one request.
 const ENDS_TO_REFUSE: usize = 3;
-/// Ends from which on it is not sent whoever else was there: two crashing requests
-/// that always come together would shield one another, and the users allow three
-/// sends after the third end.
+/// Total number of ends at which a request is refused, whichever other requests were there.
+/// Two crashing requests that always run together would shield one another, and users
+/// accept three sends after the third end.
 const ENDS_TO_REFUSE_IN_COMPANY: usize = 5;
-/// Ends under a request that alone had most of them, from which on it is held
-/// back: a crash costs all of a replica's streams, while two independent ends
-/// within the first seconds of both runs of an innocent request are rare.
+/// Number of ends at which a request is held back if it alone had the most ends at these
+/// replicas. A crash costs all streams of a replica, while two independent ends within the
+/// first seconds of both runs of an innocent request are rare.
 const ENDS_TO_HOLD: usize = 2;
-/// How long such a request is held back, so that an innocent one is served after
-/// all: twice the longest time that callers of known routes wait (15 s). A crashing
-/// request that its caller sends again and again costs no third replica meanwhile.
+/// How long such a request is held back, so that an innocent one is served eventually. Twice
+/// the longest time that callers of the known routes wait (15 s): a crashing request that its
+/// caller keeps retrying ends no third replica meanwhile.
 pub const HOLD: Duration = Duration::from_secs(30);
-/// Requests that had just begun at an ended replica, up to which each of them is
-/// sent one at a time. Of more, each is hardly suspect, and the calls to the store
-/// would be many: a rack of full replicas leaves hundreds.
+/// Maximum number of requests that had just started at an ended replica for which each is
+/// sent one at a time. Of more requests each is hardly suspect, and they would cause many
+/// store calls: a rack of full replicas leaves hundreds of requests.
 const MOST_BEGUN_TO_TRY: usize = 8;
-/// Reports of other nodes are united this rarely: uniting those of 380 nodes takes
-/// 0.7 ms usually, and 66 ms if all are full (`croftrill-bench capacity`).
+/// Minimum interval between two merges of other nodes' reports: merging those of 380 nodes
+/// takes 0.7 ms usually, and 66 ms if all are full (`croftrill-bench capacity`).
 const UNITE_EVERY: Duration = Duration::from_millis(100);
-/// How long a node reports a request after it last crashed a replica or was
-/// refused, and how long another node's report counts after it was last told. As
-/// long as the longest lease of a store.
+/// How long a node reports a request after it last ended a replica or was refused, and how
+/// long another node's report counts after it was last received. Equals the longest lease of
+/// a store.
 pub const KEEP: Duration = Duration::from_secs(600);
-/// What is over is forgotten this rarely: soon enough beside `KEEP`.
+/// Interval at which expired reports are removed; short compared with [`KEEP`].
 const FORGET_EVERY: Duration = Duration::from_secs(60);
-/// Most requests in one node's report, at some 100 bytes: those that had just
-/// begun at two full replicas.
+/// Maximum number of requests in a node's report, at about 100 bytes each: those that had
+/// just started at two full replicas.
 const MOST_REPORTED: usize = 128;
-/// Most ends of one request in a report: more change no verdict.
+/// Maximum number of ends of one request in a report: more would not change a verdict.
 const MOST_ENDS: usize = 8;
 
-/// What is reported of one request.
+/// Evidence against one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Replicas that ended when it had just begun there.
+    /// Replicas that ended when the request had just started there.
     pub ended: BTreeSet<EndedReplica>,
-    /// Those of them of which it was cleared.
+    /// Those of them of which the request was cleared.
     pub cleared: BTreeSet<EndedReplica>,
 }
 
@@ -103,39 +103,39 @@
     }
 }
 
-/// What one node reports.
+/// The evidence that one node reports.
 pub type CrashReport = BTreeMap<Fingerprint, Suspicion>;
 
-/// What may happen with a request.
+/// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be sent.
+    /// The request may be sent.
     Free,
-    /// It may be sent while no other copy of it has just been.
+    /// The request may be sent unless another copy of it has just been sent.
     OneAtATime,
-    /// It may be sent after this time.
+    /// The request may be sent after this time.
     Held(Duration),
-    /// It is not sent any more.
+    /// The request is not sent any more.
     Refused,
 }
 
-/// What all reports together say of one request.
+/// Merged evidence of all reports against one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspect {
-    /// Replicas that ended under it, without those of which it was cleared.
+    /// Replicas that ended under the request, without those of which it was cleared.
     pub ends: BTreeSet<EndedReplica>,
-    /// Ends at which no other request had more.
+    /// Number of these replicas at which no other request had more ends.
     pub blamed: usize,
-    /// Ends at which every other request had fewer.
+    /// Number of these replicas at which every other request had fewer ends.
     pub alone: usize,
-    /// Requests that had just begun at the ended replica, where they were fewest.
+    /// Minimum over these replicas of the number of requests that had just started there.
     pub fewest_begun: usize,
-    /// When the newest end became known here.
+    /// When the newest end became known to this node.
     pub known_at: Moment,
 }
 
 impl Suspect {
-    /// The verdict on the request.
+    /// Returns the verdict on the request.
     pub fn verdict(&self, now: Moment) -> Verdict {
         if self.blamed >= ENDS_TO_REFUSE || self.ends.len() >= ENDS_TO_REFUSE_IN_COMPANY {
             return Verdict::Refused;
@@ -157,34 +157,34 @@
     touched: Moment,
 }
 
-/// Another node's report. It outlives its key in the store: the store may drop
-/// keys, and what is known of a request does not change with that.
+/// The report of another node. It is retained when its key disappears from the store: the
+/// store may lose keys, which does not invalidate the evidence.
 #[derive(Debug, Clone)]
 struct Told {
     report: CrashReport,
     at: Moment,
 }
 
-/// All that a node knows of requests that crash replicas.
+/// All evidence known to a node about requests that crash replicas.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
     own: BTreeMap<Fingerprint, Own>,
     reports: BTreeMap<String, Told>,
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When something changed that `suspects` does not show yet.
+    /// Time of the latest change that `suspects` does not include yet.
     changed_at: Option<Moment>,
-    /// True if that is this node's own report, which counts at once.
+    /// True if this node's own report changed; such a change takes effect at once.
     own_changed: bool,
     united_at: Moment,
 }
 
 impl CrashLedger {
-    /// True if nothing is suspected, so that requests need not be looked up.
+    /// Returns true if there is no evidence, so that requests need not be looked up.
     pub fn is_empty(&self) -> bool {
         self.own.is_empty() && self.reports.is_empty()
     }
 
-    /// A replica ended when this request had just begun there.
+    /// Records that a replica ended when this request had just started there.
     pub fn record_end(&mut self, fingerprint: Fingerprint, replica: EndedReplica, now: Moment) {
         let own = self.touch(fingerprint, now);
         if own.suspicion.ended.len() < MOST_ENDS {
@@ -193,9 +193,9 @@
         self.own_report_changed(now);
     }
 
-    /// Clears a request of all ends so far: a replica answered it whole, or an
-    /// operator says so. True if there were any, which the other nodes must hear:
-    /// they would count the ends on.
+    /// Clears a request of all ends so far, because a replica answered it completely or an
+    /// operator decided so. Returns true if there were any; then this node's report must be
+    /// published, since the other nodes would continue to count the ends.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
         let Some(suspect) = self.suspect(fingerprint).cloned() else {
             return false;
@@ -207,8 +207,8 @@
         true
     }
 
-    /// What all know of the request becomes part of this node's own report, which
-    /// keeps it alive. True if the report should be told anew.
+    /// Copies all evidence against a request into this node's own report, so that it does not
+    /// expire. Returns true if the report should be published again.
     pub fn adopt(&mut self, fingerprint: Fingerprint, now: Moment) -> bool {
         let known: Vec<Suspicion> = self
             .reports
@@ -224,7 +224,8 @@
         is_old || own.suspicion != before
     }
 
-    /// Another node cannot tell its report itself: this one's tells it too.
+    /// Merges the report of a node that cannot publish it itself into this node's own report.
+    /// Returns true if the own report changed.
     pub fn adopt_report(&mut self, report: &CrashReport, now: Moment) -> bool {
         let mut is_changed = false;
         for (fingerprint, suspicion) in report {
@@ -239,7 +240,7 @@
         is_changed
     }
 
-    /// A node's report, whole, replaces its former one.
+    /// Replaces the report of another node by a new, complete one.
     pub fn take_report(&mut self, source: &str, report: CrashReport, now: Moment) {
         self.reports.retain(|_, told| now.since(told.at) <= KEEP);
         let told = Told { report, at: now };
@@ -247,14 +248,14 @@
         self.changed_at = Some(now);
     }
 
-    /// The reports that were told, by source.
+    /// Iterates over the received reports, with their sources.
     pub fn reports(&self) -> impl Iterator<Item = (&str, &CrashReport)> {
         self.reports
             .iter()
             .map(|(source, told)| (source.as_str(), &told.report))
     }
 
-    /// This node's own report.
+    /// Returns this node's own report.
     pub fn own_report(&mut self, now: Moment) -> CrashReport {
         self.own.retain(|_, own| now.since(own.touched) <= KEEP);
         let own = self.own.iter();
@@ -262,7 +263,7 @@
             .collect()
     }
 
-    /// What may happen with a request.
+    /// Returns whether a request may be sent.
     pub fn verdict(&mut self, fingerprint: Fingerprint, now: Moment) -> Verdict {
         if now.since(self.united_at) >= FORGET_EVERY {
             self.changed_at.get_or_insert(now);
@@ -275,13 +276,13 @@
         suspect.map_or(Verdict::Free, |suspect| suspect.verdict(now))
     }
 
-    /// What is known of a request; `None` if no replica ended under it.
+    /// Returns the evidence against a request; `None` if no replica ended under it.
     pub fn suspect(&mut self, fingerprint: Fingerprint) -> Option<&Suspect> {
         self.unite();
         self.suspects.get(&fingerprint)
     }
 
-    /// All requests under which replicas ended.
+    /// Iterates over all requests under which replicas ended.
     pub fn suspects(&mut self) -> impl Iterator<Item = (Fingerprint, &Suspect)> {
         self.unite();
         self.suspects
@@ -303,9 +304,8 @@
         own
     }
 
-    /// Forgets the request with the fewest ends, the one that came longest ago
-    /// first. So nobody makes a node forget a request that it refuses, but by as
-    /// many crashes.
+    /// Removes the request with the fewest ends, and among equals the least recently seen one.
+    /// A caller can thus displace a refused request only by as many crashes.
     fn drop_least(&mut self) {
         let weight = |own: &Own| (own.suspicion.open().count(), own.touched);
         let least = self.own.iter().min_by_key(|(_, own)| weight(own));
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Unites all reports, if any changed.
+    /// Merges all reports into `suspects` if any has changed.
     fn unite(&mut self) {
         let Some(changed_at) = self.changed_at.take() else {
             return;
@@ -347,7 +347,7 @@
     }
 }
 
-/// The most ends of any request that had begun at a replica, and of how many.
+/// Counts of the requests that had just started at a replica when it ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rank {
     begun: usize,
