--- a/crates/croftrill-scheduler/src/catalog.rs
+++ b/crates/croftrill-scheduler/src/catalog.rs
@@ -14,60 +14,60 @@
 /// Name of a service: a group of interchangeable replicas.
 pub type ServiceName = Arc<str>;
 
-/// Host of routes that hold for every host without a route of its own for the path.
+/// Host of routes that apply to every host without a matching route of its own.
 pub const ANY_HOST: &str = "*";
 
-/// What a route says about running a request more than once.
+/// How often the requests of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run any number of times.
     Safe,
     /// May run at most once.
     Unsafe,
-    /// Answers with a series of events; runs at most once unless resumable.
+    /// Answers with a stream of events; runs at most once unless resumable.
     Streaming,
 }
 
-/// One part of a route's traffic.
+/// A service that receives a share of a route's traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Backend {
-    /// The service that takes this part.
+    /// The service.
     pub service: ServiceName,
-    /// Share of the route's requests, relative to the other parts.
+    /// Share of the route's requests, relative to the other backends.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go, and under which bounds.
+/// Routing rule and limits for the requests of one host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Name, for logs.
     pub name: Arc<str>,
-    /// Host that the route belongs to.
+    /// Host of the requests, or [`ANY_HOST`].
     pub host: Arc<str>,
     /// Prefix of the path, beginning and ending with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// How often a request may run.
     pub kind: RouteKind,
-    /// Longest time a request may be held; `None`: as long as its caller waits.
+    /// Maximum time for a request; `None`: as long as its caller waits.
     pub timeout: Option<Duration>,
     /// Time within which the answer (its first event) earns its full credit.
     pub objective: Duration,
-    /// Longest pause between events that keeps an answer in time.
+    /// Maximum pause between two events of an answer that is in time.
     pub pause_objective: Option<Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Services that share the traffic.
     pub backends: Vec<Backend>,
-    /// Largest number of replicas that one request may be sent to.
+    /// Maximum number of replicas that one request may be sent to.
     pub max_attempts: u32,
     /// True if a broken stream may be continued at another replica.
     pub resumable: bool,
-    /// True if its requests need no key.
+    /// True if its requests need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// True if a request of this route may run more than once.
+    /// Returns true if a request of this route may run more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
             RouteKind::Safe => true,
@@ -88,28 +88,28 @@
     pub adapter_mb: f64,
     /// Number of its adapters.
     pub adapter_count: u32,
-    /// Time of a load from the weight store.
+    /// Duration of a load from the weight store.
     pub store_load: Duration,
-    /// Time of a load from the replica's disk.
+    /// Duration of a load from the replica's disk.
     pub disk_load: Duration,
-    /// Time of a load from the replica's memory.
+    /// Duration of a load from the replica's main memory.
     pub memory_load: Duration,
 }
 
-/// What the replicas of a model service can hold.
+/// Models of a model service, and the capacity of its replicas.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
     /// Models by name.
     pub models: HashMap<ModelName, ModelSpec>,
-    /// Names of the models in the order of the configuration.
+    /// Names of the models, in the order of the configuration.
     pub model_order: Vec<ModelName>,
-    /// Memory for weights and adapters of one replica, in MB.
+    /// Memory of one replica for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Places for adapters of one replica.
+    /// Number of adapters that one replica can hold.
     pub adapter_slots: usize,
-    /// Loads from the weight store that may begin in a second, over all replicas.
+    /// Maximum rate of loads started from the weight store, over all replicas.
     pub loads_per_second: f64,
-    /// Tokens of prompt memory of one replica.
+    /// KV cache of one replica, in tokens.
     pub kv_capacity: u64,
 }
 
@@ -124,16 +124,16 @@
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallerLimits {
-    /// Largest header block, in bytes.
+    /// Maximum size of a header block, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a header block to arrive.
+    /// Maximum time for a header block to arrive.
     pub header_timeout: Duration,
-    /// Longest rest of a connection between two requests.
+    /// Maximum idle time of a connection between two requests.
     pub idle_timeout: Duration,
 }
 
@@ -148,26 +148,26 @@
     }
 }
 
-/// One whole version of the operators' configuration.
+/// One complete version of the operators' configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Configuration {
     /// Version; a later configuration has a higher one.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Share of each group of callers; a group without one has a share of 1.
+    /// Share of each group of callers; a group without an entry has a share of 1.
     pub group_shares: HashMap<Arc<str>, u32>,
-    /// Who may call, shown by keys; anybody if there are none.
+    /// Tenants, identified by API keys; if there are none, anyone may call.
     pub tenants: Tenants,
-    /// For how long requests of tenants with a quota are granted ahead, by their routes.
+    /// How far ahead the quota grants a reservation, by the rank and objective of a route.
     pub ahead_limits: AheadLimits,
     services: HashMap<ServiceName, Arc<Service>>,
-    /// Routes of a host, the longest prefix first.
+    /// Routes of each host, the longest prefix first.
     routes_by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl Configuration {
-    /// Builds the look-up tables of a configuration.
+    /// Creates a configuration with lookup tables for its services and routes.
     pub fn new(version: u64, limits: CallerLimits, services: Vec<Service>, routes: Vec<Route>) -> Self {
         let mut routes_by_host: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The route of a request: of the host's routes the one with the longest
-    /// prefix of `path`.
+    /// Returns the route of a request: the one with the longest prefix of `path` among the
+    /// routes of the host, or else among the routes of [`ANY_HOST`].
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = |host: &str| {
             let routes = self.routes_by_host.get(host)?;
@@ -204,28 +204,28 @@
         of_host(host).or_else(|| of_host(ANY_HOST))
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Iterates over all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The longest objective among the routes to a service; zero if there is none.
+    /// Returns the longest objective among the routes to a service; zero without a route.
     pub fn longest_objective(&self, service: &str) -> Duration {
         let routes = self.routes_to(service);
         routes.map(|route| route.objective).max().unwrap_or_default()
     }
 
-    /// True if no route to the service ranks before one of this rank.
+    /// Returns true if no route to the service is more urgent than this rank.
     pub fn is_most_urgent_of(&self, service: &str, rank: u8) -> bool {
         !self.routes_to(service).any(|route| route.priority < rank)
     }
 
-    /// True if a route to the service is less urgent than this rank.
+    /// Returns true if a route to the service is less urgent than this rank.
     pub fn has_less_urgent_route(&self, service: &str, rank: u8) -> bool {
         self.routes_to(service).any(|route| route.priority > rank)
     }
@@ -235,13 +235,13 @@
         routes.filter(move |route| route.backends.iter().any(|part| &*part.service == service))
     }
 
-    /// The same configuration with shares for groups of callers.
+    /// Sets the shares of groups of callers.
     pub fn with_group_shares(mut self, group_shares: HashMap<Arc<str>, u32>) -> Self {
         self.group_shares = group_shares;
         self
     }
 
-    /// The same configuration for callers that show keys of these tenants.
+    /// Sets the tenants, and derives from the routes how far ahead their reservations go.
     pub fn with_tenants(mut self, tenants: Vec<Tenant>) -> Self {
         let routes = self.routes_by_host.values().flatten();
         let keyed = routes.clone().filter(|route| !route.public);
@@ -253,7 +253,7 @@
         self
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes_by_host.values().map(Vec::len).sum()
     }
--- a/crates/croftrill-scheduler/src/planner.rs
+++ b/crates/croftrill-scheduler/src/planner.rs
@@ -1,4 +1,4 @@
-//! What a wished configuration would change, before anything changes.
+//! Dry run of a configuration change: the steps that a desired configuration would cause.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,10 @@
 use crate::replica::ReplicaId;
 use crate::replica_table::ReplicaTable;
 
-/// One step that follows from a wished configuration.
+/// One step from the present to the desired configuration.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlannedStep {
-    /// A model becomes known; it is loaded when it is first asked for.
+    /// A model is added; it is loaded when it is first requested.
     AddModel {
         /// The service.
         service: ServiceName,
@@ -30,7 +30,8 @@
         /// The model.
         model: ModelName,
     },
-    /// A replica holds a model that is no longer served; it makes way when room is needed.
+    /// A replica holds a model that is no longer served; the model is evicted when its memory
+    /// is needed.
     StopReplica {
         /// The replica.
         replica: ReplicaId,
@@ -39,7 +40,7 @@
     },
 }
 
-/// Steps from the present to the wished configuration, in a fixed order.
+/// Returns the steps from the present to the desired configuration, in a fixed order.
 pub fn plan(present: &Configuration, wished: &Configuration, replicas: &ReplicaTable) -> Vec<PlannedStep> {
     let mut steps = BTreeSet::new();
     for (service, engine) in engines(wished) {
