--- a/crates/croftrill-scheduler/tests/catalog.rs
+++ b/crates/croftrill-scheduler/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a configuration.
+//! Tests of lookups in a configuration.
 
 use std::time::Duration;
 
--- a/crates/croftrill-scheduler/tests/crash_ledger.rs
+++ b/crates/croftrill-scheduler/tests/crash_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests bear the blame for replicas that ended.
+//! Tests of which requests are blamed for replicas that ended.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -73,7 +73,7 @@
 fn verdict_spares_requests_beside_the_one_with_most_ends() {
     let mut ledger = CrashLedger::default();
     let (once, twice) = (Fingerprint(2), Fingerprint(3));
-    // Each end has other requests beside it; one comes again and is hit again.
+    // Other requests run at each ended replica; one of them is retried and runs at another.
     ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3]), (once, &[1])]), at(1));
     ledger.take_report("b", report(&[(twice, &[2, 3])]), at(1));
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::Refused);
@@ -88,7 +88,7 @@
     ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3]), (other, &[1, 2, 3])]), at(1));
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::Refused);
     assert_eq!(ledger.verdict(other, at(1)), Verdict::Refused);
-    // One that always has fewer ends than its company is refused all the same.
+    // A request that always runs beside one with more ends is refused too.
     let shielded = Fingerprint(3);
     ledger.take_report("b", report(&[(Fingerprint(4), &[4, 5, 6, 7, 8, 9])]), at(2));
     ledger.take_report("c", report(&[(shielded, &[4, 5, 6, 7])]), at(2));
@@ -104,7 +104,7 @@
         ledger.record_end(Fingerprint(number), replica(1), at(1));
     }
     assert_eq!(ledger.verdict(Fingerprint(0), at(1)), Verdict::Free);
-    // Of those that come again and lose another replica, one is looked at closely.
+    // A request that is retried and ends another replica becomes a suspect.
     ledger.record_end(Fingerprint(0), replica(2), at(2));
     assert_eq!(ledger.verdict(Fingerprint(0), at(2)), Verdict::Held(HOLD));
 }
@@ -133,7 +133,7 @@
     assert!(ledger.adopt(CRASHER, at(2)));
     assert!(!ledger.adopt(CRASHER, at(3)));
     assert!(ledger.adopt(CRASHER, at(400)));
-    // The other node's report is over by now, and this one's is not.
+    // The other node's report has expired by now; this node's has not.
     ledger.take_report("b", CrashReport::new(), at(700));
     assert_eq!(ledger.verdict(CRASHER, at(700)), Verdict::Refused);
     assert!(ledger.own_report(at(1000)).contains_key(&CRASHER));
@@ -166,7 +166,7 @@
 }
 
 proptest! {
-    /// Whatever comes twice, late or in another order leads to the same verdicts.
+    /// Duplicate, delayed and reordered reports lead to the same verdicts.
     #[test]
     fn take_report_comes_to_the_same_verdicts_in_any_order(
         rows in prop::collection::vec((0u128..6, 0u64..8, 0usize..4), 1..40),
@@ -198,9 +198,8 @@
         }
     }
 
-    /// Innocent requests that are beside a crashing one at most twice each, as
-    /// their callers give up or are served, are never refused, and it always is
-    /// by its third end.
+    /// Innocent requests that run beside a crashing one at most twice each, as their callers
+    /// give up or are served, are never refused. The crashing one is refused at its third end.
     #[test]
     fn verdict_never_refuses_requests_that_were_beside_twice(
         beside in prop::collection::vec((10u128..30, 0u64..3), 0..60),
--- a/crates/croftrill-scheduler/tests/demand.rs
+++ b/crates/croftrill-scheduler/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Demand as rates, and what the absence of a model costs.
+//! Tests of demand rates, and of the cost of a missing model.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Counts one request each `every_ms` from `from_ms` to `until_ms`.
+/// Counts a request every `every_ms` from `from_ms` to `until_ms`.
 fn ask(demand: &mut Demand, model: &str, every_ms: u64, from_ms: u64, until_ms: u64) {
     for millis in (from_ms..until_ms).step_by(every_ms as usize) {
         demand.count(&key(model), &asked(1000), at(millis));
@@ -44,8 +44,8 @@
     }
 }
 
-/// The rate with a short memory swings by half of itself between two requests of
-/// a rare model, so rare models were swapped with each other on noise alone.
+/// Guards against replacing rare models by one another on noise alone: the rate with the short
+/// time constant falls by half between two requests for a rare model.
 #[test]
 fn lasting_rate_swings_less_than_the_fast_one() {
     let mut demand = Demand::new();
@@ -56,7 +56,7 @@
     assert!(lasting > 1.2 * fast, "lasting {lasting}, fast {fast}");
 }
 
-/// A busy model that falls silent must not keep its places by its past.
+/// A busy model without further requests must not keep its replicas because of past demand.
 #[test]
 fn lasting_rate_busy_falls_silent() {
     let mut demand = Demand::new();
@@ -108,8 +108,8 @@
     assert!(demand.late_share(&key("m1"), at(40_000)) < crowded);
 }
 
-/// One long prompt delays all streams at its replica; one more holder would not
-/// have changed that (models of a site with few places crowded each other out).
+/// One long prompt delays all streams at its replica, which another holder would not change.
+/// Counting each late stream made models with few slots evict one another.
 #[test]
 fn late_share_of_one_occasion_is_the_least() {
     let mut demand = Demand::new();
@@ -139,7 +139,7 @@
     assert!(demand.late_share(&key("m1"), at(0)) < 1.0);
 }
 
-/// A model that becomes busy shows it within a second; a few requests more are chance.
+/// A large rise of demand shows within a second; a small one is attributed to chance.
 #[test]
 fn present_requests_per_second_shows_a_rise_within_a_second() {
     let mut demand = Demand::new();
@@ -157,8 +157,8 @@
     assert!((tokens / risen - 1000.0).abs() < 1e-6, "{tokens}");
 }
 
-/// Nodes tell what was asked four times a second: the pause between two accounts is no
-/// silence. With it all busy models seemed to be asked 10 times a second.
+/// Nodes report demand four times a second, so the pause between two reports is not a lack of
+/// requests. Counting it as one capped the rate of every busy model at 10 requests per second.
 #[test]
 fn present_requests_per_second_whole_between_two_accounts() {
     let mut demand = Demand::new();
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which replica takes a request.
+//! Tests of the choice of a replica for a request.
 
 use std::time::Duration;
 
@@ -147,8 +147,8 @@
     assert!(choose(&table, &request(Some("m1"), None, 1), now()).is_some());
 }
 
-/// A list that was older than the orderer's own last order replaced what was
-/// known; its sequence counts heartbeats, not orders.
+/// A listing can be older than the orderer's last order, and its sequence number counts
+/// heartbeats rather than orders, so it does not override the orderer while that is reachable.
 #[test]
 fn a_listing_does_not_replace_what_the_orderer_tells() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
@@ -226,7 +226,7 @@
     }
 }
 
-/// Streams of which one replica runs 8 at a time, and its peer has room.
+/// Each replica runs 8 streams concurrently; one is full, the slower one has free slots.
 #[test]
 fn full_replica_is_passed_over_while_another_has_room() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -240,7 +240,7 @@
     assert!((room.fill() - 14.0 / 16.0).abs() < 1e-9);
 }
 
-/// What is expected of a full replica is when one of its places is free.
+/// The expected time to the first event at a full replica includes the wait for a free slot.
 #[test]
 fn room_of_full_replicas_tells_when_a_place_is_free() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
@@ -253,7 +253,7 @@
     assert!(free.first_event_after.expect("a holder") < Duration::from_millis(100));
 }
 
-/// Only one replica of two services tells how long work takes there.
+/// Only one of the two services has a replica that reports its work time.
 #[test]
 fn goes_by_capacity_only_where_a_replica_tells_its_work_time() {
     let other = ReplicaListing {
@@ -281,7 +281,7 @@
         .count() as u64
 }
 
-/// Two idle replicas, one of which takes 2.7 times as long: both are used, by their speeds.
+/// Of two replicas with free slots one takes 2.7 times as long; requests are shared by speed.
 #[test]
 fn slow_replica_gets_its_part_of_the_work() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -291,8 +291,8 @@
     assert!((180..330).contains(&slow), "{slow} of 1000 at a speed of 27 %");
 }
 
-/// Streams at the usual speed pause by 0.15 s: a replica that takes 1.6 times as long would
-/// hold nearly all of them up beyond what callers bear.
+/// Streams at the usual speed pause for 0.15 s, so at a replica that takes 1.6 times as long
+/// nearly all of them would exceed the pause objective of 0.2 s.
 #[test]
 fn streams_go_where_their_pauses_are_borne() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -309,7 +309,7 @@
     assert_eq!(times_chosen(&table, "r1", 200, stream), 200, "the other is full");
 }
 
-/// All holders are full: the one with the shorter queue takes more, not all.
+/// If all holders are full, the one with the shorter queue takes more requests, but not all.
 #[test]
 fn full_replicas_share_what_is_sent_anyway() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -319,8 +319,8 @@
     assert!((130..270).contains(&fuller), "{fuller} of 1000");
 }
 
-/// A node's own requests count as soon as they are sent, also against an account that was
-/// given before and comes later over another node.
+/// A node's own requests count as soon as they are sent, even if a load sample taken before
+/// arrives later by way of another node.
 #[test]
 fn own_sends_count_beside_an_account_that_is_older() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
@@ -332,7 +332,7 @@
     assert!(entry.running_load(now()) > 7.0);
 }
 
-/// Memory for two such requests, which two others fill: the next one would preempt them.
+/// The KV cache holds two such requests and is full, so a third one would preempt them.
 #[test]
 fn overfilled_memory_is_passed_over() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -349,7 +349,7 @@
     assert_eq!(times_chosen(&table, "r1", 100, tight), 100);
 }
 
-/// Replicas without models, one of which is disturbed at this moment.
+/// Without models, a replica that is slow at the moment gets fewer requests.
 #[test]
 fn services_without_models_go_by_slots_and_speed() {
     let mut table = table(&[listing("r0", &[]), listing("r1", &[])]);
@@ -362,8 +362,8 @@
     assert!(disturbed < 600, "{disturbed} of 1000 though it has more places");
 }
 
-/// Replicas that tell running, waiting and slots, but no work time: the one with fewer
-/// requests is taken, however many its slots are and whatever is learned of streams.
+/// If replicas report running, waiting and slots but no work time, the one with fewer requests
+/// is chosen, regardless of its slots and of what was learned from streams.
 #[test]
 fn replicas_that_tell_no_work_time_are_chosen_by_requests_alone() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
@@ -387,7 +387,8 @@
     assert_eq!(times_chosen(&table, "r0", 200, unshared), 200);
 }
 
-/// Long answers, while a replica tells the largest numbers that its header can hold.
+/// A replica may report the largest numbers that its header can hold; estimated times stay
+/// bounded even for very long answers.
 #[test]
 fn room_at_a_replica_that_tells_a_boundless_load_is_bounded() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
