--- a/crates/croftrill-scheduler/src/hand_over.rs
+++ b/crates/croftrill-scheduler/src/hand_over.rs
@@ -1,14 +1,14 @@
-//! What one orderer leaves to the next, so that orders go on without a pause.
+//! Hand-over between consecutive orderers, so that orders continue without a pause.
 //!
-//! Two orderers must not order at the same replica within a gap of each other.
-//! A successor that knows nothing waits for the whole gap. An orderer whose term
-//! ends in order says at which replicas it ordered lately; its successor then
-//! waits at these alone.
+//! Two orderers must not order at the same replica within a minimum gap of each
+//! other. A successor without information waits for the full gap. An orderer whose
+//! term ends cleanly publishes the replicas that it ordered at recently; its
+//! successor then waits only at these.
 //!
 //! Safety: a [`Resignation`] is made after the last order of its term, and names
-//! the store's revision of the record under which the term could order. A
-//! successor believes it only if the record still stands at that revision, that
-//! is, if nobody could order since.
+//! the store revision of the record under which the term could order. A successor
+//! uses it only if the record is still at that revision, that is, if no machine
+//! could order since.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,99 +18,100 @@
 use crate::replica::ReplicaId;
 use crate::time::Moment;
 
-/// Time after which an order without an answer has surely arrived or never will.
+/// Time after which an unanswered order has either arrived or never will.
 const UNANSWERED_GRACE: Duration = Duration::from_millis(1000);
 
-/// A replica at which the successor must not order yet.
+/// A replica at which the successor may not order yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Hold {
     /// The replica.
     pub replica: ReplicaId,
-    /// Time for which no other machine may order there.
+    /// Remaining time during which no other machine may order at the replica.
     pub remaining: Duration,
 }
 
-/// A load from the weight store that counts for the ceiling still.
+/// A load from the weight store that still counts towards the ceiling.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PastLoad {
     /// The service of the replica that loaded.
     pub service: ServiceName,
-    /// How long ago it began.
+    /// Time since it started.
     pub age: Duration,
 }
 
-/// Orders and loads that a successor must know of.
+/// The orders and loads that a successor must take into account.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Legacy {
-    /// Time for which no other machine may order at any replica: orders of the
-    /// same machine's former process may not be known.
+    /// Time during which no other machine may order at any replica, because orders
+    /// of an earlier process of the same machine may be unknown.
     pub everywhere: Duration,
-    /// Replicas at which others must not order yet.
+    /// Replicas at which other machines may not order yet.
     pub holds: Vec<Hold>,
-    /// Loads from the weight store that count still.
+    /// Loads from the weight store that still count.
     pub loads: Vec<PastLoad>,
 }
 
-/// What an orderer says at the end of its term.
+/// The message that an orderer publishes at the end of its term.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Resignation {
     /// Fencing token of the term.
     pub fencing_token: u64,
     /// Store revision of the record under which the term could order.
     pub record_revision: u64,
-    /// What the successor must know of.
+    /// The orders and loads that the successor must take into account.
     pub legacy: Legacy,
 }
 
-/// A resignation, and when it was heard.
+/// A resignation and the time at which it was received.
 #[derive(Debug, Clone)]
 pub struct HeardResignation {
-    /// What was said.
+    /// The resignation.
     pub resignation: Resignation,
-    /// When it arrived, which is not before it was made.
+    /// When it was received, which is never before it was made.
     pub heard_at: Moment,
 }
 
 impl HeardResignation {
-    /// When each replica may be ordered at by another machine.
+    /// Returns the time from which another machine may order at each held replica.
     pub fn held_until(&self) -> impl Iterator<Item = (ReplicaId, Moment)> + '_ {
         let holds = self.resignation.legacy.holds.iter();
         holds.map(|hold| (hold.replica.clone(), self.heard_at + hold.remaining))
     }
 
-    /// From when a successor may order at replicas that are not held.
+    /// Returns the time from which a successor may order at replicas that are not held.
     pub fn free_from(&self) -> Moment {
         self.heard_at + self.resignation.legacy.everywhere
     }
 
-    /// When the last of the predecessors' orders stops counting.
+    /// Returns the time at which the last hold of a predecessor's order ends.
     pub fn settled_from(&self) -> Moment {
         let latest = self.held_until().map(|(_, until)| until).max();
         latest.unwrap_or_default().max(self.free_from())
     }
 
-    /// When the loads that still count began, at the latest.
+    /// Returns the latest possible start time of each load that still counts.
     pub fn loads_begun(&self) -> impl Iterator<Item = (&ServiceName, Moment)> + '_ {
         let loads = self.resignation.legacy.loads.iter();
         loads.map(|load| (&load.service, self.heard_at - load.age))
     }
 }
 
-/// Orders of the last while, this orderer's own and those of its predecessors.
+/// Recent orders of this orderer and its predecessors.
 #[derive(Debug)]
 pub struct OrderHistory {
     gap: Duration,
     in_flight: BTreeMap<ReplicaId, u32>,
-    /// When another machine may order at a replica.
+    /// When another machine may order at a replica, by this orderer's own orders.
     held_until: BTreeMap<ReplicaId, Moment>,
-    /// When this machine may: until then a predecessor's orders count.
+    /// When this machine may order at a replica, by its predecessors' orders.
     inherited: BTreeMap<ReplicaId, Moment>,
-    /// Until then orders of this machine's former process may count that are not known.
+    /// Until when unknown orders of an earlier process of this machine may count.
     own_unknown_until: Moment,
 }
 
 impl OrderHistory {
-    /// No orders yet; `gap` must lie between the orders of two machines at one replica.
+    /// Creates an empty history. `gap` is the minimum time between the orders of two
+    /// machines at one replica.
     pub fn new(gap: Duration) -> Self {
         OrderHistory {
             gap,
@@ -121,34 +122,35 @@
         }
     }
 
-    /// This machine goes on where a former process or term of its own ended at
-    /// `now` at the latest: its orders count for others, but are not known.
+    /// Notes that this machine continues an earlier process or term of its own that
+    /// ended by `now`. The orders of that term still bind other machines, but are not known.
     pub fn continue_own(&mut self, now: Moment) {
         self.own_unknown_until = now + UNANSWERED_GRACE + self.gap;
     }
 
-    /// Time for which no other machine may order at any replica.
+    /// Returns the time during which no other machine may order at any replica.
     pub fn everywhere(&self, now: Moment) -> Duration {
         self.own_unknown_until.since(now)
     }
 
-    /// A predecessor's orders: until then this machine must not order at a replica.
+    /// Adds the holds of predecessors' orders: until the given time, this machine may
+    /// not order at the replica.
     pub fn inherit(&mut self, held_until: impl IntoIterator<Item = (ReplicaId, Moment)>) {
         self.inherited.extend(held_until);
     }
 
-    /// True if a predecessor's orders do not forbid an order at `now`.
+    /// Returns true if no predecessor's order forbids an order at `now`.
     pub fn permits(&self, replica: &str, now: Moment) -> bool {
         self.inherited.get(replica).is_none_or(|until| now >= *until)
     }
 
-    /// An order leaves.
+    /// Records that an order is being sent to a replica.
     pub fn sent(&mut self, replica: &ReplicaId) {
         *self.in_flight.entry(replica.clone()).or_default() += 1;
     }
 
-    /// An order came to its end. `is_answered`: the replica answered it, so it
-    /// is not under way any more.
+    /// Records that an order has ended. `is_answered` is true if the replica answered
+    /// it, so that it cannot arrive later any more.
     pub fn ended(&mut self, replica: &ReplicaId, is_answered: bool, now: Moment) {
         if let Some(count) = self.in_flight.get_mut(replica) {
             *count -= 1;
@@ -160,7 +162,8 @@
         self.hold(replica.clone(), arrived_by + self.gap);
     }
 
-    /// Replicas at which others must not order yet, if the last order left before `now`.
+    /// Returns the replicas at which other machines may not order yet, provided that
+    /// this orderer sends nothing after `now`.
     pub fn holds(&self, now: Moment) -> Vec<Hold> {
         let mut until = self.held_until.clone();
         let in_flight = self.in_flight.keys();
@@ -185,28 +188,30 @@
         *held = (*held).max(until);
     }
 
-    /// Forgets what counts no more.
+    /// Removes holds that have ended.
     pub fn prune(&mut self, now: Moment) {
         self.held_until.retain(|_, until| *until > now);
         self.inherited.retain(|_, until| *until > now);
     }
 }
 
-/// The store's record of the machine that last could order, as a candidate sees it.
+/// The store's record of the machine that could order last, as read by a candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastRecord {
     /// True if it names the candidate's own machine.
     pub is_own: bool,
-    /// True if only that machine's orders count.
+    /// True if no other machine's orders held any replica when it was written.
     pub is_settled: bool,
-    /// The store's revision of it.
+    /// The store revision at which it was written.
     pub revision: u64,
 }
 
-/// How a term begins for a candidate that takes the key on the condition that
-/// the record stands as it read it. `is_proven`: false if the record may be of before
-/// the store came back from an older copy; then later ones are lost, and so may be the
-/// key of a machine that still holds its lease by its own clock.
+/// Returns how a term starts for a candidate that acquires the key on the condition
+/// that the record is unchanged since it was read.
+///
+/// `is_proven` is false if the record may have been written before the store was
+/// restored from an older copy. Later records are then lost, and so may be the key of a
+/// machine whose lease is still valid by its own clock.
 pub fn start_of_term(
     last: Option<LastRecord>,
     is_proven: bool,
@@ -217,7 +222,7 @@
         return TermStart::AfterRestore;
     }
     let Some(last) = last else {
-        // Whoever orders is recorded before: nobody ever did.
+        // A machine is recorded before its first order, so none has ever ordered.
         return TermStart::HandedOver {
             free_from: now,
             settled_from: now,
--- a/crates/croftrill-scheduler/src/lease.rs
+++ b/crates/croftrill-scheduler/src/lease.rs
@@ -1,82 +1,84 @@
-//! Who may give orders: a lease on one key, judged by the node's clock.
+//! The orderer's lease: a leased key in the store, with validity judged by the
+//! node's own clock.
 //!
 //! Safety: a holder acts only while `now < valid_until`, where `valid_until` is
 //! counted from when its last successful renewal was *sent*. The store counts
-//! the lease from when that call arrived, which is never earlier. So another
-//! node can take the lease only after this one has stopped acting.
+//! the lease from the arrival of that call, which is never earlier. So another
+//! node can acquire the lease only after this one has stopped acting.
 //!
-//! The store also records which machine last had the right to order; a machine
-//! records itself before its first order. How a term begins ([`TermStart`]):
+//! The store also records which machine was last allowed to order; a machine
+//! records itself before its first order. A term starts in one of four ways
+//! ([`TermStart`]):
 //!
-//! - The machine finds itself recorded, and settled: it goes on at once, as
-//!   nobody else can have ordered since. Its record is written anew together
-//!   with the key, so that an earlier resignation of its own is void.
-//! - Its predecessor handed over ([`crate::hand_over`]): it records itself at once
-//!   (or once all of its predecessor's orders are known) and waits at single
-//!   replicas only. Until the last of these is free its record is
-//!   not settled: should it restart, it does not know them any more.
-//! - The store came back from an older copy ([`TermStart::AfterRestore`]): it waits for a
-//!   whole lease and a `quiet_period`.
-//! - Otherwise it waits for `quiet_period`, within which the former's orders may
-//!   still arrive, and records itself only then: a machine that restarts within
-//!   its quiet period must not find itself recorded.
+//! - The store has a settled record of this machine: the machine continues at
+//!   once, as no other machine can have ordered since. It rewrites its record in
+//!   the same write as the key, which invalidates any earlier resignation of its own.
+//! - The predecessor handed over ([`crate::hand_over`]): the machine records itself
+//!   at once (or once all orders of its predecessor are known) and waits only at
+//!   the replicas that the predecessor named. Its record stays unsettled until
+//!   the last of these waits ends, because a restart would lose them.
+//! - The store was restored from an older copy ([`TermStart::AfterRestore`]): the
+//!   machine waits for a full lease and a `quiet_period`.
+//! - Otherwise it waits for `quiet_period`, within which orders of the previous
+//!   orderer may still arrive, and records itself only afterwards: a machine
+//!   that restarts within its quiet period must not find itself recorded.
 
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// Bounds of the lease.
+/// Timing of the lease.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseConfig {
-    /// Time to live that the store was asked for.
+    /// Time to live that is requested from the store.
     pub time_to_live: Duration,
-    /// Part of it that is given up for imprecise timers.
+    /// Safety margin for imprecise timers, subtracted from the time to live.
     pub margin: Duration,
     /// Time between renewals.
     pub renew_every: Duration,
-    /// Time after an acquisition before the first order, if another machine could order before.
+    /// Delay from an acquisition to the first order if another machine could order before.
     pub quiet_period: Duration,
 }
 
-/// How a term begins.
+/// How a term starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TermStart {
-    /// This machine is recorded as the last that could order, and was recorded
-    /// anew together with the key.
+    /// This machine is recorded as the last that could order, and its record was
+    /// rewritten together with the key.
     Continues,
-    /// All earlier orders are known.
+    /// All earlier orders that still count are known.
     HandedOver {
-        /// From when this machine may order where no known order forbids it.
+        /// When this machine may start ordering at replicas without a known hold.
         free_from: Moment,
-        /// When the last of the predecessors' orders stops counting.
+        /// When the last hold of a predecessor's order ends.
         settled_from: Moment,
     },
-    /// Another machine may have ordered until the key was taken.
+    /// Another machine may have ordered until the key was acquired.
     AfterUnknown,
-    /// The store came back from an older copy: another machine may order for as long as
-    /// it believes in a lease that the store has lost.
+    /// The store was restored from an older copy: another machine may order until the
+    /// lease that the store has lost expires by that machine's clock.
     AfterRestore,
 }
 
-/// The record that the store should hold of a machine.
+/// What the store's record says about a machine's right to order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordKind {
-    /// The machine may order, but orders of others count still at some replicas.
+    /// The machine may order, but orders of other machines still hold some replicas.
     Unsettled,
-    /// Only this machine's orders count.
+    /// No other machine's orders hold any replica.
     Settled,
 }
 
-/// A record that the store took.
+/// A record as written in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Record {
-    /// What it says.
+    /// Its kind.
     pub kind: RecordKind,
-    /// The store's revision of it.
+    /// The store revision at which it was written.
     pub revision: u64,
 }
 
-/// A lease that is held.
+/// The state of a lease that is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Held {
     fencing_token: u64,
@@ -87,7 +89,7 @@
     record: Option<Record>,
 }
 
-/// Keeps the orderer's lease of one node.
+/// One node's view of the orderer's lease of a shard.
 #[derive(Debug)]
 pub struct OrdererLease {
     config: LeaseConfig,
@@ -95,14 +97,14 @@
 }
 
 impl OrdererLease {
-    /// A lease that is not held.
+    /// Creates a lease that is not held.
     pub fn new(config: LeaseConfig) -> Self {
         OrdererLease { config, held: None }
     }
 
-    /// The key was created under `lease`; `asked_at` is when the lease was asked
-    /// for. The key's first revision is the fencing token, and that of the record
-    /// if this machine continues.
+    /// Records that the key was created under `lease`, which was requested at
+    /// `asked_at`. The key's first revision is the fencing token; if this machine
+    /// continues, it is also the revision of its record.
     pub fn acquired(
         &mut self,
         lease: u64,
@@ -137,7 +139,7 @@
         });
     }
 
-    /// A renewal sent at `asked_at` succeeded.
+    /// Records that a renewal sent at `asked_at` succeeded.
     pub fn renewed(&mut self, asked_at: Moment) {
         let usable = self.usable();
         if let Some(held) = &mut self.held {
@@ -145,8 +147,8 @@
         }
     }
 
-    /// The record that the store should get now, if it lacks one: before the
-    /// first order, and again once only this machine's orders count.
+    /// Returns the record to write to the store now, if one is missing: before the
+    /// first order, and again once the holds of other machines' orders have ended.
     pub fn wanted_record(&self, now: Moment) -> Option<RecordKind> {
         let held = self
             .held
@@ -163,37 +165,38 @@
         lacks.then_some(kind)
     }
 
-    /// The store recorded this machine, on the condition that it still held the key.
+    /// Notes a record of this machine that the store wrote on the condition that the
+    /// machine still held the key.
     pub fn recorded(&mut self, record: Record) {
         if let Some(held) = &mut self.held {
             held.record = Some(record);
         }
     }
 
-    /// The record under which this machine may order.
+    /// Returns the record under which this machine may order.
     pub fn record(&self) -> Option<Record> {
         self.held.and_then(|held| held.record)
     }
 
-    /// The lease is gone: over at the store, released, or fenced by a successor.
+    /// Drops the lease: it expired at the store, was released, or a successor fenced it.
     pub fn lost(&mut self) {
         self.held = None;
     }
 
-    /// The store's lease to renew, if this node believes that it holds one.
+    /// Returns the store's id of the lease to renew, if this node has not seen it end.
     pub fn lease(&self) -> Option<u64> {
         self.held.map(|held| held.lease)
     }
 
-    /// The fencing token, if this node may act as the orderer at `now`.
-    /// Before it may order, it may plan and listen.
+    /// Returns the fencing token if this node may act as the orderer at `now`, that is,
+    /// accept followers and plan. Sending orders requires [`Self::order_token`].
     pub fn token(&self, now: Moment) -> Option<u64> {
         self.held
             .filter(|held| now < held.valid_until)
             .map(|held| held.fencing_token)
     }
 
-    /// The fencing token, if an order may be sent at `now`.
+    /// Returns the fencing token if an order may be sent at `now`.
     pub fn order_token(&self, now: Moment) -> Option<u64> {
         let may_order = self
             .held
@@ -201,7 +204,7 @@
         self.token(now).filter(|_| may_order)
     }
 
-    /// Forgets a lease whose validity is over; true if there was one.
+    /// Drops a lease whose validity has ended. Returns true if there was one.
     pub fn expire(&mut self, now: Moment) -> bool {
         let over = self.held.is_some_and(|held| now >= held.valid_until);
         if over {
@@ -210,7 +213,7 @@
         over
     }
 
-    /// Time between renewals.
+    /// Returns the time between renewals.
     pub fn renew_every(&self) -> Duration {
         self.config.renew_every
     }
--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The orderer's lease: one machine at a time, with a gap between machines.
+//! Tests that at most one machine orders at a replica at a time, with a minimum gap
+//! between the orders of two machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -144,7 +145,7 @@
 const MACHINES: usize = 3;
 const REPLICAS: [&str; 2] = ["r0", "r1"];
 
-/// The store's record in the model.
+/// The record in the model of the store.
 #[derive(Debug, Clone, Copy)]
 struct StoredRecord {
     machine: usize,
@@ -152,24 +153,24 @@
     revision: u64,
 }
 
-/// A store with one leased key and the record of the last orderer.
+/// Model of a store with one leased key and the record of the last orderer.
 #[derive(Default, Clone)]
 struct Store {
     holder: Option<(usize, u64)>,
     expires: u64,
     last: Option<StoredRecord>,
-    /// Era in which that was written, as the key beside it tells.
+    /// Era in which the record was written, as stored in a key beside it.
     recorded_era: Option<u64>,
     revision: u64,
-    /// Rises each time the store comes back from an older copy.
+    /// Incremented each time the store is restored from an older copy.
     era: u64,
 }
 
-/// Bits of a point in history that hold the store's revision.
+/// Number of bits of a point in the store's history that hold the revision; the era is above.
 const REVISION_BITS: u32 = 40;
 
 impl Store {
-    /// The point of a new change.
+    /// Returns the point in history of a new change.
     fn change(&mut self) -> u64 {
         self.revision += 1;
         self.revision | self.era << REVISION_BITS
@@ -184,7 +185,7 @@
         self.recorded_era = Some(self.era);
     }
 
-    /// Comes back from a copy. What it holds of before stands at the revisions of then.
+    /// Restores the store from a copy. Its items keep their revisions, in a new era.
     fn restore(&mut self, copy: &Store) {
         let era = self.era + 1;
         *self = Store { era, ..copy.clone() };
@@ -196,22 +197,22 @@
     }
 }
 
-/// A machine of the model.
+/// Model of a machine.
 struct Machine {
     lease: OrdererLease,
     history: OrderHistory,
     heard: Option<HeardResignation>,
     authority: Option<(u64, Record)>,
-    /// Newest era that the store's answers told this process.
+    /// Newest era that this process has read from the store.
     era: Option<u64>,
     rises: u64,
-    /// True for processes of the system's first start.
+    /// True for a process of the system's first start.
     is_first: bool,
 }
 
 impl Machine {
-    /// A process of the system's first start: it has read the store before anybody ordered,
-    /// and so before any copy of it was taken.
+    /// Creates a process of the system's first start. It has read the store before the first
+    /// order, and so before any copy of the store was made.
     fn first() -> Self {
         Machine {
             is_first: true,
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The store answered in this era; true if it rose.
+    /// Records the era of an answer of the store. Returns true if the era has risen.
     fn hears(&mut self, era: u64) -> bool {
         let rises = self.era.is_some_and(|known| known < era);
         self.era = Some(era);
@@ -240,7 +241,7 @@
         rises
     }
 
-    /// Ends the term; what it leaves.
+    /// Ends the term and returns its resignation.
     fn resign(&mut self, now: u64) -> Option<Resignation> {
         self.lease.lost();
         let (fencing_token, record) = self.authority.take()?;
@@ -258,15 +259,15 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// The machine tries to acquire, renews, or records itself.
+    /// The machine tries to acquire the lease, renews it, or records itself.
     Act(usize),
-    /// The machine tries to send an order to a replica.
+    /// The machine tries to send an order to a replica; the flag tells whether it is answered.
     Order(usize, usize, bool),
-    /// The machine's process ends and starts anew.
+    /// The machine's process restarts.
     Restart(usize),
-    /// The machine ends its term in order, and gives its key back if told so.
+    /// The machine ends its term cleanly and, if the flag is set, releases its key.
     Resign(usize, bool),
-    /// A resignation, one of the latest, reaches the machine.
+    /// The machine receives one of the latest resignations.
     Hear(usize, usize),
 }
 
@@ -279,7 +280,7 @@
         2 => (machine.clone(), any::<bool>()).prop_map(|(m, release)| Event::Resign(m, release)),
         3 => (machine, 0usize..2).prop_map(|(m, back)| Event::Hear(m, back)),
     ];
-    // Long pauses stand for freezes and cuts.
+    // Long pauses model frozen processes and lost connections.
     (prop_oneof![6 => 1u64..300, 1 => 1000u64..9000], kind)
 }
 
@@ -290,15 +291,15 @@
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
-    /// Two machines never order at a replica within the gap of each other, and
-    /// tokens only rise, whichever resignations are heard, late or not at all.
+    /// Two machines never order at a replica within the gap of each other, and tokens only
+    /// rise, whether resignations are received early, late or not at all.
     #[test]
     fn machines_never_take_turns_within_the_gap(events in prop::collection::vec(event(), 1..200)) {
         let plain = events.into_iter().map(|(pause, event)| (pause, Step::Event(event)));
         one_machine_orders_at_a_time(plain.collect())?;
     }
 
-    /// The same at a store that comes back from copies, some seconds old, or very old.
+    /// The same with a store that is restored from copies of any age.
     #[test]
     fn machines_never_take_turns_over_restores(steps in prop::collection::vec(step(), 1..200)) {
         one_machine_orders_at_a_time(steps)?;
@@ -308,7 +309,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Event(Event),
-    /// The store comes back from the copy that was taken so many steps ago.
+    /// The store is restored from the copy that was made so many steps ago.
     Restore(usize),
 }
 
@@ -337,7 +338,7 @@
             Step::Restore(back) => {
                 let copy = &copies[copies.len().saturating_sub(back + 1)];
                 store.restore(copy);
-                // Leases that the copy holds run on from the return.
+                // Leases in the copy start over at the restore.
                 store.expires = now + TIME_TO_LIVE;
                 continue;
             }
@@ -380,7 +381,7 @@
     Ok(())
 }
 
-/// Sends an order if the machine may; answers its token.
+/// Sends an order if the machine may do so. Returns the fencing token.
 fn order(machine: &mut Machine, replica: usize, is_answered: bool, now: u64) -> Option<u64> {
     let replica: ReplicaId = REPLICAS[replica].into();
     let token = machine.lease.order_token(at(now))?;
@@ -394,9 +395,9 @@
     Some(token)
 }
 
-/// What a node does against the store: renew and record what it holds, else
-/// acquire what is free, was its own, or was resigned. Answers a resignation if
-/// its term had ended.
+/// Runs one step of a machine: renews and records a lease that it holds; otherwise acquires
+/// the key if it is free, its own or resigned. Returns a resignation if the machine's term
+/// has ended.
 fn act(store: &mut Store, machine: &mut Machine, index: usize, now: u64) -> Option<Resignation> {
     if machine.hears(store.era) && machine.lease.lease().is_some() {
         return machine.resign(now);
