--- a/crates/croftrill-scheduler/src/shard.rs
+++ b/crates/croftrill-scheduler/src/shard.rs
@@ -1,8 +1,8 @@
-//! Shards: parts of the replicas that have an orderer each.
+//! Shards: disjoint subsets of the replicas, each with its own orderer.
 //!
-//! A failed orderer leaves only its own shard without orders; meanwhile the
-//! others load what is waited for at theirs. Which shard a replica belongs to
-//! follows from its identity alone, so all nodes agree on it without talking.
+//! A failed orderer leaves only its own shard without orders; meanwhile the other
+//! orderers load requested models at the replicas of their shards. A replica's shard
+//! is a function of its id alone, so all nodes agree on it without coordination.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 use crate::replica::ReplicaId;
 
-/// Number of shards. More shards lose less with one orderer, and split the
-/// weight store's ceiling into smaller parts.
+/// Number of shards. With more shards, the failure of one orderer affects fewer
+/// replicas, but each orderer gets a smaller share of the weight store's ceiling.
 pub const SHARD_COUNT: usize = 3;
 
 /// One of the [`SHARD_COUNT`] shards.
@@ -19,38 +19,38 @@
 pub struct Shard(u8);
 
 impl Shard {
-    /// All shards.
+    /// Returns all shards.
     pub fn all() -> impl Iterator<Item = Shard> {
         (0..SHARD_COUNT as u8).map(Shard)
     }
 
-    /// The shard of a number; `None` beyond the last.
+    /// Returns the shard with the given index, or `None` if there is no such shard.
     pub fn from_index(index: usize) -> Option<Shard> {
         (index < SHARD_COUNT).then_some(Shard(index as u8))
     }
 
-    /// The shard that a replica belongs to.
+    /// Returns the shard that a replica belongs to.
     pub fn of_replica(id: &str) -> Shard {
         Shard((xxh3_64(id.as_bytes()) % SHARD_COUNT as u64) as u8)
     }
 
-    /// Its number, from zero.
+    /// Returns the shard's zero-based index.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 }
 
-/// The replicas that one orderer orders at.
+/// The replicas that one orderer is responsible for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderScope {
     /// All replicas.
     Everything,
-    /// Those of one shard.
+    /// The replicas of one shard.
     One(Shard),
 }
 
 impl OrderScope {
-    /// True if the orderer orders at a replica.
+    /// Returns true if the orderer is responsible for the replica.
     pub fn covers(self, replica: &str) -> bool {
         match self {
             OrderScope::Everything => true,
@@ -58,9 +58,11 @@
         }
     }
 
-    /// True if it is this orderer's turn to act for what waited so long: at once
-    /// if it orders at `home`, the place that all orderers find best; else, as
-    /// the orderer there may be lost, one shard after the other.
+    /// Returns true if this orderer may act for requests that have waited for `waited`.
+    ///
+    /// The orderer of `home`, the replica that all orderers rank first, acts at once.
+    /// As it may have failed, the other shards follow one after the other, with a
+    /// delay of `patience` between them.
     pub fn has_turn(self, home: Option<&ReplicaId>, waited: Duration, patience: Duration) -> bool {
         let (OrderScope::One(own), Some(home)) = (self, home) else {
             return true;
--- a/crates/croftrill-scheduler/tests/candidacy.rs
+++ b/crates/croftrill-scheduler/tests/candidacy.rs
@@ -1,4 +1,4 @@
-//! Who becomes the orderer of a shard.
+//! Tests which node becomes the orderer of a shard.
 
 use croftrill_scheduler::candidacy::{should_hand_on, Candidacy, Candidate};
 use croftrill_scheduler::shard::{OrderScope, Shard, SHARD_COUNT};
@@ -20,8 +20,8 @@
     candidacy.place_in_line(nodes.iter().copied())
 }
 
-/// A node with an eighth of a core held two shards, had no time left, and took a
-/// configuration more than 3 s late (CONFIG on scale-1 of a grown site, seed 2).
+/// Guards against weak orderers: a node with an eighth of a core held two shards, had no
+/// processor time left, and applied a configuration more than 3 s late.
 #[test]
 fn place_in_line_puts_processor_time_first() {
     let nodes = [node("weak-1", 120), node("strong", 500), node("weak-2", 120)];
