--- a/crates/croftrill-scheduler/src/followed_view.rs
+++ b/crates/croftrill-scheduler/src/followed_view.rs
@@ -1,13 +1,14 @@
-//! How far a node's view of the store reaches, and when it need not ask itself.
+//! Tracks how far a node's view of the store reaches, and whether the node may rely
+//! on its relay instead of reading the store.
 //!
-//! One node (the orderer) watches the store and relays the changes. The others
-//! apply them and call the store only when the relay has a gap or has not
-//! proved for a while that it is complete.
+//! An orderer watches the store and relays the changes. The other nodes apply them
+//! and call the store only if the relay has a gap or has not recently proved that it
+//! is complete.
 //!
-//! Safety: a node believes the relay for at most `proof_lifetime` after the last
-//! proof, so nothing that the store acknowledged stays unknown to a node for
-//! longer than that and one call. A change is applied only if it is newer than
-//! the view, so a late relay never takes the view back.
+//! Safety: a node trusts the relay for at most `proof_lifetime` after the last proof,
+//! so a write that the store acknowledged stays unknown to a node for at most that
+//! time plus one call. A change is applied only if it is newer than the view, so a
+//! late message never moves the view backwards.
 
 use std::time::Duration;
 
@@ -16,46 +17,47 @@
 /// Settings of a followed view.
 #[derive(Debug, Clone, Copy)]
 pub struct FollowConfig {
-    /// Time for which a proof of completeness is believed.
+    /// Time for which a proof of completeness is valid.
     pub proof_lifetime: Duration,
 }
 
-/// A span of the store's history that was relayed.
+/// A relayed span of the store's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelayedSpan {
-    /// Revision after which the span begins.
+    /// Revision after which the span starts.
     pub after: u64,
     /// Last revision that it covers.
     pub reached: u64,
-    /// When the view that it leads to was complete.
+    /// When the view that results from it was known to be complete.
     pub proven_at: Moment,
 }
 
-/// What a relayed span means for the view.
+/// The effect of a relayed span on the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// It goes on from the view: its newer changes are to be applied.
+    /// The span continues the view: the caller applies its newer changes.
     Applied {
-        /// True if the relay was not believed before.
+        /// True if the relay was not trusted before.
         is_regained: bool,
     },
-    /// Something lies between the view and the span: the store must be asked.
+    /// Changes between the view and the span are missing: the store must be read.
     Gap,
-    /// The view is already past the span, which proves nothing.
+    /// The view is already past the span, so the span proves nothing.
     Behind,
 }
 
-/// Delay of a link beyond its least, from the times of the sender's clock in its
-/// messages. The clocks need not agree, only run alike.
+/// Measures the delay of a link in excess of its minimum, from the sender's timestamps
+/// in its messages. The clocks of both sides may differ, but must run at the same rate.
 #[derive(Debug, Default)]
 pub struct LinkDelay {
-    /// Least difference so far between arrival and sending, in nanoseconds.
+    /// Minimum difference so far between the time of receipt and the time of sending,
+    /// in nanoseconds.
     least_offset_ns: Option<i128>,
 }
 
 impl LinkDelay {
-    /// How much later than over the empty link a message came that was sent at
-    /// `sent_at` of the sender's steady clock.
+    /// Returns the excess delay of a message that was sent at `sent_at` by the sender's
+    /// monotonic clock and received at `now`.
     pub fn excess(&mut self, sent_at: Duration, now: Moment) -> Duration {
         let received_at = now.since(Moment::default());
         let offset_ns = received_at.as_nanos() as i128 - sent_at.as_nanos() as i128;
@@ -67,18 +69,18 @@
     }
 }
 
-/// Revision that a view reaches, and the last proof that it is complete.
+/// The revision that a view has reached, and the last proof that it is complete.
 #[derive(Debug)]
 pub struct FollowedView {
     config: FollowConfig,
     reached: u64,
-    /// Last revision that any relayed span told of, applied or not.
+    /// Highest revision that any relayed span covered, applied or not.
     told: u64,
     proven_at: Option<Moment>,
 }
 
 impl FollowedView {
-    /// A view of nothing.
+    /// Creates an empty view.
     pub fn new(config: FollowConfig) -> Self {
         FollowedView {
             config,
@@ -88,34 +90,36 @@
         }
     }
 
-    /// Revision up to which all changes are known.
+    /// Returns the revision up to which all changes are known.
     pub fn reached(&self) -> u64 {
         self.reached
     }
 
-    /// Last revision that the store is known to have, by the relay.
+    /// Returns the highest revision of the store that the relay has announced.
     pub fn told(&self) -> u64 {
         self.told
     }
 
-    /// True if a change at `revision` is not part of the view yet.
+    /// Returns true if a change at `revision` is not part of the view yet.
     pub fn is_new(&self, revision: u64) -> bool {
         revision > self.reached
     }
 
-    /// Everything is read anew: until [`Self::advance`], every span is a gap.
+    /// Resets the view before everything is read again: until [`Self::advance`], every
+    /// span is a gap.
     pub fn restart(&mut self) {
         self.reached = 0;
         self.proven_at = None;
     }
 
-    /// The store itself told everything up to a revision.
+    /// Records that all changes up to a revision have been read from the store or applied
+    /// from a span.
     pub fn advance(&mut self, reached: u64) {
         self.reached = self.reached.max(reached);
     }
 
-    /// Judges a relayed span. The caller applies the changes that [`Self::is_new`]
-    /// holds for and then calls [`Self::advance`].
+    /// Records a relayed span and returns its effect. If it is applied, the caller applies
+    /// the changes for which [`Self::is_new`] is true and then calls [`Self::advance`].
     pub fn judge(&mut self, span: RelayedSpan) -> RelayOutcome {
         self.told = self.told.max(span.reached);
         if span.after > self.reached {
@@ -132,8 +136,8 @@
         }
     }
 
-    /// Judges a view told whole, complete at `proven_at`; true if it is to be
-    /// taken: it is no older than this one.
+    /// Records a full view that was complete at `proven_at`. Returns true if the caller
+    /// should apply it, that is, if it is no older than this view.
     pub fn judge_whole(&mut self, reached: u64, proven_at: Moment) -> bool {
         self.told = self.told.max(reached);
         if reached < self.reached {
@@ -143,18 +147,18 @@
         true
     }
 
-    /// True while the relay is believed to be complete.
+    /// Returns true while the proof that the relay is complete is valid.
     pub fn relay_covers(&self, now: Moment) -> bool {
         self.covered_until().is_some_and(|until| now < until)
     }
 
-    /// When the relay stops being believed, if nothing more comes.
+    /// Returns when the relay stops being trusted if no further span arrives.
     pub fn covered_until(&self) -> Option<Moment> {
         self.proven_at
             .map(|proven_at| proven_at + self.config.proof_lifetime)
     }
 
-    /// The relay ended.
+    /// Records that the relay was lost.
     pub fn relay_lost(&mut self) {
         self.proven_at = None;
     }
--- a/crates/croftrill-scheduler/tests/followed_view.rs
+++ b/crates/croftrill-scheduler/tests/followed_view.rs
@@ -1,4 +1,5 @@
-//! A relayed view is complete, never goes back, and is not believed for long.
+//! Tests that a relayed view is complete, never moves backwards, and is trusted only for a
+//! limited time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -80,18 +81,18 @@
     assert_eq!(delay.excess(ms(50_300), at(1405)), ms(1000));
 }
 
-/// What happens to a listener in the model.
+/// An event in the model of a store, a relay and its follower.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The store takes a write of a key.
+    /// The store applies a write of a key.
     Write(u8),
-    /// The relaying node watches; its message is kept.
+    /// The relay watches the store and queues a message.
     Watch,
-    /// The oldest message that is kept arrives.
+    /// The oldest queued message arrives.
     Deliver,
-    /// The oldest message that is kept is lost.
+    /// The oldest queued message is lost.
     Lose,
-    /// The listener asks the store.
+    /// The follower reads the store.
     Ask,
 }
 
@@ -107,8 +108,8 @@
 }
 
 proptest! {
-    /// Whatever is lost, late or asked in between: the listener's view is the
-    /// store's at the revision that it has reached.
+    /// Whichever messages are lost or late and whenever the store is read, the follower's view
+    /// equals the store at the revision that the view has reached.
     #[test]
     fn view_equals_the_store_at_the_revision_reached(steps in steps()) {
         let mut history: Vec<u8> = Vec::new();
