--- a/crates/croftrill-scheduler/src/interest.rs
+++ b/crates/croftrill-scheduler/src/interest.rs
@@ -1,12 +1,13 @@
-//! What a node that does not know all replicas is told of them.
+//! Chooses which replicas are published to a follower that does not know all of them.
 //!
-//! In a large fleet a node needs to know the replicas that its callers' requests can go
-//! to, and no others. It names them as interests; whoever knows all replicas chooses
-//! some for each, and from then on tells every change of these.
+//! In a large fleet, a node only needs the replicas that its callers' requests can go
+//! to. It names them as interests; its relay, which knows all replicas, chooses some for
+//! each interest and from then on sends every change of these.
 //!
-//! Safety: a replica that was told stays told of, listing, placement and end, until the
-//! follower hears that it is not any more. So what a follower knows of a replica is never
-//! older than what its relay knows, but for the link between them.
+//! Safety: once a replica has been published to a follower, the relay sends every change of
+//! it (listing, placement and removal) until it tells the follower to forget the replica.
+//! So, apart from the delay of their link, what a follower knows of a replica is never
+//! older than what its relay knows.
 
 use std::collections::{HashMap, HashSet};
 
@@ -16,24 +17,24 @@
 use crate::replica::ReplicaId;
 use crate::replica_table::{Placement, ReplicaEntry, ReplicaTable, TableVersion};
 
-/// Replicas that are told for one interest at most, some 200 bytes each: 13 KB, 5 ms over
-/// 20 Mbit/s. All followers get the same of a model, so they bound what its requests can
-/// use: 64 engines of 64 places run 4,096 streams of one model at a time.
+/// Maximum number of replicas published for one interest. At about 200 bytes each they take
+/// 13 KB, or 5 ms over 20 Mbit/s. All followers get the same replicas of a model, so this
+/// also bounds the model's capacity: 64 engines with 64 slots run 4,096 streams at a time.
 pub const MOST_TOLD: usize = 64;
 
-/// Something that requests of a node ask for.
+/// A service, model or adapter that the requests at a node need.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Interest {
     /// The service.
     pub service: ServiceName,
-    /// The model; `None` for a service without models.
+    /// The model, or `None` for a service without models.
     pub model: Option<ModelName>,
-    /// An adapter of it.
+    /// An adapter of the model.
     pub adapter: Option<AdapterName>,
 }
 
 impl Interest {
-    /// The replicas of the table that serve it, or await what it asks for.
+    /// Returns the replicas in the table that serve the interest or are about to.
     fn fitting<'a>(&'a self, table: &'a ReplicaTable) -> Box<dyn Iterator<Item = &'a ReplicaEntry> + 'a> {
         match &self.model {
             None => Box::new(table.of_service(&self.service)),
@@ -49,7 +50,7 @@
         adapter.is_none() || entry.listing.holdings.serves(model, adapter)
     }
 
-    /// True if a replica serves it, or awaits what it asks for.
+    /// Returns true if a replica serves the interest or is about to.
     fn fits(&self, entry: &ReplicaEntry) -> bool {
         let of_service = entry.listing.service == self.service;
         of_service
@@ -58,7 +59,7 @@
             })
     }
 
-    /// True if a replica's new placement serves it.
+    /// Returns true if a replica with this new placement serves the interest or is about to.
     fn fits_placement(&self, placement: &Placement) -> bool {
         let Some(model) = &self.model else {
             return false;
@@ -68,43 +69,44 @@
     }
 }
 
-/// The replicas that were told for one interest.
+/// The replicas that were published for one interest.
 #[derive(Debug, Default)]
 struct ToldReplicas {
     ids: HashSet<ReplicaId>,
-    /// The table at which there was no room for one more: nor is there while it is the same.
+    /// The table version at which the limit was reached. The limit stays reached while the
+    /// table is unchanged.
     full_at: Option<TableVersion>,
 }
 
-/// One follower's interests, and the replicas that it was told of.
+/// One follower's interests, and the replicas that were published to it.
 #[derive(Debug)]
 pub struct FollowerInterests {
     zone: String,
-    /// Differs between followers, so that they share the replicas of services without
-    /// models.
+    /// Differs between followers, so that they spread over the replicas of services
+    /// without models.
     salt: u64,
-    /// What it wants to know of, each with the replicas that were told for it. Whether
-    /// there is room for one more goes by these and not by all replicas that fit: of a busy
-    /// model thousands do, and each of them would be a walk through all for each follower.
+    /// The interests, each with the replicas that were published for it. The limit is
+    /// checked against these and not against all matching replicas: a popular model has
+    /// thousands, and each of them would cost a scan of all of them for each follower.
     wanted: HashMap<Interest, ToldReplicas>,
     known: HashSet<ReplicaId>,
-    /// Replicas looked at to see whether there is room for one more.
+    /// Number of replicas scanned to check the limit.
     looked_at: u64,
 }
 
-/// What a follower must hear of a replica.
+/// What a follower must receive about a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MustHear {
     /// Nothing.
     Nothing,
-    /// The news.
+    /// The change.
     News,
-    /// All that is known of it, as the follower does not know the replica yet.
+    /// The full state of the replica, as the follower does not know it yet.
     Everything,
 }
 
 impl FollowerInterests {
-    /// A follower of a name and zone without interests.
+    /// Creates a follower without interests.
     pub fn new(name: &str, zone: &str) -> Self {
         FollowerInterests {
             zone: zone.to_string(),
@@ -115,8 +117,8 @@
         }
     }
 
-    /// The follower wants to know what serves an interest: the replicas that it must be
-    /// told of now, once more if it knows them already.
+    /// Adds an interest. Returns the replicas to send to the follower now, including those
+    /// that it already knows.
     pub fn want(&mut self, table: &ReplicaTable, interest: Interest) -> Vec<ReplicaId> {
         let chosen = self.choose(table, &interest);
         let told = ToldReplicas {
@@ -128,7 +130,8 @@
         chosen
     }
 
-    /// Everything that it must know, from nothing.
+    /// Chooses the replicas for all interests again. Returns all replicas that the follower
+    /// must know, assuming that it knows none.
     pub fn begin_anew(&mut self, table: &ReplicaTable) -> Vec<ReplicaId> {
         self.known.clear();
         let wanted: Vec<Interest> = self.wanted.keys().cloned().collect();
@@ -138,8 +141,8 @@
         self.known.iter().cloned().collect()
     }
 
-    /// Interests of which nothing was asked for long: the replicas that it is not told of
-    /// any more, and must forget.
+    /// Removes interests that no request has needed for a long time. Returns the replicas
+    /// that are no longer published to the follower, which must forget them.
     pub fn forget(&mut self, table: &ReplicaTable, interests: &[Interest]) -> Vec<ReplicaId> {
         interests.iter().for_each(|interest| {
             self.wanted.remove(interest);
@@ -161,8 +164,8 @@
         gone
     }
 
-    /// A replica was listed, or its listing changed. What it holds may have been told
-    /// before, so its entry in the table is what counts.
+    /// Handles a new or changed listing of a replica. The table may already hold the
+    /// replica's placement, so the replica is matched by its entry in the table.
     pub fn hears_listing(&mut self, table: &ReplicaTable, id: &ReplicaId) -> MustHear {
         if self.known.contains(id) {
             return MustHear::News;
@@ -173,13 +176,13 @@
         self.tell_for(table, id, |interest| interest.fits(entry))
     }
 
-    /// What a replica holds changed.
+    /// Handles a changed placement of a replica.
     pub fn hears_placement(&mut self, table: &ReplicaTable, placement: &Placement) -> MustHear {
         if self.known.contains(&placement.replica) {
             return MustHear::News;
         }
         if table.get(&placement.replica).is_none() {
-            // It is told with its listing.
+            // It is published once its listing arrives.
             return MustHear::Nothing;
         }
         self.tell_for(table, &placement.replica, |interest| {
@@ -187,8 +190,8 @@
         })
     }
 
-    /// A replica that the follower does not know fits some interests: it is told for the
-    /// first of them that has room.
+    /// Publishes a replica that the follower does not know if at least one of the
+    /// interests that it fits is below the limit.
     fn tell_for(
         &mut self,
         table: &ReplicaTable,
@@ -201,7 +204,7 @@
             return MustHear::Nothing;
         }
         self.known.insert(id.clone());
-        // It serves the others, too: they need as many fewer.
+        // It counts towards the limit of every interest that it fits.
         let fitting = self.wanted.iter_mut().filter(|(interest, _)| fits(interest));
         fitting.for_each(|(_, told)| {
             told.ids.insert(id.clone());
@@ -209,12 +212,12 @@
         MustHear::Everything
     }
 
-    /// True if the follower is told of a replica.
+    /// Returns true if a replica is published to the follower.
     pub fn knows(&self, id: &str) -> bool {
         self.known.contains(id)
     }
 
-    /// A replica is gone; true if the follower knew it.
+    /// Removes a replica. Returns true if the follower knew it.
     pub fn hears_removal(&mut self, id: &str) -> bool {
         let was_known = self.known.remove(id);
         if was_known {
@@ -223,12 +226,12 @@
         was_known
     }
 
-    /// All that it wants to know of.
+    /// Returns all interests.
     pub fn wanted(&self) -> impl Iterator<Item = &Interest> {
         self.wanted.keys()
     }
 
-    /// What of that is about one of these models.
+    /// Returns the interests in one of these models.
     pub fn wanted_of<'a>(&'a self, models: &'a [ModelName]) -> impl Iterator<Item = &'a Interest> + 'a {
         let is_of = |interest: &&Interest| {
             interest
@@ -239,15 +242,16 @@
         self.wanted.keys().filter(is_of)
     }
 
-    /// Replicas looked at so far to see whether there is room for one more: how the work
-    /// grows with the fleet.
+    /// Returns the number of replicas scanned so far to check limits, which shows how the
+    /// work grows with the fleet.
     pub fn looked_at(&self) -> u64 {
         self.looked_at
     }
 
-    /// The replicas for an interest: of a model the same for all followers, as they agree
-    /// without talking where a prompt's shared part is kept; of a service without models
-    /// those of the follower's zone, each follower beginning elsewhere.
+    /// Chooses the replicas for an interest. For a model, all followers get the same ones,
+    /// as nodes must agree without coordination on the replica that caches a shared prompt
+    /// prefix. For a service without models, replicas in the follower's zone come first, in
+    /// an order that differs between followers.
     fn choose(&self, table: &ReplicaTable, interest: &Interest) -> Vec<ReplicaId> {
         let seed = match &interest.model {
             Some(model) => xxh3_64(model.as_bytes()),
@@ -271,8 +275,9 @@
 }
 
 impl ToldReplicas {
-    /// True if one more replica may be told. Those that do not fit the interest now leave
-    /// their places for as long: after an orderer was lost they fit again with its next word.
+    /// Returns true if one more replica may be published. Replicas that do not fit the
+    /// interest at present do not count towards the limit, but stay recorded: after the
+    /// loss of an orderer they fit again with its next message.
     fn has_room(
         &mut self,
         table: &ReplicaTable,
--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -1,4 +1,4 @@
-//! What a follower is told by its interests, against what its relay knows.
+//! Tests what a follower receives for its interests against what its relay knows.
 
 use std::collections::BTreeMap;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is told of a replica: whether it is ready, and what it holds.
+/// What is published of a replica: whether it is ready, and the models it holds.
 type Told = (bool, Vec<String>);
 
 fn told(table: &ReplicaTable, id: &str) -> Option<Told> {
@@ -74,7 +74,7 @@
     ))
 }
 
-/// A relay, one follower, and what it was told.
+/// A relay, one follower, and what the follower has received.
 struct Pair {
     table: ReplicaTable,
     relay: FollowerInterests,
@@ -158,7 +158,7 @@
     assert!(chosen.iter().all(of_zone));
 }
 
-/// A replica with an adapter may not be among those that all are told of its model.
+/// A replica with an adapter is not always among those that are published for its model.
 #[test]
 fn want_of_an_adapter_names_its_holder_among_hundreds() {
     let mut table = ReplicaTable::new();
@@ -175,8 +175,8 @@
 }
 
 proptest! {
-    /// Whatever changes in whatever order, a follower knows of each replica that it knows
-    /// what its relay knows, and knows something that serves each interest if there is.
+    /// For any sequence of changes, a follower knows the same as its relay about each replica
+    /// that it knows, and it knows the holders of the models of its interests.
     #[test]
     fn follower_knows_what_the_relay_knows(steps in prop::collection::vec((0u8..8, 0usize..12, prop::collection::vec(1usize..4, 0..3), any::<bool>()), 1..120)) {
         let mut pair = Pair::new();
@@ -214,8 +214,8 @@
     }
 }
 
-/// A relay of a large fleet, and a follower whose requests ask for one busy model: half of
-/// all replicas hold it.
+/// Creates a relay's table of a large fleet and a follower whose requests need one popular
+/// model that half of all replicas hold.
 fn busy_model(replicas: usize) -> (ReplicaTable, FollowerInterests) {
     let mut table = ReplicaTable::new();
     for index in 0..replicas {
@@ -227,18 +227,12 @@
     (table, follower)
 }
 
-/// Seen: relays of a fleet of 985 nodes before 10,000 replicas stopped speaking for up to 2.3
-/// s; links ended, callers' requests waited for models that were there.
-///
-/// How it came about: a relay that linked to an orderer anew passed on what that told of all
-/// replicas. So long a pause ended more links, and each new one told of all replicas again.
-///
-/// Cause: for each follower, and for each replica of a model that it wants, the relay looked
-/// through all replicas of the model to see whether the follower had room for one more: of a
-/// busy model thousands, squared.
-///
-/// Proof: the line on what held the thread up, 192 pieces of news for followers in 2.3 s; and
-/// this test, which looked at four times as many entries for twice the replicas.
+/// Guards against quadratic work at relays. For each follower and each replica of a requested
+/// model, a relay scanned all replicas of the model to check the follower's limit. In a fleet
+/// of 985 nodes and 10,000 replicas this blocked relays for up to 2.3 s whenever one
+/// reconnected to an orderer and relayed the state of all replicas: links ended, each new
+/// link sent all replicas again, and requests waited for models that were loaded. With that
+/// scan, the test visits four times as many entries for twice the replicas.
 #[test]
 fn hears_placement_of_all_replicas_looks_at_no_more_than_grows_with_them() {
     let looked_at = [2_000, 4_000].map(|replicas| {
