--- a/crates/croftrill-scheduler/src/relay_log.rs
+++ b/crates/croftrill-scheduler/src/relay_log.rs
@@ -1,23 +1,23 @@
-//! The newest changes that a node passed on, for listeners that missed some.
+//! Buffers recently relayed changes, for followers that missed some.
 
 use std::collections::{HashSet, VecDeque};
 
-/// A change and its place in the store's history.
+/// A change and its revision in the store's history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Revised<T> {
-    /// Store revision of the change.
+    /// The store revision of the change.
     pub revision: u64,
     /// The change.
     pub change: T,
-    /// Its size in a message, in bytes.
+    /// The size of the change in a message, in bytes.
     pub size_bytes: usize,
 }
 
-/// Changes of one unbroken span of the store's history, the oldest dropped
-/// first when they take too much memory.
+/// The relayed changes of one contiguous span of the store's history. The oldest
+/// changes are dropped first when the log exceeds its memory limit.
 ///
-/// Invariant: it holds every change that was passed on of the revisions after
-/// `begins_after` up to `reached`.
+/// Invariant: it holds every relayed change with a revision after `begins_after` and
+/// up to `reached`.
 #[derive(Debug)]
 pub struct RelayLog<T> {
     most_bytes: usize,
@@ -28,7 +28,7 @@
 }
 
 impl<T: Clone> RelayLog<T> {
-    /// An empty log of up to `most_bytes`.
+    /// Creates an empty log that holds up to `most_bytes`.
     pub fn new(most_bytes: usize) -> Self {
         RelayLog {
             most_bytes,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// The span after `after` up to `reached` was passed on, with these changes.
-    /// Where it does not go on from the last one, the log begins anew.
+    /// Appends the changes of a relayed span after `after` and up to `reached`. If the
+    /// span leaves a gap to the previous one, the log is cleared first.
     pub fn push(&mut self, after: u64, reached: u64, changes: impl IntoIterator<Item = Revised<T>>) {
         if after > self.reached || self.reached == 0 {
             self.changes.clear();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The last revision, and what changed after `revision`; `None` if the log
-    /// does not reach back so far.
+    /// Returns the last revision and the changes after `revision`, or `None` if the log
+    /// does not cover that revision.
     pub fn since(&self, revision: u64) -> Option<(u64, Vec<Revised<T>>)> {
         let is_covered = self.reached > 0 && (self.begins_after..=self.reached).contains(&revision);
         is_covered.then(|| {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Leaves out each write that a later one of the same key replaces. `key`: the key
-/// that a change writes; `None` keeps the change.
+/// Removes each write that a later write of the same key replaces. `key` returns the key
+/// that a change writes; changes for which it returns `None` are retained.
 pub fn keep_last_writes<T>(changes: &mut Vec<T>, key: impl Fn(&T) -> Option<&str>) {
     let mut later: HashSet<String> = HashSet::new();
     let mut kept: Vec<T> = Vec::with_capacity(changes.len());
--- a/crates/croftrill-scheduler/src/relay_tree.rs
+++ b/crates/croftrill-scheduler/src/relay_tree.rs
@@ -1,58 +1,58 @@
-//! Which nodes pass news on to others in a large fleet.
+//! Chooses the nodes that relay updates to others in a large fleet.
 //!
-//! A few orderers telling hundreds of nodes would fill their links. So in each
-//! zone a few strong nodes, its relays, listen to the orderers, and the other
-//! nodes of the zone listen to one of them. Every node works this out from the
-//! list of nodes alone; nodes whose lists differ for a while only link less
-//! evenly, as a relay serves whoever asks.
+//! If a few orderers sent updates to hundreds of nodes, their links would saturate.
+//! So in each zone a few nodes with the most processor time, its relays, follow the
+//! orderers, and the other nodes of the zone follow one of the relays. Every node
+//! computes this from the list of nodes alone. While the lists of nodes differ, the
+//! followers are only spread less evenly, as a relay serves every node that requests it.
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Fleets of up to so many nodes have no relays: each orderer tells that many
-/// directly. Chosen, not measured: between the fleets of 8 and of 86 nodes played.
+/// Maximum number of nodes in a fleet without relays: each orderer sends updates to that
+/// many nodes directly. It lies between the tested fleets of 8 and of 86 nodes.
 const MOST_WITHOUT_RELAYS: usize = 32;
-/// Nodes of a zone for each of its relays. Chosen, not measured: at 295 nodes in
-/// six zones it gives relays and orderers about twenty listeners each.
+/// Number of nodes in a zone per relay. With 295 nodes in six zones, relays and orderers
+/// have about twenty followers each.
 const NODES_PER_RELAY: usize = 24;
-/// Relays of a zone at least, so that one can fail.
+/// Minimum number of relays per zone, so that one can fail.
 const LEAST_RELAYS: usize = 2;
 
-/// A node as its place in the tree is worked out.
+/// The properties of a node that determine its role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TreeNode<'a> {
-    /// Its name.
+    /// The node's name.
     pub name: &'a str,
-    /// Its zone.
+    /// The node's zone.
     pub zone: &'a str,
-    /// Processor time that it may use, in thousandths of a core.
+    /// Processor time available to the node, in thousandths of a core.
     pub processor_millicores: u32,
-    /// True if it is an orderer now.
+    /// True if the node is an orderer at present.
     pub is_orderer: bool,
 }
 
 impl TreeNode<'_> {
-    /// Relays are the first by this rank: orderers have enough to do, and the
-    /// strongest carry most.
+    /// Ranks the nodes of a zone; the first ones are its relays. Orderers come last, as
+    /// they are busy already, and nodes with more processor time come first.
     fn rank(&self) -> (bool, Reverse<u32>, u64) {
         let hash = xxh3_64(self.name.as_bytes());
         (self.is_orderer, Reverse(self.processor_millicores), hash)
     }
 }
 
-/// Whom a node listens to.
+/// What a node follows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TreePlace<'a> {
-    /// The orderers, and it serves nobody in particular.
+    /// The node follows the orderers and is not a relay.
     Direct,
-    /// The orderers, and it passes on what it hears.
+    /// The node follows the orderers and relays their updates.
     Relay,
-    /// One of these relays of its zone; the first that can be reached.
+    /// The node follows the first of these relays of its zone that is reachable.
     Below(Vec<&'a str>),
 }
 
-/// The place of `own` among `nodes`, which may contain it.
+/// Returns the role of `own` among `nodes`, which may contain it.
 pub fn place<'a>(own: TreeNode<'a>, nodes: impl Iterator<Item = TreeNode<'a>>) -> TreePlace<'a> {
     let nodes: Vec<TreeNode<'a>> = nodes.collect();
     if own.is_orderer || nodes.len() <= MOST_WITHOUT_RELAYS {
@@ -68,7 +68,7 @@
     if relays.contains(&own.name) {
         return TreePlace::Relay;
     }
-    // Each node begins with another one, so that the relays share the nodes.
+    // Nodes start at different relays, so that the followers spread over the relays.
     let first = xxh3_64(own.name.as_bytes()) as usize % relays.len();
     relays.rotate_left(first);
     TreePlace::Below(relays)
--- a/crates/croftrill-scheduler/tests/relay_log.rs
+++ b/crates/croftrill-scheduler/tests/relay_log.rs
@@ -1,4 +1,4 @@
-//! The log of passed-on changes replays exactly what it covers.
+//! Tests that the log of relayed changes replays exactly what it covers.
 
 use croftrill_scheduler::relay_log::{keep_last_writes, RelayLog, Revised};
 use proptest::prelude::*;
@@ -51,8 +51,8 @@
 }
 
 proptest! {
-    /// Spans that overlap, repeat, or leave gaps: whatever is replayed is all
-    /// that happened since then, once, in order.
+    /// Spans may overlap, repeat or leave gaps: a replay consists of all changes since the
+    /// revision, once and in order.
     #[test]
     fn since_is_complete(spans in prop::collection::vec((0u64..40, 0u64..8), 1..20), most in 10usize..400, after in 0u64..50) {
         let mut log = RelayLog::new(most);
--- a/crates/croftrill-scheduler/tests/relay_tree.rs
+++ b/crates/croftrill-scheduler/tests/relay_tree.rs
@@ -1,15 +1,15 @@
-//! In a large fleet a few strong nodes of each zone relay to the others.
+//! Tests that in a large fleet a few strong nodes of each zone relay to the others.
 
 use croftrill_scheduler::relay_tree::{place, TreeNode, TreePlace};
 use proptest::prelude::*;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A fleet of so many nodes over three zones; every tenth is strong.
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|index| format!("n{index}")).collect()
 }
 
+/// Creates a node in one of three zones; every tenth node is strong.
 fn node<'a>(index: usize, name: &'a str, orderers: &[usize]) -> TreeNode<'a> {
     TreeNode {
         name,
@@ -62,9 +62,9 @@
 }
 
 proptest! {
-    /// Whoever is below someone is below relays of its own zone that know that
-    /// they are relays, so no two nodes follow each other; no relay has many more
-    /// than its part of the zone.
+    /// Every follower follows relays of its own zone that have the role of a relay by their
+    /// own computation, so no two nodes follow each other. No relay has far more followers
+    /// than its share of the zone.
     #[test]
     fn place_below_names_relays_of_the_zone(count in 33usize..400, orderers in prop::collection::vec(0usize..400, 0..4)) {
         let names = names(count);
