--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -1,10 +1,10 @@
-//! The orderer's account of one replica: what it holds, and the order under way.
+//! The orderer's ledger of one replica: its holdings and the pending order.
 //!
-//! Safety: at most one order is under way, and each names the sequence it
-//! expects. An order without an answer may still be carried out, but only while
-//! the replica's sequence is the one it named, that is in the very state it was
-//! checked against; any later order that is taken makes it void. So what was
-//! checked to fit, fits whenever it is carried out.
+//! Safety: at most one order is pending, and each order names the sequence that it
+//! expects. An unanswered order may still be executed, but only while the replica is
+//! at that sequence, that is, in the state against which the order was checked; any
+//! later order that is accepted invalidates it. So an order that was checked to fit
+//! the replica's memory fits whenever it is executed.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
 /// Timing of the ledger.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerConfig {
-    /// Age that a report may have when it arrives.
+    /// Maximum age of a report when it arrives.
     pub report_lag: Duration,
-    /// Time between questions while an order is under way.
+    /// Time between requests for reports while an order is pending.
     pub poll_every: Duration,
-    /// Least time between questions otherwise.
+    /// Minimum time between requests for reports otherwise.
     pub idle_poll_every: Duration,
-    /// After this time without effect an order counts as failed.
+    /// Time after which an order without effect counts as failed.
     pub give_up_after: Duration,
-    /// Adapters that may be on their way to a replica at once.
+    /// Maximum number of adapters that load at a replica at once.
     pub adapters_in_transit: usize,
 }
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// An order may take so many times what it takes alone before it counts as failed.
+/// Multiple of its expected duration after which an order counts as failed.
 const SLOWEST_ORDER: u32 = 6;
 
-/// Progress of the order under way.
+/// Progress of the pending order.
 #[derive(Debug, Clone, PartialEq)]
 enum Progress {
-    /// Sent; its answer is awaited.
+    /// Sent, but not answered yet.
     Sent,
-    /// Taken; its effect should show at `expected_at`.
+    /// Accepted; its effect is expected at `expected_at`.
     Taken { expected_at: Moment },
-    /// Its answer is missing since then.
+    /// The answer was lost at that time.
     Unknown { since: Moment },
 }
 
@@ -60,7 +60,7 @@
     progress: Progress,
 }
 
-/// An adapter whose load was taken, and that should be there by now or soon.
+/// An adapter whose load was accepted, and that should have arrived or arrive soon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct AdapterInTransit {
     model: ModelName,
@@ -69,40 +69,40 @@
     has_arrived: bool,
 }
 
-/// The orderer's account of one replica.
+/// The orderer's ledger of one replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaLedger {
     config: LedgerConfig,
     holdings: Holdings,
     confirmed: bool,
     pending: Option<Pending>,
-    /// Adapters that count as held since their load was taken, without waiting
-    /// for a report, so that the next order may follow at once. They are kept
-    /// here for as long as reports may lack them.
+    /// Adapters that count as held since their load was accepted, without waiting for
+    /// a report, so that the next order may follow at once. They stay here for as long
+    /// as reports may lack them.
     in_transit: Vec<AdapterInTransit>,
     busy: bool,
     asking: bool,
     next_question: Moment,
-    /// True if its next report is waited for: an order depends on it.
+    /// True if an order depends on the next report.
     is_awaited: bool,
 }
 
-/// Change that an event made to a ledger.
+/// The effect of an event on a ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerChange {
-    /// Nothing that others need to know.
+    /// No change that matters outside the ledger.
     None,
-    /// Holdings changed.
+    /// The holdings changed.
     Holdings,
-    /// The order under way is done.
+    /// The pending order is done.
     Done(Order),
-    /// The order under way was not taken or came to nothing.
+    /// The pending order was not accepted or had no effect.
     Failed(Order),
 }
 
 impl ReplicaLedger {
-    /// An account that begins with what the directory lists; it must be
-    /// confirmed by a report before the first order.
+    /// Creates a ledger from the holdings that the directory lists. A report must
+    /// confirm it before the first order.
     pub fn new(config: LedgerConfig, listed: Holdings, now: Moment) -> Self {
         ReplicaLedger {
             config,
@@ -117,19 +117,19 @@
         }
     }
 
-    /// What the replica holds as far as is known.
+    /// Returns the known holdings of the replica.
     pub fn holdings(&self) -> &Holdings {
         &self.holdings
     }
 
-    /// True if an order may be given now.
+    /// Returns true if an order may be sent now.
     pub fn is_idle(&self) -> bool {
         let in_transit = self.in_transit.iter().filter(|adapter| !adapter.has_arrived);
         let may_send = in_transit.count() < self.config.adapters_in_transit;
         self.confirmed && self.pending.is_none() && !self.busy && may_send
     }
 
-    /// True if the adapter is held, but requests may not rely on it yet.
+    /// Returns true if the adapter counts as held, but requests may not rely on it yet.
     pub fn is_in_transit(&self, model: &str, adapter: &str) -> bool {
         self.in_transit
             .iter()
@@ -137,7 +137,7 @@
             .any(|transit| &*transit.model == model && &*transit.adapter == adapter)
     }
 
-    /// Notes which adapters should have arrived by now; true if there are any.
+    /// Marks the adapters that should have arrived by now. Returns true if there are any.
     pub fn settle(&mut self, now: Moment) -> bool {
         let mut any = false;
         for transit in &mut self.in_transit {
@@ -151,12 +151,12 @@
         any
     }
 
-    /// The order under way.
+    /// Returns the pending order.
     pub fn pending(&self) -> Option<&Order> {
         self.pending.as_ref().map(|pending| &pending.order)
     }
 
-    /// The model being loaded, and when it should be there.
+    /// Returns the model that is being loaded and when its load should end.
     pub fn loading(&self) -> Option<(&ModelName, Moment)> {
         match self.pending.as_ref()? {
             Pending {
@@ -168,11 +168,11 @@
         }
     }
 
-    /// The directory lists holdings. A listing may be older than an order, so it
-    /// counts only until a report has confirmed the account.
+    /// Applies the holdings that the directory lists. A listing may be older than an
+    /// order, so it is used only until a report has confirmed the ledger.
     pub fn listed(&mut self, listed: &Holdings) -> LedgerChange {
         if self.confirmed && self.pending.is_none() && !lists_same_models(listed, &self.holdings) {
-            // One of the two is old: the replica knows which.
+            // One of the two is outdated; a report from the replica shows which.
             self.next_question = Moment::default();
         }
         if self.confirmed || self.pending.is_some() || *listed == self.holdings {
@@ -182,7 +182,7 @@
         LedgerChange::Holdings
     }
 
-    /// An order is sent now; answers the sequence that it must name.
+    /// Records that an order is being sent. Returns the sequence that the order must name.
     pub fn send(&mut self, order: Order, now: Moment) -> u64 {
         self.end_transit(&order);
         self.pending = Some(Pending {
@@ -193,7 +193,8 @@
         self.holdings.sequence
     }
 
-    /// The order was answered. `expected_in`: time until its effect, if it was taken.
+    /// Records the outcome of the pending order. `expected_in` is the time until its
+    /// effect if it was accepted.
     pub fn answered(&mut self, outcome: OrderOutcome, expected_in: Duration, now: Moment) -> LedgerChange {
         let Some(mut pending) = self.pending.take() else {
             return LedgerChange::None;
@@ -214,7 +215,7 @@
                 LedgerChange::Holdings
             }
             OrderOutcome::AlreadyHolds => {
-                // Dropping an adapter is done at once and counts as an order taken.
+                // Unloading an adapter completes at once and counts as an accepted order.
                 if matches!(pending.order, Order::UnloadAdapter(..)) {
                     self.holdings.sequence += 1;
                 }
@@ -238,19 +239,19 @@
         }
     }
 
-    /// Since when a report should be asked for, if one should.
+    /// Returns since when a report has been due, if one should be requested now.
     pub fn report_due(&self, now: Moment) -> Option<Moment> {
         let is_due = !self.asking && now >= self.next_question && !self.is_sent();
         is_due.then_some(self.next_question)
     }
 
-    /// True if an order depends on the next report; else it only shows what changed
-    /// without orders.
+    /// Returns true if an order depends on the next report. Otherwise the report only
+    /// shows changes that no order caused.
     pub fn is_report_awaited(&self) -> bool {
         self.is_awaited || self.pending.is_some() || self.busy
     }
 
-    /// An order may follow as soon as a report has confirmed this account.
+    /// Notes that an order will follow as soon as a report has confirmed the ledger.
     pub fn await_confirmation(&mut self, now: Moment) {
         if !self.confirmed && !self.is_awaited {
             self.is_awaited = true;
@@ -258,19 +259,19 @@
         }
     }
 
-    /// A report is asked for.
+    /// Records that a report is being requested.
     pub fn report_asked(&mut self) {
         self.asking = true;
         self.is_awaited = false;
     }
 
-    /// No report came.
+    /// Records that the requested report did not arrive.
     pub fn report_failed(&mut self, now: Moment) {
         self.asking = false;
         self.next_question = now + self.config.report_lag;
     }
 
-    /// A report that was asked for at `asked_at` came.
+    /// Applies a report that was requested at `asked_at`.
     pub fn reported(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
         self.asking = false;
         self.next_question = now + self.config.poll_every;
@@ -300,7 +301,7 @@
         }
     }
 
-    /// Settles the order under way by a report of the same or a later sequence.
+    /// Updates the pending order by a report of the same or a later sequence.
     fn judge_pending(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
         let Some(mut pending) = self.pending.take() else {
             return LedgerChange::None;
@@ -315,8 +316,8 @@
                 return self.judge_pending(report, asked_at, now);
             }
             Progress::Unknown { since } => {
-                // Not taken when the report was made: it may still be carried
-                // out, but only in the state that it was checked against.
+                // The order had not been accepted when the report was made. It may still
+                // be executed, but only in the state against which it was checked.
                 if asked_at.since(since) >= self.config.report_lag {
                     return LedgerChange::Failed(pending.order);
                 }
@@ -337,8 +338,8 @@
         LedgerChange::None
     }
 
-    /// Time after which an order that was taken counts as failed: a load that shares the
-    /// weight store takes longer than it would alone.
+    /// Returns the time after which an accepted order counts as failed. It allows for
+    /// loads that share the weight store, which take longer than they would alone.
     fn longest_order(&self, pending: &Pending) -> Duration {
         let expected = match pending.progress {
             Progress::Taken { expected_at } => expected_at.since(pending.sent_at),
@@ -347,7 +348,7 @@
         self.config.give_up_after.max(expected * SLOWEST_ORDER)
     }
 
-    /// The adapter takes its place at once, so that no later order takes it.
+    /// Reserves the adapter's slot at once, so that no later order uses it.
     fn begin_transit(&mut self, order: &Order, expected_at: Moment) {
         self.apply(order);
         if let Order::LoadAdapter(model, adapter) = order {
@@ -360,7 +361,8 @@
         }
     }
 
-    /// A report of this sequence may be from before an adapter arrived.
+    /// Adds the adapters in transit to the holdings of a report, which may have been made
+    /// before they arrived.
     fn keep_in_transit(&mut self) {
         for transit in std::mem::take(&mut self.in_transit) {
             self.apply(&Order::LoadAdapter(
@@ -371,7 +373,7 @@
         }
     }
 
-    /// An adapter that is dropped is no longer on its way.
+    /// Ends the transit of an adapter that is being unloaded.
     fn end_transit(&mut self, order: &Order) {
         if let Order::UnloadAdapter(model, adapter) = order {
             self.in_transit
@@ -421,7 +423,7 @@
     }
 }
 
-/// True if a listing names the models that an account does.
+/// Returns true if a listing names the same models as the ledger.
 fn lists_same_models(listed: &Holdings, known: &Holdings) -> bool {
     let names = |model: &crate::replica::HeldModel| known.model(&model.model).is_some();
     listed.models.len() == known.models.len() && listed.models.iter().all(names)
--- a/crates/croftrill-scheduler/tests/replica_ledger.rs
+++ b/crates/croftrill-scheduler/tests/replica_ledger.rs
@@ -1,4 +1,4 @@
-//! The orderer's account of one replica.
+//! Tests the orderer's ledger of one replica.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// True if a report is due, which is then asked for.
+/// Returns true if a report is due, and records it as requested.
 fn asks_report(ledger: &mut ReplicaLedger, now: Moment) -> bool {
     let is_due = ledger.report_due(now).is_some();
     if is_due {
@@ -41,7 +41,7 @@
     }
 }
 
-/// An account that a report has confirmed at sequence 5.
+/// Creates a ledger that a report has confirmed at sequence 5.
 fn confirmed() -> ReplicaLedger {
     let mut ledger = ReplicaLedger::new(LedgerConfig::default(), holdings(0, &["m1"]), at(0));
     assert!(asks_report(&mut ledger, at(0)));
@@ -92,7 +92,7 @@
     assert_eq!(
         ledger.send(Order::LoadModel("m3".into()), at(920)),
         5,
-        "only one of both can be taken"
+        "only one of the two orders can be accepted"
     );
 }
 
@@ -118,7 +118,7 @@
     assert!(!ledger.is_idle());
     assert!(
         !asks_report(&mut ledger, at(200)),
-        "a report may be a while behind"
+        "a report may be older than the conflict"
     );
     assert!(asks_report(&mut ledger, at(400)));
     ledger.reported(&report(7, &["m2"], false), at(400), at(410));
@@ -126,7 +126,8 @@
     assert!(ledger.holdings().serves("m2", None));
 }
 
-/// The list's sequence counts heartbeats: it made every report look old.
+/// The sequence of a listing counts heartbeats. When listings were applied after a report,
+/// their higher sequence made every later report look outdated.
 #[test]
 fn listings_do_not_count_once_a_report_came() {
     let mut ledger = confirmed();
@@ -134,7 +135,8 @@
     assert!(ledger.holdings().serves("m1", None));
 }
 
-/// Takes the load of an adapter, at `now_ms`.
+/// Sends an order to load an adapter at `now_ms`, which is accepted. Returns the sequence
+/// that the order names.
 fn load_adapter(ledger: &mut ReplicaLedger, adapter: &str, now_ms: u64) -> u64 {
     let order = Order::LoadAdapter("m1".into(), adapter.into());
     let sequence = ledger.send(order.clone(), at(now_ms));
@@ -143,8 +145,8 @@
     sequence
 }
 
-/// Each adapter order waited for a report that showed it: one each 150 to 180 ms
-/// at a replica, although an adapter loads in 10 ms.
+/// Guards against slow adapter loads: when each order waited for a report that showed its
+/// effect, a replica got one adapter each 150 to 180 ms, although an adapter loads in 10 ms.
 #[test]
 fn adapter_orders_follow_without_a_report() {
     let mut ledger = confirmed();
@@ -169,8 +171,8 @@
     assert!(ledger.is_idle());
 }
 
-/// An adapter that a report lacks, as it was on its way, gave up its place to
-/// another: one more than the replica's places.
+/// Guards against overfilling a replica: when a report lacked an adapter that was still in
+/// transit, its slot was given to another adapter, one more than the replica has slots.
 #[test]
 fn a_report_without_an_adapter_in_transit_frees_no_place() {
     let mut ledger = confirmed();
@@ -180,7 +182,7 @@
     assert!(ledger.holdings().serves("m1", Some("a1")));
     ledger.settle(at(900));
     ledger.reported(&report(6, &["m1"], false), at(900), at(910));
-    assert!(!ledger.holdings().serves("m1", Some("a1")), "it did not come");
+    assert!(!ledger.holdings().serves("m1", Some("a1")), "it never arrived");
 }
 
 #[test]
