--- a/crates/croftrill-scheduler/src/load_ceiling.rs
+++ b/crates/croftrill-scheduler/src/load_ceiling.rs
@@ -1,14 +1,14 @@
-//! The bound on loads that begin at the weight store within a sliding window.
+//! A limit on the loads from the weight store that start within a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Moment;
 
-/// Admits loads from the weight store under a ceiling over a sliding window.
+/// Admits loads from the weight store up to a ceiling per sliding window.
 ///
 /// Invariant: within any `window`, no more than `ceiling` loads are admitted,
-/// where loads of a former orderer count as begun at the takeover.
+/// where loads of a previous orderer count as started at the takeover.
 #[derive(Debug)]
 pub struct LoadCeiling {
     window: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl LoadCeiling {
-    /// A ceiling over `window` with no load begun.
+    /// Creates a ceiling over `window` without any loads.
     pub fn new(window: Duration) -> Self {
         LoadCeiling {
             window,
@@ -24,18 +24,18 @@
         }
     }
 
-    /// After a takeover: counts the former's loads as if `ceiling` of them had begun now.
+    /// Assumes after a takeover that the previous orderer started `ceiling` loads just now.
     pub fn assume_full(&mut self, now: Moment, ceiling: usize) {
         self.begun.clear();
         self.begun.extend(std::iter::repeat_n(now, ceiling));
     }
 
-    /// Loads within the window, by when they began.
+    /// Returns the start times of the counted loads.
     pub fn begun(&self) -> impl Iterator<Item = Moment> + '_ {
         self.begun.iter().copied()
     }
 
-    /// True if one more load may begin.
+    /// Returns true if one more load may start.
     pub fn admits(&mut self, now: Moment, ceiling: usize) -> bool {
         while self
             .begun
@@ -47,7 +47,8 @@
         self.begun.len() < ceiling
     }
 
-    /// Counts a load that may begin now, or begins late if its answer is lost.
+    /// Counts a load that is being ordered. If the order's answer is lost, the load may
+    /// start later than `now`.
     pub fn begin(&mut self, now: Moment) {
         self.begun.push_back(now);
     }
--- a/crates/croftrill-scheduler/src/load_pace.rs
+++ b/crates/croftrill-scheduler/src/load_pace.rs
@@ -1,32 +1,32 @@
-//! How many loads from the weight store may run at once, learned from how long
-//! they take.
+//! An adaptive limit on concurrent loads from the weight store, learned from their
+//! durations.
 //!
-//! The store slows all loads in proportion once more than it can serve at full
-//! speed run at once, and does not say how many that is. More loads at once
-//! bring nothing then: each holds up its replica for longer.
+//! The store serves an unknown number of concurrent loads at full speed and slows all
+//! of them in proportion beyond that. More concurrent loads then gain nothing: each
+//! occupies its replica for longer.
 
 use std::time::Duration;
 
-/// Loads run at once while nothing was learned: as many as take this time one after
-/// the other. A wrong guess costs all of them the time of the others, and the longer a
-/// load takes, the later that shows.
+/// The initial limit is the number of loads that would take this time one after the
+/// other. If the limit is too high, all loads slow each other down, and the longer a load
+/// takes, the later that shows.
 const FIRST_LIMIT_TIME: Duration = Duration::from_secs(24);
-/// Loads that run at once at most while nothing was learned.
+/// Upper bound of the initial limit.
 const MOST_AT_FIRST: f64 = 6.0;
-/// A load that takes longer than so many times its usual time was slowed down.
+/// Ratio of a load's duration to its usual duration above which it counts as slowed down.
 const SLOWED_FROM: f64 = 1.3;
-/// Added to the limit by a load at full speed while the limit was reached.
+/// Increase of the limit by a load that ran at full speed while the limit was reached.
 const STEP: f64 = 0.5;
 
-/// Bounds the loads that run at once, those of all orderers together: each learns
-/// the bound from its own loads, and counts the others'.
+/// Limits the concurrent loads of all orderers together: each orderer learns the limit
+/// from its own loads and counts the loads of the others.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadPace {
     limit: f64,
 }
 
 impl LoadPace {
-    /// Nothing was learned yet of a store from which a load takes `usual` alone.
+    /// Creates a limit for a store from which a single load takes `usual`.
     pub fn new(usual: Duration) -> Self {
         let first = FIRST_LIMIT_TIME.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON);
         LoadPace {
@@ -34,12 +34,13 @@
         }
     }
 
-    /// Loads that may run at once, one at least.
+    /// Returns the number of loads that may run at once, at least one.
     pub fn limit(&self) -> usize {
         self.limit.max(1.0) as usize
     }
 
-    /// One of `running` loads ended after `took`; alone it takes `usual`.
+    /// Records that one of `running` concurrent loads ended after `took`; alone it would
+    /// take `usual`.
     pub fn ended(&mut self, took: Duration, usual: Duration, running: usize) {
         let slowdown = took.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON);
         if slowdown > SLOWED_FROM {
--- a/crates/croftrill-scheduler/tests/load_pace.rs
+++ b/crates/croftrill-scheduler/tests/load_pace.rs
@@ -1,4 +1,4 @@
-//! How many loads run at once, against a weight store whose speed is not told.
+//! Tests the limit on concurrent loads against weight stores of unknown speed.
 
 use std::time::Duration;
 
@@ -8,12 +8,13 @@
 
 const USUAL: Duration = Duration::from_secs(6);
 
-/// Time of a load while `running` run at a store that serves `full_speed` at once.
+/// Returns the duration of a load while `running` loads run at a store that serves
+/// `full_speed` loads at full speed.
 fn takes(running: usize, full_speed: usize) -> Duration {
     USUAL.mul_f64(f64::max(1.0, running as f64 / full_speed as f64))
 }
 
-/// Runs loads at the limit until it is settled; answers the limits on the way.
+/// Runs `rounds` loads at the limit. Returns the limit after each of them.
 fn play(full_speed: usize, rounds: usize) -> Vec<usize> {
     let mut pace = LoadPace::new(USUAL);
     let limits = (0..rounds).map(|_| {
@@ -30,7 +31,8 @@
     assert!(limits[39] > 15, "{limits:?}");
 }
 
-/// Nine loads at once took 13 s each instead of 6 s, and held nine replicas.
+/// Guards against a limit above full speed: nine concurrent loads took 13 s each instead of
+/// 6 s and occupied nine replicas.
 #[test]
 fn limit_stays_near_full_speed() {
     let limits = play(4, 60);
@@ -38,8 +40,8 @@
     assert!(settled.iter().all(|limit| (3..=6).contains(limit)), "{limits:?}");
 }
 
-/// Of a store that serves one load of 13 s at full speed, six at once were asked for
-/// first: each took 79 s, longer than the models were asked for.
+/// Guards against a high initial limit: at a store that serves a single load at full speed in
+/// 13 s, six concurrent first loads took 79 s each, and the models were no longer needed by then.
 #[test]
 fn limit_at_first_goes_by_the_time_of_a_load() {
     assert_eq!(LoadPace::new(Duration::from_millis(13_200)).limit(), 1);
