--- a/crates/croftrill-scheduler/src/lib.rs
+++ b/crates/croftrill-scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decisions of the serving system, without input or output.
+//! The decision logic of the serving system, free of I/O.
 //!
-//! Every module is a state machine or a pure function: events and the present
-//! time go in, decisions come out. `croftrill-node` applies them.
+//! Every module is a state machine or a pure function: it takes events and the
+//! current time and returns decisions. `croftrill-node` carries them out.
 
 pub mod admission;
 pub mod candidacy;
