--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -105,10 +105,10 @@
     let mut held = OrdererLease::new(LeaseConfig {
         time_to_live,
         margin: LEASE_MARGIN,
-        renew_every: pace.orderer_renewal,
+        renewal_interval: pace.orderer_renewal,
         quiet_period: least_gap(node),
     });
-    held.acquired(lease, fencing_token, asked_at, node.clock.now(), start);
+    held.record_acquisition(lease, fencing_token, asked_at, node.clock.now(), start);
     tracing::info!(target: "orderer", event = "lease acquired", shard = shard.index(), fencing_token, lease, ?start);
     let inherited = heard.filter(|_| matches!(start, TermStart::HandedOver { .. }));
     Some(Acquired {
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -164,7 +164,7 @@
         {
             // What stands in the store now may be of before this lease, or of after it.
             tracing::warn!(target: "orderer", event = "the lease is of a former era of the store");
-            self.lease.lost();
+            self.lease.clear();
         }
         if self.lease.expire(now) {
             tracing::warn!(target: "orderer", event = "lease expired without renewal");
@@ -221,7 +221,7 @@
     }
 
     pub(super) fn renew_if_due(&mut self, now: Moment) {
-        if self.renewing || now.since(self.last_renewal) < self.lease.renew_every() {
+        if self.renewing || now.since(self.last_renewal) < self.lease.renewal_interval() {
             return;
         }
         let Some(lease) = self.lease.lease() else { return };
@@ -242,7 +242,7 @@
 
     /// Records this machine in the store before its first order, and when it is settled.
     pub(super) fn record_if_due(&mut self, now: Moment) {
-        let wanted = self.lease.wanted_record(now).filter(|_| !self.recording);
+        let wanted = self.lease.missing_record(now).filter(|_| !self.recording);
         let (Some(kind), Some(fencing_token)) = (wanted, self.lease.token(now)) else {
             return;
         };
@@ -263,7 +263,7 @@
         tracing::info!(target: "orderer", event = "recorded as the last orderer", fencing_token, ?record);
         let is_ours = self.lease.token(self.node.clock.now()) == Some(fencing_token);
         if let Some(record) = record.filter(|_| is_ours) {
-            self.lease.recorded(record);
+            self.lease.set_record(record);
             self.note_authority(self.node.clock.now());
         }
     }
@@ -416,7 +416,7 @@
             } => {
                 if outcome == OrderOutcome::Fenced {
                     tracing::warn!(target: "orderer", event = "a newer token was seen", replica = &*replica);
-                    self.lease.lost();
+                    self.lease.clear();
                 }
                 self.orderer.order_answered_by(&replica, born_ms, outcome, now);
             }
@@ -438,10 +438,10 @@
     pub(super) fn take_renewal(&mut self, asked_at: Moment, result: &Result<(), StoreError>) {
         self.renewing = false;
         match result {
-            Ok(()) => self.lease.renewed(asked_at),
+            Ok(()) => self.lease.record_renewal(asked_at),
             Err(StoreError::NoSuchLease) => {
                 tracing::warn!(target: "orderer", event = "lease is over at the store");
-                self.lease.lost();
+                self.lease.clear();
             }
             Err(error) => tracing::warn!(target: "orderer", event = "renewal failed", %error),
         }
@@ -590,7 +590,7 @@
         self.node.term_ended();
         self.node.state.borrow_mut().replicas.orderer_lost(self.shard);
         let lease = self.lease.lease();
-        self.lease.lost();
+        self.lease.clear();
         self.orders.abort_all();
         self.resign();
         tracing::info!(target: "orderer", event = "term ended", released = lease.is_some());
--- a/crates/croftrill-scheduler/src/lease.rs
+++ b/crates/croftrill-scheduler/src/lease.rs
@@ -35,7 +35,7 @@
     /// Safety margin for imprecise timers, subtracted from the time to live.
     pub margin: Duration,
     /// Time between renewals.
-    pub renew_every: Duration,
+    pub renewal_interval: Duration,
     /// Delay from an acquisition to the first order if another machine could order before.
     pub quiet_period: Duration,
 }
@@ -80,7 +80,7 @@
 
 /// The state of a lease that is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
+struct HeldLease {
     fencing_token: u64,
     lease: u64,
     valid_until: Moment,
@@ -93,7 +93,7 @@
 #[derive(Debug)]
 pub struct OrdererLease {
     config: LeaseConfig,
-    held: Option<Held>,
+    held: Option<HeldLease>,
 }
 
 impl OrdererLease {
@@ -103,13 +103,13 @@
     }
 
     /// Records that the key was created under `lease`, which was requested at
-    /// `asked_at`. The key's first revision is the fencing token; if this machine
+    /// `requested_at`. The key's first revision is the fencing token; if this machine
     /// continues, it is also the revision of its record.
-    pub fn acquired(
+    pub fn record_acquisition(
         &mut self,
         lease: u64,
         fencing_token: u64,
-        asked_at: Moment,
+        requested_at: Moment,
         now: Moment,
         start: TermStart,
     ) {
@@ -121,7 +121,7 @@
             } => (now.max(free_from), settled_from),
             TermStart::AfterUnknown => (now + self.config.quiet_period, now + self.config.quiet_period),
             TermStart::AfterRestore => {
-                let quiet_until = now + self.usable() + self.config.quiet_period;
+                let quiet_until = now + self.usable_lifetime() + self.config.quiet_period;
                 (quiet_until, quiet_until)
             }
         };
@@ -129,27 +129,27 @@
             kind: RecordKind::Settled,
             revision: fencing_token,
         });
-        self.held = Some(Held {
+        self.held = Some(HeldLease {
             fencing_token,
             lease,
-            valid_until: asked_at + self.usable(),
+            valid_until: requested_at + self.usable_lifetime(),
             quiet_until,
             settled_from,
             record,
         });
     }
 
-    /// Records that a renewal sent at `asked_at` succeeded.
-    pub fn renewed(&mut self, asked_at: Moment) {
-        let usable = self.usable();
+    /// Records that a renewal sent at `requested_at` succeeded.
+    pub fn record_renewal(&mut self, requested_at: Moment) {
+        let usable_lifetime = self.usable_lifetime();
         if let Some(held) = &mut self.held {
-            held.valid_until = held.valid_until.max(asked_at + usable);
+            held.valid_until = held.valid_until.max(requested_at + usable_lifetime);
         }
     }
 
     /// Returns the record to write to the store now, if one is missing: before the
     /// first order, and again once the holds of other machines' orders have ended.
-    pub fn wanted_record(&self, now: Moment) -> Option<RecordKind> {
+    pub fn missing_record(&self, now: Moment) -> Option<RecordKind> {
         let held = self
             .held
             .filter(|held| now >= held.quiet_until && now < held.valid_until)?;
@@ -158,16 +158,16 @@
         } else {
             RecordKind::Unsettled
         };
-        let lacks = match held.record.map(|record| record.kind) {
+        let is_missing = match held.record.map(|record| record.kind) {
             None => true,
             Some(recorded) => recorded == RecordKind::Unsettled && kind == RecordKind::Settled,
         };
-        lacks.then_some(kind)
+        is_missing.then_some(kind)
     }
 
     /// Notes a record of this machine that the store wrote on the condition that the
     /// machine still held the key.
-    pub fn recorded(&mut self, record: Record) {
+    pub fn set_record(&mut self, record: Record) {
         if let Some(held) = &mut self.held {
             held.record = Some(record);
         }
@@ -179,7 +179,7 @@
     }
 
     /// Drops the lease: it expired at the store, was released, or a successor fenced it.
-    pub fn lost(&mut self) {
+    pub fn clear(&mut self) {
         self.held = None;
     }
 
@@ -208,17 +208,17 @@
     pub fn expire(&mut self, now: Moment) -> bool {
         let over = self.held.is_some_and(|held| now >= held.valid_until);
         if over {
-            self.lost();
+            self.clear();
         }
         over
     }
 
     /// Returns the time between renewals.
-    pub fn renew_every(&self) -> Duration {
-        self.config.renew_every
+    pub fn renewal_interval(&self) -> Duration {
+        self.config.renewal_interval
     }
 
-    fn usable(&self) -> Duration {
+    fn usable_lifetime(&self) -> Duration {
         self.config.time_to_live.saturating_sub(self.config.margin)
     }
 }
--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -24,7 +24,7 @@
     LeaseConfig {
         time_to_live: Duration::from_millis(TIME_TO_LIVE),
         margin: Duration::from_millis(150),
-        renew_every: Duration::from_millis(700),
+        renewal_interval: Duration::from_millis(700),
         quiet_period: Duration::from_millis(GAP),
     }
 }
@@ -32,14 +32,14 @@
 #[test]
 fn no_order_before_the_quiet_period_is_over() {
     let mut lease = OrdererLease::new(config());
-    lease.acquired(7, 40, at(0), at(5), TermStart::AfterUnknown);
+    lease.record_acquisition(7, 40, at(0), at(5), TermStart::AfterUnknown);
     assert_eq!(lease.token(at(10)), Some(40));
     assert_eq!(lease.order_token(at(GAP)), None);
-    assert_eq!(lease.wanted_record(at(GAP)), None);
-    lease.renewed(at(3000));
-    assert_eq!(lease.wanted_record(at(GAP + 10)), Some(RecordKind::Settled));
+    assert_eq!(lease.missing_record(at(GAP)), None);
+    lease.record_renewal(at(3000));
+    assert_eq!(lease.missing_record(at(GAP + 10)), Some(RecordKind::Settled));
     assert_eq!(lease.order_token(at(GAP + 10)), None, "not before it is recorded");
-    lease.recorded(Record {
+    lease.set_record(Record {
         kind: RecordKind::Settled,
         revision: 41,
     });
@@ -49,7 +49,7 @@
 #[test]
 fn validity_counts_from_when_a_renewal_was_sent() {
     let mut lease = OrdererLease::new(config());
-    lease.acquired(7, 40, at(0), at(800), TermStart::Continues);
+    lease.record_acquisition(7, 40, at(0), at(800), TermStart::Continues);
     assert_eq!(lease.order_token(at(TIME_TO_LIVE - 151)), Some(40));
     assert_eq!(lease.order_token(at(TIME_TO_LIVE - 149)), None);
     assert!(lease.expire(at(TIME_TO_LIVE)));
@@ -59,9 +59,9 @@
 #[test]
 fn an_old_renewal_does_not_shorten_validity() {
     let mut lease = OrdererLease::new(config());
-    lease.acquired(7, 40, at(1000), at(1000), TermStart::Continues);
-    lease.renewed(at(2000));
-    lease.renewed(at(1500));
+    lease.record_acquisition(7, 40, at(1000), at(1000), TermStart::Continues);
+    lease.record_renewal(at(2000));
+    lease.record_renewal(at(1500));
     assert_eq!(lease.order_token(at(2000 + TIME_TO_LIVE - 200)), Some(40));
 }
 
@@ -69,7 +69,7 @@
 fn wanted_record_after_hand_over_is_unsettled_until_the_last_hold_ends() {
     let mut lease = OrdererLease::new(config());
     let settled_from = at(2000);
-    lease.acquired(
+    lease.record_acquisition(
         7,
         40,
         at(0),
@@ -80,14 +80,14 @@
         },
     );
     assert_eq!(lease.order_token(at(5)), None);
-    assert_eq!(lease.wanted_record(at(5)), Some(RecordKind::Unsettled));
-    lease.recorded(Record {
+    assert_eq!(lease.missing_record(at(5)), Some(RecordKind::Unsettled));
+    lease.set_record(Record {
         kind: RecordKind::Unsettled,
         revision: 41,
     });
     assert_eq!(lease.order_token(at(10)), Some(40));
-    assert_eq!(lease.wanted_record(at(1999)), None);
-    assert_eq!(lease.wanted_record(at(2000)), Some(RecordKind::Settled));
+    assert_eq!(lease.missing_record(at(1999)), None);
+    assert_eq!(lease.missing_record(at(2000)), Some(RecordKind::Settled));
 }
 
 #[test]
@@ -243,7 +243,7 @@
 
     /// Ends the term and returns its resignation.
     fn resign(&mut self, now: u64) -> Option<Resignation> {
-        self.lease.lost();
+        self.lease.clear();
         let (fencing_token, record) = self.authority.take()?;
         Some(Resignation {
             fencing_token,
@@ -413,12 +413,12 @@
         return machine.resign(now);
     }
     store.expires = now + TIME_TO_LIVE;
-    machine.lease.renewed(at(now));
+    machine.lease.record_renewal(at(now));
     machine.history.prune(at(now));
-    if let Some(kind) = machine.lease.wanted_record(at(now)) {
+    if let Some(kind) = machine.lease.missing_record(at(now)) {
         let revision = store.change();
         store.record(index, kind == RecordKind::Settled, revision);
-        machine.lease.recorded(Record { kind, revision });
+        machine.lease.set_record(Record { kind, revision });
     }
     note_authority(machine, now);
     None
@@ -471,6 +471,8 @@
     if start == TermStart::Continues {
         machine.history.continue_own(at(now));
     }
-    machine.lease.acquired(token, token, at(now), at(now), start);
+    machine
+        .lease
+        .record_acquisition(token, token, at(now), at(now), start);
     note_authority(machine, now);
 }
