--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -10,7 +10,7 @@
 use croftrill_scheduler::crash_ledger::CrashLedger;
 use croftrill_scheduler::fair_queue::FairQueue;
 use croftrill_scheduler::followed_view::{FollowConfig, FollowedView};
-use croftrill_scheduler::hand_over::{HeardResignation, Resignation};
+use croftrill_scheduler::hand_over::{ReceivedResignation, Resignation};
 use croftrill_scheduler::load_summary;
 use croftrill_scheduler::quota::keeper::KeeperConfig;
 use croftrill_scheduler::replica_table::ReplicaTable;
@@ -86,7 +86,7 @@
     /// The nodes, and who gives orders.
     pub members: Members,
     /// What the last orderers left to their successors, where this node heard of it.
-    pub resignations: BTreeMap<Shard, HeardResignation>,
+    pub resignations: BTreeMap<Shard, ReceivedResignation>,
     /// Shards whose orderer is linked, or is this node.
     pub linked: [bool; SHARD_COUNT],
     /// When the last link to a shard's orderer ended.
@@ -351,10 +351,10 @@
     /// The term of the orderer at `peer` is over: what it left is kept for
     /// whoever follows.
     pub fn hear_resignation(&self, shard: Shard, peer: SocketAddr, resignation: Resignation) {
-        let heard_at = self.clock.now();
-        let heard = HeardResignation {
+        let received_at = self.clock.now();
+        let heard = ReceivedResignation {
             resignation,
-            heard_at,
+            received_at,
         };
         let mut state = self.state.borrow_mut();
         state.members.resigned(shard, peer);
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::candidacy::Candidacy;
-use croftrill_scheduler::hand_over::{start_of_term, HeardResignation, LastRecord};
+use croftrill_scheduler::hand_over::{term_start, LastRecord, ReceivedResignation};
 use croftrill_scheduler::lease::{LeaseConfig, OrdererLease, Record, RecordKind, TermStart};
 use croftrill_scheduler::shard::Shard;
 use nanoserde::SerBin;
@@ -59,7 +59,7 @@
 /// A lease that was taken, and what the former orderer left, if that is known.
 pub(super) struct Acquired {
     pub(super) lease: OrdererLease,
-    pub(super) inherited: Option<HeardResignation>,
+    pub(super) inherited: Option<ReceivedResignation>,
 }
 
 /// Takes the lease if nobody else holds it.
@@ -97,7 +97,7 @@
     let lease = store.grant_lease(time_to_live).await.ok()?;
     let heard = heard.filter(|heard| is_of_present_era(node, heard));
     let is_proven = is_record_proven(node, &keys);
-    let start = start_of_term(last_record(&keys, entry), is_proven, heard.as_ref(), asked_at);
+    let start = term_start(last_record(&keys, entry), is_proven, heard.as_ref(), asked_at);
     let Some(fencing_token) = claim_key(node, shard, entry, lease, &keys, start).await else {
         let _ = store.end_lease(lease).await;
         return None;
@@ -150,7 +150,7 @@
 
 /// True if nobody holds the orderer's key, or this machine does, or its holder
 /// said that its term is over.
-fn is_free(keys: &OrdererKeys, entry: &MemberEntry, heard: Option<&HeardResignation>) -> bool {
+fn is_free(keys: &OrdererKeys, entry: &MemberEntry, heard: Option<&ReceivedResignation>) -> bool {
     let Some(present) = &keys.present else {
         return true;
     };
@@ -172,12 +172,12 @@
 
 /// True if a resignation is of the store's present era: the revisions that one of a former
 /// era names were given out again.
-fn is_of_present_era<P: Platform>(node: &Node<P>, heard: &HeardResignation) -> bool {
+fn is_of_present_era<P: Platform>(node: &Node<P>, heard: &ReceivedResignation) -> bool {
     let present = node.platform.store().era().point(0);
     same_era(heard.resignation.fencing_token, present)
 }
 
-/// The record of the last orderer as [`start_of_term`] judges it.
+/// The record of the last orderer as [`term_start`] judges it.
 fn last_record(keys: &OrdererKeys, entry: &MemberEntry) -> Option<LastRecord> {
     keys.last.as_ref().map(|last| LastRecord {
         is_own: last.value.entry.name == entry.name,
--- a/crates/croftrill-scheduler/src/hand_over.rs
+++ b/crates/croftrill-scheduler/src/hand_over.rs
@@ -64,23 +64,23 @@
 
 /// A resignation and the time at which it was received.
 #[derive(Debug, Clone)]
-pub struct HeardResignation {
+pub struct ReceivedResignation {
     /// The resignation.
     pub resignation: Resignation,
     /// When it was received, which is never before it was made.
-    pub heard_at: Moment,
+    pub received_at: Moment,
 }
 
-impl HeardResignation {
+impl ReceivedResignation {
     /// Returns the time from which another machine may order at each held replica.
     pub fn held_until(&self) -> impl Iterator<Item = (ReplicaId, Moment)> + '_ {
         let holds = self.resignation.legacy.holds.iter();
-        holds.map(|hold| (hold.replica.clone(), self.heard_at + hold.remaining))
+        holds.map(|hold| (hold.replica.clone(), self.received_at + hold.remaining))
     }
 
     /// Returns the time from which a successor may order at replicas that are not held.
     pub fn free_from(&self) -> Moment {
-        self.heard_at + self.resignation.legacy.everywhere
+        self.received_at + self.resignation.legacy.everywhere
     }
 
     /// Returns the time at which the last hold of a predecessor's order ends.
@@ -92,7 +92,7 @@
     /// Returns the latest possible start time of each load that still counts.
     pub fn loads_begun(&self) -> impl Iterator<Item = (&ServiceName, Moment)> + '_ {
         let loads = self.resignation.legacy.loads.iter();
-        loads.map(|load| (&load.service, self.heard_at - load.age))
+        loads.map(|load| (&load.service, self.received_at - load.age))
     }
 }
 
@@ -209,16 +209,16 @@
 /// Returns how a term starts for a candidate that acquires the key on the condition
 /// that the record is unchanged since it was read.
 ///
-/// `is_proven` is false if the record may have been written before the store was
+/// `is_record_current` is false if the record may have been written before the store was
 /// restored from an older copy. Later records are then lost, and so may be the key of a
 /// machine whose lease is still valid by its own clock.
-pub fn start_of_term(
+pub fn term_start(
     last: Option<LastRecord>,
-    is_proven: bool,
-    heard: Option<&HeardResignation>,
+    is_record_current: bool,
+    received: Option<&ReceivedResignation>,
     now: Moment,
 ) -> TermStart {
-    if !is_proven {
+    if !is_record_current {
         return TermStart::AfterRestore;
     }
     let Some(last) = last else {
@@ -231,10 +231,10 @@
     if last.is_own && last.is_settled {
         return TermStart::Continues;
     }
-    match heard.filter(|heard| heard.resignation.record_revision == last.revision) {
-        Some(heard) => TermStart::HandedOver {
-            free_from: heard.free_from(),
-            settled_from: heard.settled_from(),
+    match received.filter(|received| received.resignation.record_revision == last.revision) {
+        Some(received) => TermStart::HandedOver {
+            free_from: received.free_from(),
+            settled_from: received.settled_from(),
         },
         None => TermStart::AfterUnknown,
     }
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -24,7 +24,7 @@
 use crate::capacity::{Capacity, ReplicaLoad};
 use crate::catalog::{Configuration, EngineSpec, ModelName, Service, ServiceName};
 use crate::demand::{Asked, Demand, ModelKey};
-use crate::hand_over::{HeardResignation, Legacy, OrderHistory, PastLoad};
+use crate::hand_over::{Legacy, OrderHistory, PastLoad, ReceivedResignation};
 use crate::load_ceiling::LoadCeiling;
 use crate::load_pace::LoadPace;
 use crate::placement::{
@@ -194,7 +194,7 @@
 
     /// The former orderer handed over: what it told replaces what would be
     /// assumed of its orders and loads.
-    pub fn inherit(&mut self, heard: &HeardResignation) {
+    pub fn inherit(&mut self, heard: &ReceivedResignation) {
         self.history.inherit(heard.held_until());
         self.loads_are_known = true;
         let mut begun: Vec<(Moment, &ServiceName)> = heard
--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::hand_over::{
-    start_of_term, HeardResignation, LastRecord, Legacy, OrderHistory, Resignation,
+    term_start, LastRecord, Legacy, OrderHistory, ReceivedResignation, Resignation,
 };
 use croftrill_scheduler::lease::{LeaseConfig, OrdererLease, Record, RecordKind, TermStart};
 use croftrill_scheduler::replica::ReplicaId;
@@ -92,12 +92,12 @@
 
 #[test]
 fn start_of_term_believes_a_resignation_only_under_its_record() {
-    let heard = |record_revision| HeardResignation {
+    let received = |record_revision| ReceivedResignation {
         resignation: Resignation {
             record_revision,
             ..Resignation::default()
         },
-        heard_at: at(5),
+        received_at: at(5),
     };
     let last = Some(LastRecord {
         is_own: false,
@@ -108,13 +108,13 @@
         free_from: at(5),
         settled_from: at(5),
     };
-    assert_eq!(start_of_term(last, true, Some(&heard(41)), at(5)), handed_over);
+    assert_eq!(term_start(last, true, Some(&received(41)), at(5)), handed_over);
     assert_eq!(
-        start_of_term(last, true, Some(&heard(40)), at(5)),
+        term_start(last, true, Some(&received(40)), at(5)),
         TermStart::AfterUnknown
     );
-    assert_eq!(start_of_term(last, true, None, at(5)), TermStart::AfterUnknown);
-    assert_eq!(start_of_term(None, true, None, at(5)), handed_over);
+    assert_eq!(term_start(last, true, None, at(5)), TermStart::AfterUnknown);
+    assert_eq!(term_start(None, true, None, at(5)), handed_over);
 }
 
 #[test]
@@ -201,7 +201,7 @@
 struct Machine {
     lease: OrdererLease,
     history: OrderHistory,
-    heard: Option<HeardResignation>,
+    received: Option<ReceivedResignation>,
     authority: Option<(u64, Record)>,
     /// Newest era that this process has read from the store.
     era: Option<u64>,
@@ -225,7 +225,7 @@
         Machine {
             lease: OrdererLease::new(config()),
             history: OrderHistory::new(Duration::from_millis(GAP)),
-            heard: None,
+            received: None,
             authority: None,
             era: None,
             rises: 0,
@@ -360,9 +360,9 @@
             Event::Hear(machine, back) => {
                 let index = told.len().checked_sub(back + 1);
                 if let Some(resignation) = index.map(|index| told[index].clone()) {
-                    machines[machine].heard = Some(HeardResignation {
+                    machines[machine].received = Some(ReceivedResignation {
                         resignation,
-                        heard_at: at(now),
+                        received_at: at(now),
                     });
                 }
             }
@@ -431,8 +431,8 @@
 
 fn acquire(store: &mut Store, machine: &mut Machine, index: usize, now: u64) {
     let resigned = |token: u64| {
-        let heard = machine.heard.as_ref();
-        heard.is_some_and(|heard| heard.resignation.fencing_token == token)
+        let received = machine.received.as_ref();
+        received.is_some_and(|received| received.resignation.fencing_token == token)
     };
     let is_free = store
         .holder
@@ -445,14 +445,14 @@
         is_settled: last.is_settled,
         revision: last.revision,
     });
-    let is_proven = match store.recorded_era {
+    let is_record_current = match store.recorded_era {
         Some(recorded) => recorded == store.era,
         None => machine.is_first && machine.rises == 0,
     };
     let of_this_era =
-        |heard: &&HeardResignation| heard.resignation.fencing_token >> REVISION_BITS == store.era;
-    let heard = machine.heard.as_ref().filter(of_this_era).cloned();
-    let start = start_of_term(last, is_proven, heard.as_ref(), at(now));
+        |received: &&ReceivedResignation| received.resignation.fencing_token >> REVISION_BITS == store.era;
+    let received = machine.received.as_ref().filter(of_this_era).cloned();
+    let start = term_start(last, is_record_current, received.as_ref(), at(now));
     let token = store.change();
     store.holder = Some((index, token));
     store.expires = now + TIME_TO_LIVE;
@@ -465,8 +465,8 @@
     machine.lease = OrdererLease::new(config());
     machine.history = OrderHistory::new(Duration::from_millis(GAP));
     machine.authority = None;
-    if let (TermStart::HandedOver { .. }, Some(heard)) = (start, &heard) {
-        machine.history.inherit(heard.held_until());
+    if let (TermStart::HandedOver { .. }, Some(received)) = (start, &received) {
+        machine.history.inherit(received.held_until());
     }
     if start == TermStart::Continues {
         machine.history.continue_own(at(now));
