--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -567,7 +567,7 @@
         let resignation = Resignation {
             fencing_token,
             record_revision: record.revision,
-            legacy: self.orderer.resign(now),
+            hand_over: self.orderer.resign(now),
         };
         let wire = WireResignation::from_resignation(&resignation);
         let peer = self.node.settings.identity.peer;
@@ -581,7 +581,7 @@
         let message = FromOrderer::Resigned(wire);
         let _ = self.changes.send(Bytes::from(message.serialize_bin()));
         tracing::info!(target: "orderer", event = "resigned", fencing_token, record = record.revision,
-            holds = resignation.legacy.holds.len());
+            holds = resignation.hand_over.holds.len());
         self.node.hear_resignation(self.shard, peer, resignation);
     }
 
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::catalog::ModelName;
 use croftrill_scheduler::demand::{Asked, ModelKey};
-use croftrill_scheduler::hand_over::{Hold, Legacy, PastLoad, Resignation};
+use croftrill_scheduler::hand_over::{HandOver, Hold, PastLoad, Resignation};
 use croftrill_scheduler::interest::Interest;
 use croftrill_scheduler::replica::{HeldModel, Holdings, WeightCopies};
 use croftrill_scheduler::replica_table::{Arrival, Placement};
@@ -222,19 +222,19 @@
 impl WireResignation {
     /// The message form. Times are rounded to the safe side.
     pub fn from_resignation(resignation: &Resignation) -> Self {
-        let legacy = &resignation.legacy;
-        let holds = legacy.holds.iter().map(|hold| WireHold {
+        let hand_over = &resignation.hand_over;
+        let holds = hand_over.holds.iter().map(|hold| WireHold {
             replica: hold.replica.to_string(),
             remaining_ms: hold.remaining.as_millis() as u32 + 1,
         });
-        let loads = legacy.loads.iter().map(|load| WirePastLoad {
+        let loads = hand_over.loads.iter().map(|load| WirePastLoad {
             service: load.service.to_string(),
             age_ms: load.age.as_millis() as u32,
         });
         WireResignation {
             fencing_token: resignation.fencing_token,
             record_revision: resignation.record_revision,
-            everywhere_ms: legacy.everywhere.as_millis() as u32 + 1,
+            everywhere_ms: hand_over.hold_all.as_millis() as u32 + 1,
             holds: holds.collect(),
             loads: loads.collect(),
         }
@@ -253,8 +253,8 @@
         Resignation {
             fencing_token: self.fencing_token,
             record_revision: self.record_revision,
-            legacy: Legacy {
-                everywhere: Duration::from_millis(u64::from(self.everywhere_ms)),
+            hand_over: HandOver {
+                hold_all: Duration::from_millis(u64::from(self.everywhere_ms)),
                 holds: holds.collect(),
                 loads: loads.collect(),
             },
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -406,7 +406,7 @@
     };
     let resignation = relayed.resignation.into_resignation();
     tracing::info!(target: "peer", event = "the orderer resigned", shard = shard.index(),
-        fencing_token = resignation.fencing_token, holds = resignation.legacy.holds.len());
+        fencing_token = resignation.fencing_token, holds = resignation.hand_over.holds.len());
     node.hear_resignation(shard, orderer, resignation);
 }
 
--- a/crates/croftrill-scheduler/src/hand_over.rs
+++ b/crates/croftrill-scheduler/src/hand_over.rs
@@ -41,10 +41,10 @@
 
 /// The orders and loads that a successor must take into account.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Legacy {
+pub struct HandOver {
     /// Time during which no other machine may order at any replica, because orders
     /// of an earlier process of the same machine may be unknown.
-    pub everywhere: Duration,
+    pub hold_all: Duration,
     /// Replicas at which other machines may not order yet.
     pub holds: Vec<Hold>,
     /// Loads from the weight store that still count.
@@ -59,7 +59,7 @@
     /// Store revision of the record under which the term could order.
     pub record_revision: u64,
     /// The orders and loads that the successor must take into account.
-    pub legacy: Legacy,
+    pub hand_over: HandOver,
 }
 
 /// A resignation and the time at which it was received.
@@ -74,13 +74,13 @@
 impl ReceivedResignation {
     /// Returns the time from which another machine may order at each held replica.
     pub fn held_until(&self) -> impl Iterator<Item = (ReplicaId, Moment)> + '_ {
-        let holds = self.resignation.legacy.holds.iter();
+        let holds = self.resignation.hand_over.holds.iter();
         holds.map(|hold| (hold.replica.clone(), self.received_at + hold.remaining))
     }
 
     /// Returns the time from which a successor may order at replicas that are not held.
     pub fn free_from(&self) -> Moment {
-        self.received_at + self.resignation.legacy.everywhere
+        self.received_at + self.resignation.hand_over.hold_all
     }
 
     /// Returns the time at which the last hold of a predecessor's order ends.
@@ -90,8 +90,8 @@
     }
 
     /// Returns the latest possible start time of each load that still counts.
-    pub fn loads_begun(&self) -> impl Iterator<Item = (&ServiceName, Moment)> + '_ {
-        let loads = self.resignation.legacy.loads.iter();
+    pub fn load_starts(&self) -> impl Iterator<Item = (&ServiceName, Moment)> + '_ {
+        let loads = self.resignation.hand_over.loads.iter();
         loads.map(|load| (&load.service, self.received_at - load.age))
     }
 }
@@ -129,7 +129,7 @@
     }
 
     /// Returns the time during which no other machine may order at any replica.
-    pub fn everywhere(&self, now: Moment) -> Duration {
+    pub fn hold_all(&self, now: Moment) -> Duration {
         self.own_unknown_until.since(now)
     }
 
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -24,7 +24,7 @@
 use crate::capacity::{Capacity, ReplicaLoad};
 use crate::catalog::{Configuration, EngineSpec, ModelName, Service, ServiceName};
 use crate::demand::{Asked, Demand, ModelKey};
-use crate::hand_over::{Legacy, OrderHistory, PastLoad, ReceivedResignation};
+use crate::hand_over::{HandOver, OrderHistory, PastLoad, ReceivedResignation};
 use crate::load_ceiling::LoadCeiling;
 use crate::load_pace::LoadPace;
 use crate::placement::{
@@ -198,7 +198,7 @@
         self.history.inherit(heard.held_until());
         self.loads_are_known = true;
         let mut begun: Vec<(Moment, &ServiceName)> = heard
-            .loads_begun()
+            .load_starts()
             .map(|(service, begun)| (begun, service))
             .collect();
         begun.sort();
@@ -217,7 +217,7 @@
     }
 
     /// The orders and loads that a successor must know of, after the last order.
-    pub fn resign(&self, now: Moment) -> Legacy {
+    pub fn resign(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
         let loads = self.ceilings.iter().flat_map(|(service, ceiling)| {
             ceiling.begun().map(move |begun| PastLoad {
@@ -225,8 +225,8 @@
                 age: now.since(begun),
             })
         });
-        Legacy {
-            everywhere: self.history.everywhere(now),
+        HandOver {
+            hold_all: self.history.hold_all(now),
             holds: self.history.holds(now),
             loads: loads.filter(|load| load.age <= window).collect(),
         }
--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::hand_over::{
-    term_start, LastRecord, Legacy, OrderHistory, ReceivedResignation, Resignation,
+    term_start, HandOver, LastRecord, OrderHistory, ReceivedResignation, Resignation,
 };
 use croftrill_scheduler::lease::{LeaseConfig, OrdererLease, Record, RecordKind, TermStart};
 use croftrill_scheduler::replica::ReplicaId;
@@ -248,8 +248,8 @@
         Some(Resignation {
             fencing_token,
             record_revision: record.revision,
-            legacy: Legacy {
-                everywhere: self.history.everywhere(at(now)),
+            hand_over: HandOver {
+                hold_all: self.history.hold_all(at(now)),
                 holds: self.history.holds(at(now)),
                 loads: Vec::new(),
             },
