--- a/crates/croftrill-scheduler/src/hand_over.rs
+++ b/crates/croftrill-scheduler/src/hand_over.rs
@@ -124,7 +124,7 @@
 
     /// Notes that this machine continues an earlier process or term of its own that
     /// ended by `now`. The orders of that term still bind other machines, but are not known.
-    pub fn continue_own(&mut self, now: Moment) {
+    pub fn continue_own_term(&mut self, now: Moment) {
         self.own_unknown_until = now + UNANSWERED_GRACE + self.gap;
     }
 
@@ -145,13 +145,13 @@
     }
 
     /// Records that an order is being sent to a replica.
-    pub fn sent(&mut self, replica: &ReplicaId) {
+    pub fn record_sent(&mut self, replica: &ReplicaId) {
         *self.in_flight.entry(replica.clone()).or_default() += 1;
     }
 
     /// Records that an order has ended. `is_answered` is true if the replica answered
     /// it, so that it cannot arrive later any more.
-    pub fn ended(&mut self, replica: &ReplicaId, is_answered: bool, now: Moment) {
+    pub fn record_ended(&mut self, replica: &ReplicaId, is_answered: bool, now: Moment) {
         if let Some(count) = self.in_flight.get_mut(replica) {
             *count -= 1;
             if *count == 0 {
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -55,7 +55,7 @@
             self.order_answered(id, outcome, now);
         } else {
             let is_answered = outcome != OrderOutcome::Unknown;
-            self.history.ended(&id.into(), is_answered, now);
+            self.history.record_ended(&id.into(), is_answered, now);
         }
     }
 
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -213,7 +213,7 @@
 
     /// This machine goes on where its own former process or term ended.
     pub fn continue_own(&mut self, now: Moment) {
-        self.history.continue_own(now);
+        self.history.continue_own_term(now);
     }
 
     /// The orders and loads that a successor must know of, after the last order.
@@ -390,7 +390,7 @@
     /// An order was answered.
     pub fn order_answered(&mut self, id: &str, outcome: OrderOutcome, now: Moment) {
         let is_answered = outcome != OrderOutcome::Unknown;
-        self.history.ended(&id.into(), is_answered, now);
+        self.history.record_ended(&id.into(), is_answered, now);
         let expected_in = self.expected_time(id);
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
@@ -470,7 +470,7 @@
     fn send(&mut self, id: &ReplicaId, order: Order, now: Moment) -> OrdererAction {
         let replica = self.replicas.get_mut(id).expect("orders go to known replicas");
         let expected_sequence = replica.ledger.send(order.clone(), now);
-        self.history.sent(id);
+        self.history.record_sent(id);
         self.changed.insert(id.clone());
         OrdererAction::Order {
             replica: id.clone(),
--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -123,9 +123,9 @@
     let mut history = OrderHistory::new(gap);
     let (answered, unanswered, old): (ReplicaId, ReplicaId, ReplicaId) = ("a".into(), "u".into(), "o".into());
     history.inherit([(old.clone(), at(1500))]);
-    history.sent(&answered);
-    history.ended(&answered, true, at(100));
-    history.sent(&unanswered);
+    history.record_sent(&answered);
+    history.record_ended(&answered, true, at(100));
+    history.record_sent(&unanswered);
     let remaining: BTreeMap<ReplicaId, u64> = history
         .holds(at(1000))
         .into_iter()
@@ -388,9 +388,9 @@
     if !machine.history.permits(&replica, at(now)) {
         return None;
     }
-    machine.history.sent(&replica);
+    machine.history.record_sent(&replica);
     if is_answered {
-        machine.history.ended(&replica, true, at(now));
+        machine.history.record_ended(&replica, true, at(now));
     }
     Some(token)
 }
@@ -469,7 +469,7 @@
         machine.history.inherit(received.held_until());
     }
     if start == TermStart::Continues {
-        machine.history.continue_own(at(now));
+        machine.history.continue_own_term(at(now));
     }
     machine
         .lease
