--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -208,7 +208,7 @@
         // Whoever handed it on lets those pass that it was meant for.
         last_orderer: last_orderer.filter(|_| !handed_on_lately(node, shard)),
     };
-    candidacy.place_in_line(state.members.nodes().map(MemberEntry::candidate))
+    candidacy.queue_position(state.members.nodes().map(MemberEntry::candidate))
 }
 
 /// True if this node handed the shard on not long ago: either it was taken, or the stronger
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::candidacy::{should_hand_on, Candidate};
+use croftrill_scheduler::candidacy::{should_hand_over, Candidate};
 use croftrill_scheduler::hand_over::Resignation;
 use croftrill_scheduler::lease::{OrdererLease, Record};
 use croftrill_scheduler::orderer::{Orderer, OrdererAction, OrdererConfig};
@@ -183,7 +183,7 @@
             return false;
         }
         let state = node.state.borrow();
-        if !should_hand_on(self.entry.candidate(), idle_nodes(&state.members)) {
+        if !should_hand_over(self.entry.candidate(), idle_nodes(&state.members)) {
             return false;
         }
         tracing::info!(target: "orderer", event = "hands on to a stronger node", shard = self.shard.index(),
--- a/crates/croftrill-scheduler/src/candidacy.rs
+++ b/crates/croftrill-scheduler/src/candidacy.rs
@@ -12,22 +12,22 @@
 use crate::shard::Shard;
 
 /// Positions by which a node falls back for each shard that it already orders for.
-const HOLDER_PLACES: u32 = 8;
+const POSITIONS_PER_HELD_SHARD: u32 = 8;
 /// Maximum number of other nodes that a node without a shard lets pass.
-const MOST_PLACES: u32 = 30;
+const MAX_NODES_AHEAD: u32 = 30;
 
 /// Ratio of processor time from which an orderer hands its shard over to another node.
 /// Above one, so that similar nodes never do: a change of orderers briefly leaves the
 /// shard without orders.
-const MUCH_STRONGER: u32 = 2;
+const HAND_OVER_PROCESSOR_RATIO: u32 = 2;
 
 /// Returns true if an orderer should hand its shard over because one of the nodes that
 /// are not orderers has much more processor time. The first node to request the lease
 /// becomes the orderer, and when hundreds of nodes start together without knowing each
 /// other, that is sometimes a weak one.
-pub fn should_hand_on<'a>(own: Candidate<'_>, mut others: impl Iterator<Item = Candidate<'a>>) -> bool {
-    let least = own.processor_millicores.saturating_mul(MUCH_STRONGER);
-    others.any(|other| other.processor_millicores >= least)
+pub fn should_hand_over<'a>(own: Candidate<'_>, mut others: impl Iterator<Item = Candidate<'a>>) -> bool {
+    let min_millicores = own.processor_millicores.saturating_mul(HAND_OVER_PROCESSOR_RATIO);
+    others.any(|other| other.processor_millicores >= min_millicores)
 }
 
 /// A node that may become an orderer.
@@ -43,8 +43,8 @@
     /// Ranks nodes with more processor time first, and equal nodes in an order that
     /// differs between shards.
     fn rank(&self, shard: Shard) -> (Reverse<u32>, u64) {
-        let salted = xxh3_64_with_seed(self.name.as_bytes(), shard.index() as u64);
-        (Reverse(self.processor_millicores), salted)
+        let hash = xxh3_64_with_seed(self.name.as_bytes(), shard.index() as u64);
+        (Reverse(self.processor_millicores), hash)
     }
 }
 
@@ -66,15 +66,15 @@
     /// last orderer comes first, as it does not have to wait out other machines' orders.
     /// A node that already orders for a shard comes later, so that one machine does not
     /// hold all shards.
-    pub fn place_in_line<'b>(&self, nodes: impl Iterator<Item = Candidate<'b>>) -> u32 {
+    pub fn queue_position<'b>(&self, nodes: impl Iterator<Item = Candidate<'b>>) -> u32 {
         if self.terms_held > 0 {
-            return HOLDER_PLACES * self.terms_held as u32;
+            return POSITIONS_PER_HELD_SHARD * self.terms_held as u32;
         }
         if self.last_orderer == Some(self.own.name) {
             return 0;
         }
         let own = self.own.rank(self.shard);
-        let before = nodes.filter(|node| node.rank(self.shard) < own).count();
-        1 + (before as u32).min(MOST_PLACES)
+        let ahead = nodes.filter(|node| node.rank(self.shard) < own).count();
+        1 + (ahead as u32).min(MAX_NODES_AHEAD)
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/adapters.rs
+++ b/crates/croftrill-scheduler/src/orderer/adapters.rs
@@ -33,7 +33,7 @@
             let view = self.placement_of(service, engine, now);
             let home = view.adapter_home(&key.model, &adapter);
             let waited = self.demand.waited(key, now);
-            if !self.config.scope.has_turn(home, waited, ADAPTER_PATIENCE) {
+            if !self.config.scope.may_act(home, waited, ADAPTER_PATIENCE) {
                 continue;
             }
             let home = home.cloned();
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -106,7 +106,7 @@
         let best = view.best_place(model, store_allowed, Among::All);
         let waited = self.demand.waited(&key, now);
         let home = best.as_ref().map(|place| &place.replica);
-        if !self.config.scope.has_turn(home, waited, MODEL_PATIENCE) {
+        if !self.config.scope.may_act(home, waited, MODEL_PATIENCE) {
             return;
         }
         let place = view.best_place(model, store_allowed, Among::Own);
--- a/crates/croftrill-scheduler/src/shard.rs
+++ b/crates/croftrill-scheduler/src/shard.rs
@@ -63,12 +63,12 @@
     /// The orderer of `home`, the replica that all orderers rank first, acts at once.
     /// As it may have failed, the other shards follow one after the other, with a
     /// delay of `patience` between them.
-    pub fn has_turn(self, home: Option<&ReplicaId>, waited: Duration, patience: Duration) -> bool {
+    pub fn may_act(self, home: Option<&ReplicaId>, waited: Duration, patience: Duration) -> bool {
         let (OrderScope::One(own), Some(home)) = (self, home) else {
             return true;
         };
         let home = Shard::of_replica(home);
-        let place_in_line = (own.index() + SHARD_COUNT - home.index()) % SHARD_COUNT;
-        waited >= patience * place_in_line as u32
+        let position = (own.index() + SHARD_COUNT - home.index()) % SHARD_COUNT;
+        waited >= patience * position as u32
     }
 }
--- a/crates/croftrill-scheduler/tests/candidacy.rs
+++ b/crates/croftrill-scheduler/tests/candidacy.rs
@@ -1,6 +1,6 @@
 //! Tests which node becomes the orderer of a shard.
 
-use croftrill_scheduler::candidacy::{should_hand_on, Candidacy, Candidate};
+use croftrill_scheduler::candidacy::{should_hand_over, Candidacy, Candidate};
 use croftrill_scheduler::shard::{OrderScope, Shard, SHARD_COUNT};
 
 fn node(name: &str, processor_millicores: u32) -> Candidate<'_> {
@@ -17,7 +17,7 @@
         terms_held: 0,
         last_orderer: None,
     };
-    candidacy.place_in_line(nodes.iter().copied())
+    candidacy.queue_position(nodes.iter().copied())
 }
 
 /// Guards against weak orderers: a node with an eighth of a core held two shards, had no
@@ -34,10 +34,10 @@
 #[test]
 fn should_hand_on_only_to_a_node_with_much_more_processor_time() {
     let others = [node("weak", 120), node("strong", 500)];
-    assert!(should_hand_on(node("own", 120), others.into_iter()));
-    assert!(!should_hand_on(node("own", 300), others.into_iter()));
-    assert!(!should_hand_on(node("own", 120), others.into_iter().take(1)));
-    assert!(!should_hand_on(node("own", 0), std::iter::empty()));
+    assert!(should_hand_over(node("own", 120), others.into_iter()));
+    assert!(!should_hand_over(node("own", 300), others.into_iter()));
+    assert!(!should_hand_over(node("own", 120), others.into_iter().take(1)));
+    assert!(!should_hand_over(node("own", 0), std::iter::empty()));
 }
 
 #[test]
@@ -60,9 +60,9 @@
         terms_held: 0,
         last_orderer: Some("a"),
     };
-    assert_eq!(candidacy.place_in_line(nodes.iter().copied()), 0);
+    assert_eq!(candidacy.queue_position(nodes.iter().copied()), 0);
     candidacy.terms_held = 1;
-    assert!(candidacy.place_in_line(nodes.iter().copied()) > 2);
+    assert!(candidacy.queue_position(nodes.iter().copied()) > 2);
 }
 
 #[test]
@@ -74,12 +74,12 @@
         let steps = (shard.index() + SHARD_COUNT - home_shard) % SHARD_COUNT;
         let scope = OrderScope::One(shard);
         let due = patience * steps as u32;
-        assert!(scope.has_turn(Some(&home), due, patience));
+        assert!(scope.may_act(Some(&home), due, patience));
         if steps > 0 {
             let early = due - std::time::Duration::from_millis(1);
-            assert!(!scope.has_turn(Some(&home), early, patience));
+            assert!(!scope.may_act(Some(&home), early, patience));
         }
     }
     let zero = std::time::Duration::ZERO;
-    assert!(OrderScope::Everything.has_turn(Some(&home), zero, patience));
+    assert!(OrderScope::Everything.may_act(Some(&home), zero, patience));
 }
