--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -79,7 +79,7 @@
     loop {
         // The pages of a read are of several moments: what is relayed in
         // between must not count as known.
-        node.state.borrow_mut().directory.restart();
+        node.state.borrow_mut().directory.reset();
         let limit = backoff.read_limit();
         match node.store().range(EVERYTHING, freshness, limit).await {
             Ok(snapshot) if snapshot.revision < node.state.borrow().directory.reached() => {
@@ -313,7 +313,7 @@
 async fn overtaken<P: Platform>(node: &Node<P>, after: u64) -> u64 {
     loop {
         sleep(AUDIT_EVERY).await;
-        let told = node.state.borrow().directory.told();
+        let told = node.state.borrow().directory.announced();
         if told > after {
             return told;
         }
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -196,7 +196,7 @@
         reached: news.reached,
         proven_at: proof_of(&news, delay, node.clock.now()),
     };
-    let outcome = node.state.borrow_mut().directory.judge(span);
+    let outcome = node.state.borrow_mut().directory.accept_span(span);
     Metrics::count(&node.metrics.relayed, "directory", outcome_name(outcome));
     match outcome {
         RelayOutcome::Applied { is_regained } => {
@@ -255,7 +255,11 @@
     }
     let proven_at = proof_of(&whole, delay, node.clock.now());
     let reached = whole.reached;
-    let is_taken = node.state.borrow_mut().directory.judge_whole(reached, proven_at);
+    let is_taken = node
+        .state
+        .borrow_mut()
+        .directory
+        .accept_full_view(reached, proven_at);
     if !is_taken {
         return;
     }
@@ -311,14 +315,19 @@
 /// lacks replicas, no relay tells of them, however complete its news are.
 pub(super) fn covers<P: Platform>(node: &Node<P>) -> bool {
     let now = node.clock.now();
-    let is_believed = node.state.borrow().directory.relay_covers(now);
+    let is_believed = node.state.borrow().directory.trusts_relay(now);
     is_believed && !node.gives_orders() && !tree::lacks_replicas(node)
 }
 
 /// Ends when the relay is not believed any more.
 pub(super) async fn while_covered<P: Platform>(node: &Node<P>) {
     while covers(node) {
-        let until = node.state.borrow().directory.covered_until().unwrap_or_default();
+        let until = node
+            .state
+            .borrow()
+            .directory
+            .relay_trusted_until()
+            .unwrap_or_default();
         let left = until.since(node.clock.now());
         tokio::select! {
             () = sleep(left) => {}
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -103,7 +103,7 @@
 fn is_useful<P: Platform>(node: &Node<P>) -> bool {
     let now = node.clock.now();
     let state = node.state.borrow();
-    state.linked.contains(&true) || state.directory.relay_covers(now)
+    state.linked.contains(&true) || state.directory.trusts_relay(now)
 }
 
 /// What a link to a relay has told so far.
--- a/crates/croftrill-node/tests/news_parts.rs
+++ b/crates/croftrill-node/tests/news_parts.rs
@@ -87,11 +87,11 @@
         for (index, part) in parts.into_iter().enumerate() {
             let proven_at = now - Duration::from_millis(u64::from(part.proof_age_ms));
             let span = RelayedSpan { after: part.after, reached: part.reached, proven_at };
-            let applies = matches!(view.judge(span), RelayOutcome::Applied { .. });
+            let applies = matches!(view.accept_span(span), RelayOutcome::Applied { .. });
             prop_assert!(applies);
             applied.extend(part.changes.into_iter().filter(|change| view.is_new(change.revision)));
             view.advance(part.reached);
-            prop_assert_eq!(view.relay_covers(now), index == last);
+            prop_assert_eq!(view.trusts_relay(now), index == last);
         }
         prop_assert_eq!(applied, changes);
         prop_assert_eq!(view.reached(), reached);
--- a/crates/croftrill-scheduler/src/followed_view.rs
+++ b/crates/croftrill-scheduler/src/followed_view.rs
@@ -52,7 +52,7 @@
 pub struct LinkDelay {
     /// Minimum difference so far between the time of receipt and the time of sending,
     /// in nanoseconds.
-    least_offset_ns: Option<i128>,
+    min_offset_ns: Option<i128>,
 }
 
 impl LinkDelay {
@@ -61,11 +61,9 @@
     pub fn excess(&mut self, sent_at: Duration, now: Moment) -> Duration {
         let received_at = now.since(Moment::default());
         let offset_ns = received_at.as_nanos() as i128 - sent_at.as_nanos() as i128;
-        let least_ns = self
-            .least_offset_ns
-            .map_or(offset_ns, |least| least.min(offset_ns));
-        self.least_offset_ns = Some(least_ns);
-        Duration::from_nanos((offset_ns - least_ns) as u64)
+        let min_ns = self.min_offset_ns.map_or(offset_ns, |min| min.min(offset_ns));
+        self.min_offset_ns = Some(min_ns);
+        Duration::from_nanos((offset_ns - min_ns) as u64)
     }
 }
 
@@ -75,7 +73,7 @@
     config: FollowConfig,
     reached: u64,
     /// Highest revision that any relayed span covered, applied or not.
-    told: u64,
+    announced: u64,
     proven_at: Option<Moment>,
 }
 
@@ -85,7 +83,7 @@
         FollowedView {
             config,
             reached: 0,
-            told: 0,
+            announced: 0,
             proven_at: None,
         }
     }
@@ -96,8 +94,8 @@
     }
 
     /// Returns the highest revision of the store that the relay has announced.
-    pub fn told(&self) -> u64 {
-        self.told
+    pub fn announced(&self) -> u64 {
+        self.announced
     }
 
     /// Returns true if a change at `revision` is not part of the view yet.
@@ -107,7 +105,7 @@
 
     /// Resets the view before everything is read again: until [`Self::advance`], every
     /// span is a gap.
-    pub fn restart(&mut self) {
+    pub fn reset(&mut self) {
         self.reached = 0;
         self.proven_at = None;
     }
@@ -120,8 +118,8 @@
 
     /// Records a relayed span and returns its effect. If it is applied, the caller applies
     /// the changes for which [`Self::is_new`] is true and then calls [`Self::advance`].
-    pub fn judge(&mut self, span: RelayedSpan) -> RelayOutcome {
-        self.told = self.told.max(span.reached);
+    pub fn accept_span(&mut self, span: RelayedSpan) -> RelayOutcome {
+        self.announced = self.announced.max(span.reached);
         if span.after > self.reached {
             self.proven_at = None;
             return RelayOutcome::Gap;
@@ -129,17 +127,17 @@
         if span.reached < self.reached {
             return RelayOutcome::Behind;
         }
-        let was_believed = self.relay_covers(span.proven_at);
+        let was_trusted = self.trusts_relay(span.proven_at);
         self.proven_at = Some(self.proven_at.unwrap_or_default().max(span.proven_at));
         RelayOutcome::Applied {
-            is_regained: !was_believed,
+            is_regained: !was_trusted,
         }
     }
 
     /// Records a full view that was complete at `proven_at`. Returns true if the caller
     /// should apply it, that is, if it is no older than this view.
-    pub fn judge_whole(&mut self, reached: u64, proven_at: Moment) -> bool {
-        self.told = self.told.max(reached);
+    pub fn accept_full_view(&mut self, reached: u64, proven_at: Moment) -> bool {
+        self.announced = self.announced.max(reached);
         if reached < self.reached {
             return false;
         }
@@ -148,12 +146,12 @@
     }
 
     /// Returns true while the proof that the relay is complete is valid.
-    pub fn relay_covers(&self, now: Moment) -> bool {
-        self.covered_until().is_some_and(|until| now < until)
+    pub fn trusts_relay(&self, now: Moment) -> bool {
+        self.relay_trusted_until().is_some_and(|until| now < until)
     }
 
     /// Returns when the relay stops being trusted if no further span arrives.
-    pub fn covered_until(&self) -> Option<Moment> {
+    pub fn relay_trusted_until(&self) -> Option<Moment> {
         self.proven_at
             .map(|proven_at| proven_at + self.config.proof_lifetime)
     }
--- a/crates/croftrill-scheduler/tests/followed_view.rs
+++ b/crates/croftrill-scheduler/tests/followed_view.rs
@@ -34,41 +34,41 @@
 fn judge_contiguous_span_is_believed_for_its_lifetime() {
     let mut view = view_at(10);
     assert_eq!(
-        view.judge(span(8, 12, 100)),
+        view.accept_span(span(8, 12, 100)),
         RelayOutcome::Applied { is_regained: true }
     );
     view.advance(12);
-    assert!(view.relay_covers(at(1199)));
-    assert!(!view.relay_covers(at(1200)));
+    assert!(view.trusts_relay(at(1199)));
+    assert!(!view.trusts_relay(at(1200)));
     assert_eq!(
-        view.judge(span(12, 12, 700)),
+        view.accept_span(span(12, 12, 700)),
         RelayOutcome::Applied { is_regained: false }
     );
-    assert!(view.relay_covers(at(1799)));
+    assert!(view.trusts_relay(at(1799)));
 }
 
 #[test]
 fn judge_gap_ends_belief() {
     let mut view = view_at(10);
-    view.judge(span(10, 10, 100));
-    assert_eq!(view.judge(span(11, 12, 200)), RelayOutcome::Gap);
-    assert!(!view.relay_covers(at(200)));
+    view.accept_span(span(10, 10, 100));
+    assert_eq!(view.accept_span(span(11, 12, 200)), RelayOutcome::Gap);
+    assert!(!view.trusts_relay(at(200)));
     assert_eq!(view.reached(), 10);
 }
 
 #[test]
 fn judge_span_behind_the_view_proves_nothing() {
     let mut view = view_at(10);
-    assert_eq!(view.judge(span(7, 9, 100)), RelayOutcome::Behind);
-    assert!(!view.relay_covers(at(100)));
+    assert_eq!(view.accept_span(span(7, 9, 100)), RelayOutcome::Behind);
+    assert!(!view.trusts_relay(at(100)));
 }
 
 #[test]
 fn relay_lost_ends_belief() {
     let mut view = view_at(10);
-    view.judge(span(10, 10, 100));
+    view.accept_span(span(10, 10, 100));
     view.relay_lost();
-    assert!(!view.relay_covers(at(100)));
+    assert!(!view.trusts_relay(at(100)));
 }
 
 #[test]
@@ -134,7 +134,7 @@
                         continue;
                     }
                     let (after, reached) = messages.remove(0);
-                    let outcome = view.judge(span(after as u64, reached as u64, time_ms as u64));
+                    let outcome = view.accept_span(span(after as u64, reached as u64, time_ms as u64));
                     if matches!(outcome, RelayOutcome::Applied { .. }) {
                         apply(&mut view, &mut known, &history, after, reached);
                     }
