--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use croftrill_scheduler::interest::{FollowerInterests, Interest, MustHear};
+use croftrill_scheduler::interest::{FollowerInterests, FollowerUpdate, Interest};
 use croftrill_scheduler::replica::ReplicaId;
 use croftrill_scheduler::replica_table::Placement;
 use croftrill_scheduler::time::Moment;
@@ -177,9 +177,9 @@
         let newer = news.changes.iter();
         for revised in newer.filter(|revised| revised.revision > told_up_to) {
             match self.hears_change(node, &revised.change) {
-                MustHear::Nothing => {}
-                MustHear::News => changes.push(revised.clone()),
-                MustHear::Everything => newly_known.extend(replica_of(node, &revised.change)),
+                FollowerUpdate::None => {}
+                FollowerUpdate::Change => changes.push(revised.clone()),
+                FollowerUpdate::Full => newly_known.extend(replica_of(node, &revised.change)),
             }
         }
         let mut messages = if changes.len() == news.changes.len() {
@@ -197,14 +197,14 @@
         messages
     }
 
-    fn hears_change<P: Platform>(&mut self, node: &Node<P>, change: &WireChange) -> MustHear {
+    fn hears_change<P: Platform>(&mut self, node: &Node<P>, change: &WireChange) -> FollowerUpdate {
         let Some(id) = replica_of(node, change) else {
-            return MustHear::News;
+            return FollowerUpdate::Change;
         };
         match change {
             WireChange::Replica(_) => self.interests.hears_listing(&node.state.borrow().replicas, &id),
-            _ if self.interests.hears_removal(&id) => MustHear::News,
-            _ => MustHear::Nothing,
+            _ if self.interests.hears_removal(&id) => FollowerUpdate::Change,
+            _ => FollowerUpdate::None,
         }
     }
 
@@ -218,12 +218,12 @@
                 self.interests.hears_placement(&state.replicas, placement)
             };
             match hears {
-                MustHear::Nothing => {}
-                MustHear::News => told.push(WirePlacement {
+                FollowerUpdate::None => {}
+                FollowerUpdate::Change => told.push(WirePlacement {
                     copies: None,
                     ..wire.clone()
                 }),
-                MustHear::Everything => newly_known.push(placement.replica.clone()),
+                FollowerUpdate::Full => newly_known.push(placement.replica.clone()),
             }
             if placement.tells_copies {
                 with_copies.extend(placement.usable.copies.in_memory.iter().cloned());
--- a/crates/croftrill-scheduler/src/interest.rs
+++ b/crates/croftrill-scheduler/src/interest.rs
@@ -20,7 +20,7 @@
 /// Maximum number of replicas published for one interest. At about 200 bytes each they take
 /// 13 KB, or 5 ms over 20 Mbit/s. All followers get the same replicas of a model, so this
 /// also bounds the model's capacity: 64 engines with 64 slots run 4,096 streams at a time.
-pub const MOST_TOLD: usize = 64;
+pub const MAX_REPLICAS_PER_INTEREST: usize = 64;
 
 /// A service, model or adapter that the requests at a node need.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -71,7 +71,7 @@
 
 /// The replicas that were published for one interest.
 #[derive(Debug, Default)]
-struct ToldReplicas {
+struct PublishedReplicas {
     ids: HashSet<ReplicaId>,
     /// The table version at which the limit was reached. The limit stays reached while the
     /// table is unchanged.
@@ -88,7 +88,7 @@
     /// The interests, each with the replicas that were published for it. The limit is
     /// checked against these and not against all matching replicas: a popular model has
     /// thousands, and each of them would cost a scan of all of them for each follower.
-    wanted: HashMap<Interest, ToldReplicas>,
+    wanted: HashMap<Interest, PublishedReplicas>,
     known: HashSet<ReplicaId>,
     /// Number of replicas scanned to check the limit.
     looked_at: u64,
@@ -96,13 +96,13 @@
 
 /// What a follower must receive about a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MustHear {
+pub enum FollowerUpdate {
     /// Nothing.
-    Nothing,
+    None,
     /// The change.
-    News,
+    Change,
     /// The full state of the replica, as the follower does not know it yet.
-    Everything,
+    Full,
 }
 
 impl FollowerInterests {
@@ -121,11 +121,11 @@
     /// that it already knows.
     pub fn want(&mut self, table: &ReplicaTable, interest: Interest) -> Vec<ReplicaId> {
         let chosen = self.choose(table, &interest);
-        let told = ToldReplicas {
+        let published = PublishedReplicas {
             ids: chosen.iter().cloned().collect(),
             full_at: None,
         };
-        self.wanted.insert(interest, told);
+        self.wanted.insert(interest, published);
         self.known.extend(chosen.iter().cloned());
         chosen
     }
@@ -166,24 +166,24 @@
 
     /// Handles a new or changed listing of a replica. The table may already hold the
     /// replica's placement, so the replica is matched by its entry in the table.
-    pub fn hears_listing(&mut self, table: &ReplicaTable, id: &ReplicaId) -> MustHear {
+    pub fn hears_listing(&mut self, table: &ReplicaTable, id: &ReplicaId) -> FollowerUpdate {
         if self.known.contains(id) {
-            return MustHear::News;
+            return FollowerUpdate::Change;
         }
         let Some(entry) = table.get(id) else {
-            return MustHear::Nothing;
+            return FollowerUpdate::None;
         };
         self.tell_for(table, id, |interest| interest.fits(entry))
     }
 
     /// Handles a changed placement of a replica.
-    pub fn hears_placement(&mut self, table: &ReplicaTable, placement: &Placement) -> MustHear {
+    pub fn hears_placement(&mut self, table: &ReplicaTable, placement: &Placement) -> FollowerUpdate {
         if self.known.contains(&placement.replica) {
-            return MustHear::News;
+            return FollowerUpdate::Change;
         }
         if table.get(&placement.replica).is_none() {
             // It is published once its listing arrives.
-            return MustHear::Nothing;
+            return FollowerUpdate::None;
         }
         self.tell_for(table, &placement.replica, |interest| {
             interest.fits_placement(placement)
@@ -197,19 +197,19 @@
         table: &ReplicaTable,
         id: &ReplicaId,
         fits: impl Fn(&Interest) -> bool,
-    ) -> MustHear {
+    ) -> FollowerUpdate {
         let (known, looked_at) = (&self.known, &mut self.looked_at);
         let mut fitting = self.wanted.iter_mut().filter(|(interest, _)| fits(interest));
-        if !fitting.any(|(interest, told)| told.has_room(table, interest, known, looked_at)) {
-            return MustHear::Nothing;
+        if !fitting.any(|(interest, published)| published.has_room(table, interest, known, looked_at)) {
+            return FollowerUpdate::None;
         }
         self.known.insert(id.clone());
         // It counts towards the limit of every interest that it fits.
         let fitting = self.wanted.iter_mut().filter(|(interest, _)| fits(interest));
-        fitting.for_each(|(_, told)| {
-            told.ids.insert(id.clone());
+        fitting.for_each(|(_, published)| {
+            published.ids.insert(id.clone());
         });
-        MustHear::Everything
+        FollowerUpdate::Full
     }
 
     /// Returns true if a replica is published to the follower.
@@ -221,7 +221,9 @@
     pub fn hears_removal(&mut self, id: &str) -> bool {
         let was_known = self.known.remove(id);
         if was_known {
-            self.wanted.values_mut().for_each(|told| told.full_at = None);
+            self.wanted
+                .values_mut()
+                .for_each(|published| published.full_at = None);
         }
         was_known
     }
@@ -266,15 +268,15 @@
             .fitting(table)
             .map(|entry| (rank(entry), entry.listing.id.clone()))
             .collect();
-        if ranked.len() > MOST_TOLD {
-            ranked.select_nth_unstable(MOST_TOLD - 1);
-            ranked.truncate(MOST_TOLD);
+        if ranked.len() > MAX_REPLICAS_PER_INTEREST {
+            ranked.select_nth_unstable(MAX_REPLICAS_PER_INTEREST - 1);
+            ranked.truncate(MAX_REPLICAS_PER_INTEREST);
         }
         ranked.into_iter().map(|(_, id)| id).collect()
     }
 }
 
-impl ToldReplicas {
+impl PublishedReplicas {
     /// Returns true if one more replica may be published. Replicas that do not fit the
     /// interest at present do not count towards the limit, but stay recorded: after the
     /// loss of an orderer they fit again with its next message.
@@ -285,7 +287,7 @@
         known: &HashSet<ReplicaId>,
         looked_at: &mut u64,
     ) -> bool {
-        if self.ids.len() < MOST_TOLD {
+        if self.ids.len() < MAX_REPLICAS_PER_INTEREST {
             return true;
         }
         if self.full_at == Some(table.version()) {
@@ -294,7 +296,7 @@
         self.ids.retain(|id| known.contains(id));
         *looked_at += self.ids.len() as u64;
         let fits = |id: &&ReplicaId| table.get(id).is_some_and(|entry| interest.fits(entry));
-        let is_full = self.ids.iter().filter(fits).count() >= MOST_TOLD;
+        let is_full = self.ids.iter().filter(fits).count() >= MAX_REPLICAS_PER_INTEREST;
         self.full_at = is_full.then(|| table.version());
         !is_full
     }
--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use croftrill_scheduler::interest::{FollowerInterests, Interest, MustHear, MOST_TOLD};
+use croftrill_scheduler::interest::{FollowerInterests, FollowerUpdate, Interest, MAX_REPLICAS_PER_INTEREST};
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_table::{Placement, ReplicaTable};
 use proptest::prelude::*;
@@ -99,14 +99,14 @@
     fn listed(&mut self, listing: ReplicaListing) {
         let id = listing.id.clone();
         self.table.apply_relayed_listing(listing);
-        if self.relay.hears_listing(&self.table, &id) != MustHear::Nothing {
+        if self.relay.hears_listing(&self.table, &id) != FollowerUpdate::None {
             self.tell(&id);
         }
     }
 
     fn placed(&mut self, placement: Placement) {
         self.table.apply_placement(placement.clone());
-        if self.relay.hears_placement(&self.table, &placement) != MustHear::Nothing {
+        if self.relay.hears_placement(&self.table, &placement) != FollowerUpdate::None {
             self.tell(&placement.replica);
         }
     }
@@ -142,7 +142,7 @@
     let (mut first, mut second) = (chosen("n1", "a"), chosen("n2", "b"));
     first.sort();
     second.sort();
-    assert_eq!(first.len(), MOST_TOLD);
+    assert_eq!(first.len(), MAX_REPLICAS_PER_INTEREST);
     assert_eq!(first, second);
 }
 
@@ -154,7 +154,7 @@
     }
     let chosen = FollowerInterests::new("n1", "b").want(&table, interest(0));
     let of_zone = |id: &ReplicaId| table.get(id).is_some_and(|entry| &*entry.listing.zone == "b");
-    assert_eq!(chosen.len(), MOST_TOLD);
+    assert_eq!(chosen.len(), MAX_REPLICAS_PER_INTEREST);
     assert!(chosen.iter().all(of_zone));
 }
 
@@ -244,7 +244,10 @@
         follower.looked_at() - before
     });
     assert!(looked_at[1] <= 3 * looked_at[0], "{looked_at:?}");
-    assert!(looked_at[1] <= 4_000 * MOST_TOLD as u64, "{looked_at:?}");
+    assert!(
+        looked_at[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
+        "{looked_at:?}"
+    );
 }
 
 #[test]
@@ -258,5 +261,8 @@
         follower.looked_at() - before
     });
     assert!(looked_at[1] <= 3 * looked_at[0], "{looked_at:?}");
-    assert!(looked_at[1] <= 4_000 * MOST_TOLD as u64, "{looked_at:?}");
+    assert!(
+        looked_at[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
+        "{looked_at:?}"
+    );
 }
