--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -81,9 +81,9 @@
     let relays = places.iter().filter(|place| **place == TreePlace::Relay).count();
     let table = table(size.replicas);
     let mut follower = FollowerInterests::new("n0", "zone-0");
-    let first = follower.want(&table, interest(0));
+    let first = follower.add_interest(&table, interest(0));
     let interest_bytes = replicas_bytes(&table, &first);
-    let asked = (1..ASKED).flat_map(|model| follower.want(&table, interest(model)));
+    let asked = (1..ASKED).flat_map(|model| follower.add_interest(&table, interest(model)));
     let follower_replicas = first.len() + asked.count();
     let own_items = items_bytes(&members);
     let whole = whole_parts(&members, &table);
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -71,7 +71,7 @@
         let mut interests = FollowerInterests::new(&follow.name, &follow.zone);
         let state = node.state.borrow();
         for interest in &follow.interests {
-            interests.want(&state.replicas, interest.to_interest());
+            interests.add_interest(&state.replicas, interest.to_interest());
         }
         Follower {
             scope,
@@ -114,8 +114,8 @@
             messages.extend(known_placements(node));
             return messages;
         }
-        let ids = self.interests.begin_anew(&node.state.borrow().replicas);
-        let answers: Vec<Interest> = self.interests.wanted().cloned().collect();
+        let ids = self.interests.resync(&node.state.borrow().replicas);
+        let answers: Vec<Interest> = self.interests.iter().cloned().collect();
         // The view takes the follower on without the changes of replicas: these come first,
         // as the link may end in between.
         let mut messages = self.replicas_messages(node, &ids, &answers, true);
@@ -129,7 +129,7 @@
         let mut ids = Vec::new();
         for interest in &interests {
             let state = node.state.borrow();
-            ids.extend(self.interests.want(&state.replicas, interest.clone()));
+            ids.extend(self.interests.add_interest(&state.replicas, interest.clone()));
         }
         ids.sort();
         ids.dedup();
@@ -139,7 +139,9 @@
     /// It has not asked for these for long.
     pub(super) fn forget<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Bytes {
         let interests: Vec<Interest> = interests.iter().map(WireModel::to_interest).collect();
-        let gone = self.interests.forget(&node.state.borrow().replicas, &interests);
+        let gone = self
+            .interests
+            .remove_interests(&node.state.borrow().replicas, &interests);
         FromOrderer::Forgotten(gone.iter().map(ToString::to_string).collect()).encode()
     }
 
@@ -202,8 +204,10 @@
             return FollowerUpdate::Change;
         };
         match change {
-            WireChange::Replica(_) => self.interests.hears_listing(&node.state.borrow().replicas, &id),
-            _ if self.interests.hears_removal(&id) => FollowerUpdate::Change,
+            WireChange::Replica(_) => self
+                .interests
+                .update_for_listing(&node.state.borrow().replicas, &id),
+            _ if self.interests.remove_replica(&id) => FollowerUpdate::Change,
             _ => FollowerUpdate::None,
         }
     }
@@ -215,7 +219,7 @@
         for ToldPlacement { wire, placement } in placements {
             let hears = {
                 let state = node.state.borrow();
-                self.interests.hears_placement(&state.replicas, placement)
+                self.interests.update_for_placement(&state.replicas, placement)
             };
             match hears {
                 FollowerUpdate::None => {}
@@ -234,7 +238,7 @@
         if !told.is_empty() {
             messages.push(FromOrderer::Placements(told.into()).encode());
         }
-        let wanted: Vec<Interest> = self.interests.wanted_of(&with_copies).cloned().collect();
+        let wanted: Vec<Interest> = self.interests.of_models(&with_copies).cloned().collect();
         let reloads = reloads(node, &wanted);
         if !newly_known.is_empty() || !reloads.is_empty() {
             let message = WireReplicas {
--- a/crates/croftrill-scheduler/src/interest.rs
+++ b/crates/croftrill-scheduler/src/interest.rs
@@ -88,10 +88,10 @@
     /// The interests, each with the replicas that were published for it. The limit is
     /// checked against these and not against all matching replicas: a popular model has
     /// thousands, and each of them would cost a scan of all of them for each follower.
-    wanted: HashMap<Interest, PublishedReplicas>,
+    interests: HashMap<Interest, PublishedReplicas>,
     known: HashSet<ReplicaId>,
     /// Number of replicas scanned to check the limit.
-    looked_at: u64,
+    scanned_replicas: u64,
 }
 
 /// What a follower must receive about a replica.
@@ -111,73 +111,73 @@
         FollowerInterests {
             zone: zone.to_string(),
             salt: xxh3_64(name.as_bytes()),
-            wanted: HashMap::new(),
+            interests: HashMap::new(),
             known: HashSet::new(),
-            looked_at: 0,
+            scanned_replicas: 0,
         }
     }
 
     /// Adds an interest. Returns the replicas to send to the follower now, including those
     /// that it already knows.
-    pub fn want(&mut self, table: &ReplicaTable, interest: Interest) -> Vec<ReplicaId> {
+    pub fn add_interest(&mut self, table: &ReplicaTable, interest: Interest) -> Vec<ReplicaId> {
         let chosen = self.choose(table, &interest);
         let published = PublishedReplicas {
             ids: chosen.iter().cloned().collect(),
             full_at: None,
         };
-        self.wanted.insert(interest, published);
+        self.interests.insert(interest, published);
         self.known.extend(chosen.iter().cloned());
         chosen
     }
 
     /// Chooses the replicas for all interests again. Returns all replicas that the follower
     /// must know, assuming that it knows none.
-    pub fn begin_anew(&mut self, table: &ReplicaTable) -> Vec<ReplicaId> {
+    pub fn resync(&mut self, table: &ReplicaTable) -> Vec<ReplicaId> {
         self.known.clear();
-        let wanted: Vec<Interest> = self.wanted.keys().cloned().collect();
-        for interest in wanted {
-            self.want(table, interest);
+        let interests: Vec<Interest> = self.interests.keys().cloned().collect();
+        for interest in interests {
+            self.add_interest(table, interest);
         }
         self.known.iter().cloned().collect()
     }
 
     /// Removes interests that no request has needed for a long time. Returns the replicas
     /// that are no longer published to the follower, which must forget them.
-    pub fn forget(&mut self, table: &ReplicaTable, interests: &[Interest]) -> Vec<ReplicaId> {
+    pub fn remove_interests(&mut self, table: &ReplicaTable, interests: &[Interest]) -> Vec<ReplicaId> {
         interests.iter().for_each(|interest| {
-            self.wanted.remove(interest);
+            self.interests.remove(interest);
         });
         let mut needed: HashSet<&ReplicaId> = HashSet::new();
-        for interest in self.wanted.keys() {
+        for interest in self.interests.keys() {
             let fitting = interest.fitting(table).map(|entry| &entry.listing.id);
             needed.extend(fitting.filter(|id| self.known.contains(*id)));
         }
-        let gone: Vec<ReplicaId> = self
+        let removed: Vec<ReplicaId> = self
             .known
             .iter()
             .filter(|id| !needed.contains(id))
             .cloned()
             .collect();
-        gone.iter().for_each(|id| {
-            self.hears_removal(id);
+        removed.iter().for_each(|id| {
+            self.remove_replica(id);
         });
-        gone
+        removed
     }
 
     /// Handles a new or changed listing of a replica. The table may already hold the
     /// replica's placement, so the replica is matched by its entry in the table.
-    pub fn hears_listing(&mut self, table: &ReplicaTable, id: &ReplicaId) -> FollowerUpdate {
+    pub fn update_for_listing(&mut self, table: &ReplicaTable, id: &ReplicaId) -> FollowerUpdate {
         if self.known.contains(id) {
             return FollowerUpdate::Change;
         }
         let Some(entry) = table.get(id) else {
             return FollowerUpdate::None;
         };
-        self.tell_for(table, id, |interest| interest.fits(entry))
+        self.publish_for(table, id, |interest| interest.fits(entry))
     }
 
     /// Handles a changed placement of a replica.
-    pub fn hears_placement(&mut self, table: &ReplicaTable, placement: &Placement) -> FollowerUpdate {
+    pub fn update_for_placement(&mut self, table: &ReplicaTable, placement: &Placement) -> FollowerUpdate {
         if self.known.contains(&placement.replica) {
             return FollowerUpdate::Change;
         }
@@ -185,27 +185,29 @@
             // It is published once its listing arrives.
             return FollowerUpdate::None;
         }
-        self.tell_for(table, &placement.replica, |interest| {
+        self.publish_for(table, &placement.replica, |interest| {
             interest.fits_placement(placement)
         })
     }
 
     /// Publishes a replica that the follower does not know if at least one of the
     /// interests that it fits is below the limit.
-    fn tell_for(
+    fn publish_for(
         &mut self,
         table: &ReplicaTable,
         id: &ReplicaId,
         fits: impl Fn(&Interest) -> bool,
     ) -> FollowerUpdate {
-        let (known, looked_at) = (&self.known, &mut self.looked_at);
-        let mut fitting = self.wanted.iter_mut().filter(|(interest, _)| fits(interest));
-        if !fitting.any(|(interest, published)| published.has_room(table, interest, known, looked_at)) {
+        let (known, scanned_replicas) = (&self.known, &mut self.scanned_replicas);
+        let mut fitting = self.interests.iter_mut().filter(|(interest, _)| fits(interest));
+        if !fitting
+            .any(|(interest, published)| published.is_below_limit(table, interest, known, scanned_replicas))
+        {
             return FollowerUpdate::None;
         }
         self.known.insert(id.clone());
         // It counts towards the limit of every interest that it fits.
-        let fitting = self.wanted.iter_mut().filter(|(interest, _)| fits(interest));
+        let fitting = self.interests.iter_mut().filter(|(interest, _)| fits(interest));
         fitting.for_each(|(_, published)| {
             published.ids.insert(id.clone());
         });
@@ -218,10 +220,10 @@
     }
 
     /// Removes a replica. Returns true if the follower knew it.
-    pub fn hears_removal(&mut self, id: &str) -> bool {
+    pub fn remove_replica(&mut self, id: &str) -> bool {
         let was_known = self.known.remove(id);
         if was_known {
-            self.wanted
+            self.interests
                 .values_mut()
                 .for_each(|published| published.full_at = None);
         }
@@ -229,25 +231,25 @@
     }
 
     /// Returns all interests.
-    pub fn wanted(&self) -> impl Iterator<Item = &Interest> {
-        self.wanted.keys()
+    pub fn iter(&self) -> impl Iterator<Item = &Interest> {
+        self.interests.keys()
     }
 
     /// Returns the interests in one of these models.
-    pub fn wanted_of<'a>(&'a self, models: &'a [ModelName]) -> impl Iterator<Item = &'a Interest> + 'a {
+    pub fn of_models<'a>(&'a self, models: &'a [ModelName]) -> impl Iterator<Item = &'a Interest> + 'a {
         let is_of = |interest: &&Interest| {
             interest
                 .model
                 .as_ref()
                 .is_some_and(|model| models.contains(model))
         };
-        self.wanted.keys().filter(is_of)
+        self.interests.keys().filter(is_of)
     }
 
     /// Returns the number of replicas scanned so far to check limits, which shows how the
     /// work grows with the fleet.
-    pub fn looked_at(&self) -> u64 {
-        self.looked_at
+    pub fn scanned_replicas(&self) -> u64 {
+        self.scanned_replicas
     }
 
     /// Chooses the replicas for an interest. For a model, all followers get the same ones,
@@ -280,12 +282,12 @@
     /// Returns true if one more replica may be published. Replicas that do not fit the
     /// interest at present do not count towards the limit, but stay recorded: after the
     /// loss of an orderer they fit again with its next message.
-    fn has_room(
+    fn is_below_limit(
         &mut self,
         table: &ReplicaTable,
         interest: &Interest,
         known: &HashSet<ReplicaId>,
-        looked_at: &mut u64,
+        scanned_replicas: &mut u64,
     ) -> bool {
         if self.ids.len() < MAX_REPLICAS_PER_INTEREST {
             return true;
@@ -294,7 +296,7 @@
             return false;
         }
         self.ids.retain(|id| known.contains(id));
-        *looked_at += self.ids.len() as u64;
+        *scanned_replicas += self.ids.len() as u64;
         let fits = |id: &&ReplicaId| table.get(id).is_some_and(|entry| interest.fits(entry));
         let is_full = self.ids.iter().filter(fits).count() >= MAX_REPLICAS_PER_INTEREST;
         self.full_at = is_full.then(|| table.version());
--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -99,33 +99,33 @@
     fn listed(&mut self, listing: ReplicaListing) {
         let id = listing.id.clone();
         self.table.apply_relayed_listing(listing);
-        if self.relay.hears_listing(&self.table, &id) != FollowerUpdate::None {
+        if self.relay.update_for_listing(&self.table, &id) != FollowerUpdate::None {
             self.tell(&id);
         }
     }
 
     fn placed(&mut self, placement: Placement) {
         self.table.apply_placement(placement.clone());
-        if self.relay.hears_placement(&self.table, &placement) != FollowerUpdate::None {
+        if self.relay.update_for_placement(&self.table, &placement) != FollowerUpdate::None {
             self.tell(&placement.replica);
         }
     }
 
     fn removed(&mut self, id: &str) {
         self.table.remove(id);
-        if self.relay.hears_removal(id) {
+        if self.relay.remove_replica(id) {
             self.follower.remove(id);
         }
     }
 
     fn wants(&mut self, interest: Interest) {
-        for id in self.relay.want(&self.table, interest) {
+        for id in self.relay.add_interest(&self.table, interest) {
             self.tell(&id);
         }
     }
 
     fn forgets(&mut self, interest: Interest) {
-        for id in self.relay.forget(&self.table, &[interest]) {
+        for id in self.relay.remove_interests(&self.table, &[interest]) {
             self.follower.remove(&id);
         }
     }
@@ -138,7 +138,8 @@
         table.apply_listing(listing(index, true));
         table.apply_placement(placement(index, &[1]));
     }
-    let chosen = |name: &str, zone: &str| FollowerInterests::new(name, zone).want(&table, interest(1));
+    let chosen =
+        |name: &str, zone: &str| FollowerInterests::new(name, zone).add_interest(&table, interest(1));
     let (mut first, mut second) = (chosen("n1", "a"), chosen("n2", "b"));
     first.sort();
     second.sort();
@@ -152,7 +153,7 @@
     for index in 0..1000 {
         table.apply_listing(listing(index, true));
     }
-    let chosen = FollowerInterests::new("n1", "b").want(&table, interest(0));
+    let chosen = FollowerInterests::new("n1", "b").add_interest(&table, interest(0));
     let of_zone = |id: &ReplicaId| table.get(id).is_some_and(|entry| &*entry.listing.zone == "b");
     assert_eq!(chosen.len(), MAX_REPLICAS_PER_INTEREST);
     assert!(chosen.iter().all(of_zone));
@@ -170,7 +171,7 @@
         table.apply_listing(listing(index, true));
         table.apply_placement(held);
     }
-    let chosen = FollowerInterests::new("n1", "a").want(&table, interest(3));
+    let chosen = FollowerInterests::new("n1", "a").add_interest(&table, interest(3));
     assert_eq!(chosen, vec![ReplicaId::from("r501")]);
 }
 
@@ -223,7 +224,7 @@
         table.apply_placement(placement(index, &[1 + index % 2]));
     }
     let mut follower = FollowerInterests::new("f1", "a");
-    follower.want(&table, interest(1));
+    follower.add_interest(&table, interest(1));
     (table, follower)
 }
 
@@ -235,34 +236,40 @@
 /// scan, the test visits four times as many entries for twice the replicas.
 #[test]
 fn hears_placement_of_all_replicas_looks_at_no_more_than_grows_with_them() {
-    let looked_at = [2_000, 4_000].map(|replicas| {
+    let scanned_replicas = [2_000, 4_000].map(|replicas| {
         let (table, mut follower) = busy_model(replicas);
-        let before = follower.looked_at();
+        let before = follower.scanned_replicas();
         for index in 0..replicas {
-            follower.hears_placement(&table, &placement(index, &[1 + index % 2]));
+            follower.update_for_placement(&table, &placement(index, &[1 + index % 2]));
         }
-        follower.looked_at() - before
+        follower.scanned_replicas() - before
     });
-    assert!(looked_at[1] <= 3 * looked_at[0], "{looked_at:?}");
     assert!(
-        looked_at[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
-        "{looked_at:?}"
+        scanned_replicas[1] <= 3 * scanned_replicas[0],
+        "{scanned_replicas:?}"
+    );
+    assert!(
+        scanned_replicas[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
+        "{scanned_replicas:?}"
     );
 }
 
 #[test]
 fn hears_listing_of_all_replicas_looks_at_no_more_than_grows_with_them() {
-    let looked_at = [2_000, 4_000].map(|replicas| {
+    let scanned_replicas = [2_000, 4_000].map(|replicas| {
         let (table, mut follower) = busy_model(replicas);
-        let before = follower.looked_at();
+        let before = follower.scanned_replicas();
         for index in 0..replicas {
-            follower.hears_listing(&table, &format!("r{index}").into());
+            follower.update_for_listing(&table, &format!("r{index}").into());
         }
-        follower.looked_at() - before
+        follower.scanned_replicas() - before
     });
-    assert!(looked_at[1] <= 3 * looked_at[0], "{looked_at:?}");
     assert!(
-        looked_at[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
-        "{looked_at:?}"
+        scanned_replicas[1] <= 3 * scanned_replicas[0],
+        "{scanned_replicas:?}"
+    );
+    assert!(
+        scanned_replicas[1] <= 4_000 * MAX_REPLICAS_PER_INTEREST as u64,
+        "{scanned_replicas:?}"
     );
 }
