--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::catalog::{AdapterName, Configuration, ModelName};
-use croftrill_scheduler::relay_log::keep_last_writes;
+use croftrill_scheduler::relay_log::retain_last_writes;
 use croftrill_scheduler::replica::{
     Order, OrderOutcome, ReplicaId, ReplicaListing, ReplicaReport, ReplicaWord,
 };
@@ -103,7 +103,7 @@
     /// to read, and to tell others, goes by what holds and not by how often it
     /// changed.
     pub fn without_replaced(mut self) -> Self {
-        keep_last_writes(&mut self.events, |event| match event {
+        retain_last_writes(&mut self.events, |event| match event {
             StoreEvent::Written(item) => Some(&item.key),
             StoreEvent::Removed { .. } => None,
         });
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::relay_log::{keep_last_writes, RelayLog, Revised};
+use croftrill_scheduler::relay_log::{retain_last_writes, LoggedChange, RelayLog};
 use croftrill_scheduler::relay_tree::{self, TreeNode, TreePlace};
 use croftrill_scheduler::replica_table::Placement;
 use croftrill_scheduler::shard::SHARD_COUNT;
@@ -270,7 +270,7 @@
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
     tree.proven_at = tree.proven_at.max(proven_at);
-    let changes = news.changes.iter().map(|revised| Revised {
+    let changes = news.changes.iter().map(|revised| LoggedChange {
         revision: revised.revision,
         change: revised.change.clone(),
         size_bytes: revised.change.size_bytes(),
@@ -338,7 +338,7 @@
         change: revised.change,
     });
     let mut changes: Vec<RevisedChange> = changes.collect();
-    keep_last_writes(&mut changes, |revised| match &revised.change {
+    retain_last_writes(&mut changes, |revised| match &revised.change {
         WireChange::Written { key, .. } => Some(key),
         WireChange::Replica(_) | WireChange::Removed { .. } => None,
     });
--- a/crates/croftrill-scheduler/tests/relay_log.rs
+++ b/crates/croftrill-scheduler/tests/relay_log.rs
@@ -1,10 +1,10 @@
 //! Tests that the log of relayed changes replays exactly what it covers.
 
-use croftrill_scheduler::relay_log::{keep_last_writes, RelayLog, Revised};
+use croftrill_scheduler::relay_log::{retain_last_writes, LoggedChange, RelayLog};
 use proptest::prelude::*;
 
-fn change(revision: u64) -> Revised<u64> {
-    Revised {
+fn change(revision: u64) -> LoggedChange<u64> {
+    LoggedChange {
         revision,
         change: revision,
         size_bytes: 10,
@@ -76,7 +76,7 @@
         (Some("a"), 4),
         (None, 5),
     ];
-    keep_last_writes(&mut changes, |(key, _)| *key);
-    let kept: Vec<u64> = changes.iter().map(|(_, revision)| *revision).collect();
-    assert_eq!(kept, [2, 3, 4, 5]);
+    retain_last_writes(&mut changes, |(key, _)| *key);
+    let retained: Vec<u64> = changes.iter().map(|(_, revision)| *revision).collect();
+    assert_eq!(retained, [2, 3, 4, 5]);
 }
