--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -8,7 +8,7 @@
     DirectoryNews, FromOrderer, RevisedChange, WholePart, WireChange, WireListing, WirePlacement,
 };
 use croftrill_scheduler::interest::{FollowerInterests, Interest};
-use croftrill_scheduler::relay_tree::{place, TreeNode, TreePlace};
+use croftrill_scheduler::relay_tree::{role, TreeNode, TreeRole};
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_table::{Placement, ReplicaTable};
 use nanoserde::SerBin;
@@ -77,8 +77,8 @@
 /// Works out a fleet.
 pub fn work_out(size: FleetSize) -> FleetCost {
     let members: Vec<MemberEntry> = (0..size.nodes).map(member).collect();
-    let places: Vec<TreePlace<'_>> = members.iter().map(|own| place_of(own, &members)).collect();
-    let relays = places.iter().filter(|place| **place == TreePlace::Relay).count();
+    let places: Vec<TreeRole<'_>> = members.iter().map(|own| place_of(own, &members)).collect();
+    let relays = places.iter().filter(|place| **place == TreeRole::Relay).count();
     let table = table(size.replicas);
     let mut follower = FollowerInterests::new("n0", "zone-0");
     let first = follower.add_interest(&table, interest(0));
@@ -123,21 +123,21 @@
     }
 }
 
-fn place_of<'a>(own: &'a MemberEntry, members: &'a [MemberEntry]) -> TreePlace<'a> {
+fn place_of<'a>(own: &'a MemberEntry, members: &'a [MemberEntry]) -> TreeRole<'a> {
     let node = |member: &'a MemberEntry| TreeNode {
         name: &member.name,
         zone: &member.zone,
         processor_millicores: member.processor_millicores,
         is_orderer: false,
     };
-    place(node(own), members.iter().map(node))
+    role(node(own), members.iter().map(node))
 }
 
 /// Most nodes whose first choice is the same relay.
-fn most_followers(places: &[TreePlace<'_>]) -> usize {
+fn most_followers(places: &[TreeRole<'_>]) -> usize {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for place in places {
-        if let TreePlace::Below(relays) = place {
+        if let TreeRole::Follower(relays) = place {
             *counts.entry(relays[0]).or_insert(0) += 1;
         }
     }
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::relay_tree::TreePlace;
+use croftrill_scheduler::relay_tree::TreeRole;
 use croftrill_scheduler::shard::Shard;
 use nanoserde::SerBin;
 use tokio::sync::mpsc;
@@ -90,7 +90,7 @@
 /// links; they go on with what they know.
 fn uplink_without_relay<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
-    let is_below = matches!(place_of(node, &state.members), TreePlace::Below(_));
+    let is_below = matches!(place_of(node, &state.members), TreeRole::Follower(_));
     let is_large = state.tree.is_narrow || state.replicas.len() > node.settings.most_replicas_told;
     if is_below && is_large {
         Uplink::Nobody
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -1,13 +1,13 @@
 //! The tree over which a large fleet hears its orderers.
 //!
-//! [`place`] says who relays to whom. A relay listens to every orderer, as all
+//! [`role`] says who relays to whom. A relay listens to every orderer, as all
 //! nodes of a small fleet do ([`crate::peer_link`]), and passes on what it hears
 //! to its followers ([`serve`]); a follower has one link, to a relay ([`follow`]).
 //! The tree has no third level: a relay serves only while it hears the orderers
 //! itself, so two nodes can never follow each other. Where the replicas are many a
 //! follower knows those that its requests ask for ([`wants`], [`follower`]).
 //!
-//! [`place`]: croftrill_scheduler::relay_tree::place
+//! [`role`]: croftrill_scheduler::relay_tree::role
 
 mod follow;
 mod follower;
@@ -22,7 +22,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::relay_log::{retain_last_writes, LoggedChange, RelayLog};
-use croftrill_scheduler::relay_tree::{self, TreeNode, TreePlace};
+use croftrill_scheduler::relay_tree::{self, TreeNode, TreeRole};
 use croftrill_scheduler::replica_table::Placement;
 use croftrill_scheduler::shard::SHARD_COUNT;
 use croftrill_scheduler::time::Moment;
@@ -154,7 +154,7 @@
 /// none if it belongs to the orderers' own listeners.
 fn relays_above<P: Platform>(node: &Node<P>) -> Vec<SocketAddr> {
     let state = node.state.borrow();
-    let TreePlace::Below(relays) = place_of(node, &state.members) else {
+    let TreeRole::Follower(relays) = place_of(node, &state.members) else {
         return Vec::new();
     };
     let address_of = |name: &&str| {
@@ -168,17 +168,17 @@
 /// list of nodes, or somebody follows it by another list.
 pub(crate) fn is_relay<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    let is_chosen = || place_of(node, &state.members) == TreePlace::Relay;
+    let is_chosen = || place_of(node, &state.members) == TreeRole::Relay;
     state.tree.uplink == Uplink::Orderers && (node.followers.receiver_count() > 0 || is_chosen())
 }
 
 /// True if this node's list of the fleet says that it belongs below relays.
 pub(crate) fn is_below_relays<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    matches!(place_of(node, &state.members), TreePlace::Below(_))
+    matches!(place_of(node, &state.members), TreeRole::Follower(_))
 }
 
-fn place_of<'a, P: Platform>(node: &'a Node<P>, members: &'a crate::membership::Members) -> TreePlace<'a> {
+fn place_of<'a, P: Platform>(node: &'a Node<P>, members: &'a crate::membership::Members) -> TreeRole<'a> {
     let is_orderer = |name: &str| members.orderers().any(|(_, orderer)| orderer.name == name);
     let identity = &node.settings.identity;
     let own = TreeNode {
@@ -193,7 +193,7 @@
         processor_millicores: member.processor_millicores,
         is_orderer: is_orderer(&member.name),
     });
-    relay_tree::place(own, others)
+    relay_tree::role(own, others)
 }
 
 /// True while this node has a link to a relay.
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::relay_tree::TreePlace;
+use croftrill_scheduler::relay_tree::TreeRole;
 use nanoserde::SerBin;
 use tokio::sync::broadcast::error::RecvError;
 use tokio::time::{sleep_until, Instant};
@@ -109,7 +109,7 @@
 /// comes it need not, as a relay reads all that holds.
 fn called_upon<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
-    if place_of(node, &state.members) != TreePlace::Relay {
+    if place_of(node, &state.members) != TreeRole::Relay {
         return;
     }
     tracing::info!(target: "peer", event = "leaving a relay to be one");
--- a/crates/croftrill-scheduler/src/relay_tree.rs
+++ b/crates/croftrill-scheduler/src/relay_tree.rs
@@ -12,12 +12,12 @@
 
 /// Maximum number of nodes in a fleet without relays: each orderer sends updates to that
 /// many nodes directly. It lies between the tested fleets of 8 and of 86 nodes.
-const MOST_WITHOUT_RELAYS: usize = 32;
+const MAX_NODES_WITHOUT_RELAYS: usize = 32;
 /// Number of nodes in a zone per relay. With 295 nodes in six zones, relays and orderers
 /// have about twenty followers each.
 const NODES_PER_RELAY: usize = 24;
 /// Minimum number of relays per zone, so that one can fail.
-const LEAST_RELAYS: usize = 2;
+const MIN_RELAYS_PER_ZONE: usize = 2;
 
 /// The properties of a node that determine its role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,33 +43,33 @@
 
 /// What a node follows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TreePlace<'a> {
+pub enum TreeRole<'a> {
     /// The node follows the orderers and is not a relay.
     Direct,
     /// The node follows the orderers and relays their updates.
     Relay,
     /// The node follows the first of these relays of its zone that is reachable.
-    Below(Vec<&'a str>),
+    Follower(Vec<&'a str>),
 }
 
 /// Returns the role of `own` among `nodes`, which may contain it.
-pub fn place<'a>(own: TreeNode<'a>, nodes: impl Iterator<Item = TreeNode<'a>>) -> TreePlace<'a> {
+pub fn role<'a>(own: TreeNode<'a>, nodes: impl Iterator<Item = TreeNode<'a>>) -> TreeRole<'a> {
     let nodes: Vec<TreeNode<'a>> = nodes.collect();
-    if own.is_orderer || nodes.len() <= MOST_WITHOUT_RELAYS {
-        return TreePlace::Direct;
+    if own.is_orderer || nodes.len() <= MAX_NODES_WITHOUT_RELAYS {
+        return TreeRole::Direct;
     }
     let mut zone: Vec<TreeNode<'a>> = nodes.into_iter().filter(|node| node.zone == own.zone).collect();
     if zone.iter().all(|node| node.name != own.name) {
         zone.push(own);
     }
     zone.sort_by_key(TreeNode::rank);
-    let count = zone.len().div_ceil(NODES_PER_RELAY).max(LEAST_RELAYS);
+    let count = zone.len().div_ceil(NODES_PER_RELAY).max(MIN_RELAYS_PER_ZONE);
     let mut relays: Vec<&'a str> = zone.iter().take(count).map(|node| node.name).collect();
     if relays.contains(&own.name) {
-        return TreePlace::Relay;
+        return TreeRole::Relay;
     }
     // Nodes start at different relays, so that the followers spread over the relays.
     let first = xxh3_64(own.name.as_bytes()) as usize % relays.len();
     relays.rotate_left(first);
-    TreePlace::Below(relays)
+    TreeRole::Follower(relays)
 }
--- a/crates/croftrill-scheduler/tests/relay_tree.rs
+++ b/crates/croftrill-scheduler/tests/relay_tree.rs
@@ -1,6 +1,6 @@
 //! Tests that in a large fleet a few strong nodes of each zone relay to the others.
 
-use croftrill_scheduler::relay_tree::{place, TreeNode, TreePlace};
+use croftrill_scheduler::relay_tree::{role, TreeNode, TreeRole};
 use proptest::prelude::*;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -24,10 +24,10 @@
     nodes.map(|(index, name)| node(index, name, orderers)).collect()
 }
 
-fn places<'a>(nodes: &[TreeNode<'a>]) -> Vec<TreePlace<'a>> {
+fn roles<'a>(nodes: &[TreeNode<'a>]) -> Vec<TreeRole<'a>> {
     nodes
         .iter()
-        .map(|own| place(*own, nodes.iter().copied()))
+        .map(|own| role(*own, nodes.iter().copied()))
         .collect()
 }
 
@@ -35,14 +35,14 @@
 fn place_in_a_small_fleet_is_direct() {
     let names = names(32);
     let nodes = fleet(&names, &[]);
-    assert!(places(&nodes).iter().all(|place| *place == TreePlace::Direct));
+    assert!(roles(&nodes).iter().all(|role| *role == TreeRole::Direct));
 }
 
 #[test]
 fn place_of_an_orderer_is_direct() {
     let names = names(90);
     let nodes = fleet(&names, &[10]);
-    assert_eq!(places(&nodes)[10], TreePlace::Direct);
+    assert_eq!(roles(&nodes)[10], TreeRole::Direct);
 }
 
 #[test]
@@ -56,8 +56,8 @@
         is_orderer: false,
     };
     assert!(matches!(
-        place(newcomer, nodes.iter().copied()),
-        TreePlace::Below(_)
+        role(newcomer, nodes.iter().copied()),
+        TreeRole::Follower(_)
     ));
 }
 
@@ -69,16 +69,16 @@
     fn place_below_names_relays_of_the_zone(count in 33usize..400, orderers in prop::collection::vec(0usize..400, 0..4)) {
         let names = names(count);
         let nodes = fleet(&names, &orderers);
-        let places = places(&nodes);
+        let roles = roles(&nodes);
         let relay_of = |name: &str| nodes.iter().position(|node| node.name == name).expect("a node");
         let mut followers = vec![0usize; count];
-        for (own, place) in nodes.iter().zip(&places) {
-            let TreePlace::Below(relays) = place else { continue };
+        for (own, role) in nodes.iter().zip(&roles) {
+            let TreeRole::Follower(relays) = role else { continue };
             prop_assert!(relays.len() >= 2);
             for name in relays {
                 let index = relay_of(name);
                 prop_assert_eq!(nodes[index].zone, own.zone);
-                prop_assert_eq!(&places[index], &TreePlace::Relay);
+                prop_assert_eq!(&roles[index], &TreeRole::Relay);
             }
             followers[relay_of(relays[0])] += 1;
         }
