--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -124,7 +124,7 @@
             return;
         };
         // A report tells of the end only that much later.
-        let seen_late_by = self.config.ledger.poll_every + self.config.ledger.report_lag;
+        let seen_late_by = self.config.ledger.poll_interval + self.config.ledger.report_lag;
         let took = now.since(begun).saturating_sub(seen_late_by);
         let configuration = self.configuration.clone();
         let engine = configuration
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -69,7 +69,7 @@
     /// When a replica's goal should be ready: its load as told by its account,
     /// or else making room and loading, both still to come.
     fn ready_at(&self, replica: &PlacedReplica, goal: &ModelName, now: Moment) -> Moment {
-        let lag = self.config.ledger.poll_every + self.config.ledger.report_lag / 2;
+        let lag = self.config.ledger.poll_interval + self.config.ledger.report_lag / 2;
         if let Some((_, expected_at)) = replica.ledger.loading().filter(|(model, _)| *model == goal) {
             return expected_at + lag;
         }
--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -18,29 +18,29 @@
     /// Maximum age of a report when it arrives.
     pub report_lag: Duration,
     /// Time between requests for reports while an order is pending.
-    pub poll_every: Duration,
+    pub poll_interval: Duration,
     /// Minimum time between requests for reports otherwise.
-    pub idle_poll_every: Duration,
-    /// Time after which an order without effect counts as failed.
-    pub give_up_after: Duration,
+    pub idle_poll_interval: Duration,
+    /// Minimum time after which an order without effect counts as failed.
+    pub min_order_timeout: Duration,
     /// Maximum number of adapters that load at a replica at once.
-    pub adapters_in_transit: usize,
+    pub max_adapters_in_transit: usize,
 }
 
 impl Default for LedgerConfig {
     fn default() -> Self {
         LedgerConfig {
             report_lag: Duration::from_millis(250),
-            poll_every: Duration::from_millis(60),
-            idle_poll_every: Duration::from_millis(2500),
-            give_up_after: Duration::from_secs(20),
-            adapters_in_transit: 4,
+            poll_interval: Duration::from_millis(60),
+            idle_poll_interval: Duration::from_millis(2500),
+            min_order_timeout: Duration::from_secs(20),
+            max_adapters_in_transit: 4,
         }
     }
 }
 
 /// Multiple of its expected duration after which an order counts as failed.
-const SLOWEST_ORDER: u32 = 6;
+const MAX_ORDER_SLOWDOWN: u32 = 6;
 
 /// Progress of the pending order.
 #[derive(Debug, Clone, PartialEq)]
@@ -125,7 +125,7 @@
     /// Returns true if an order may be sent now.
     pub fn is_idle(&self) -> bool {
         let in_transit = self.in_transit.iter().filter(|adapter| !adapter.has_arrived);
-        let may_send = in_transit.count() < self.config.adapters_in_transit;
+        let may_send = in_transit.count() < self.config.max_adapters_in_transit;
         self.confirmed && self.pending.is_none() && !self.busy && may_send
     }
 
@@ -210,7 +210,7 @@
                 pending.progress = Progress::Taken {
                     expected_at: now + expected_in,
                 };
-                self.next_question = now + expected_in.max(self.config.poll_every);
+                self.next_question = now + expected_in.max(self.config.poll_interval);
                 self.pending = Some(pending);
                 LedgerChange::Holdings
             }
@@ -233,7 +233,7 @@
                 LedgerChange::Failed(pending.order)
             }
             OrderOutcome::OtherIncarnation => {
-                self.distrust(now + self.config.idle_poll_every);
+                self.distrust(now + self.config.idle_poll_interval);
                 LedgerChange::Failed(pending.order)
             }
         }
@@ -274,7 +274,7 @@
     /// Applies a report that was requested at `asked_at`.
     pub fn reported(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
         self.asking = false;
-        self.next_question = now + self.config.poll_every;
+        self.next_question = now + self.config.poll_interval;
         if self.is_sent() {
             return LedgerChange::None;
         }
@@ -289,9 +289,9 @@
             self.busy = report.busy;
             self.confirmed = true;
             let pause = if report.busy {
-                self.config.poll_every
+                self.config.poll_interval
             } else {
-                self.config.idle_poll_every
+                self.config.idle_poll_interval
             };
             self.next_question = now + pause;
         }
@@ -329,7 +329,7 @@
                 }
                 let reported_after_taken = asked_at.since(pending.sent_at) >= self.config.report_lag * 2;
                 let ended = pending.order.is_weights() && !report.busy && reported_after_taken;
-                if ended || now.since(pending.sent_at) >= self.longest_order(&pending) {
+                if ended || now.since(pending.sent_at) >= self.order_timeout(&pending) {
                     return LedgerChange::Failed(pending.order);
                 }
                 self.pending = Some(pending);
@@ -340,12 +340,12 @@
 
     /// Returns the time after which an accepted order counts as failed. It allows for
     /// loads that share the weight store, which take longer than they would alone.
-    fn longest_order(&self, pending: &Pending) -> Duration {
+    fn order_timeout(&self, pending: &Pending) -> Duration {
         let expected = match pending.progress {
             Progress::Taken { expected_at } => expected_at.since(pending.sent_at),
             Progress::Sent | Progress::Unknown { .. } => Duration::ZERO,
         };
-        self.config.give_up_after.max(expected * SLOWEST_ORDER)
+        self.config.min_order_timeout.max(expected * MAX_ORDER_SLOWDOWN)
     }
 
     /// Reserves the adapter's slot at once, so that no later order uses it.
