--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -352,7 +352,7 @@
         if listing.state == ReplicaState::Draining {
             replica.goal = None;
         }
-        let change = replica.ledger.listed(&listing.holdings);
+        let change = replica.ledger.apply_listing(&listing.holdings);
         if is_own && (is_new || change != LedgerChange::None) {
             // The other nodes are told of holdings only by placements.
             self.changed.insert(listing.id.clone());
@@ -395,7 +395,7 @@
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
-        let change = replica.ledger.answered(outcome, expected_in, now);
+        let change = replica.ledger.record_outcome(outcome, expected_in, now);
         self.after_change(id, change, now);
     }
 
@@ -404,9 +404,9 @@
             return;
         };
         let change = match report {
-            Some(report) => replica.ledger.reported(report, asked_at, now),
+            Some(report) => replica.ledger.apply_report(report, asked_at, now),
             None => {
-                replica.ledger.report_failed(now);
+                replica.ledger.record_report_failure(now);
                 LedgerChange::None
             }
         };
@@ -469,7 +469,7 @@
 
     fn send(&mut self, id: &ReplicaId, order: Order, now: Moment) -> OrdererAction {
         let replica = self.replicas.get_mut(id).expect("orders go to known replicas");
-        let expected_sequence = replica.ledger.send(order.clone(), now);
+        let expected_sequence = replica.ledger.begin_order(order.clone(), now);
         self.history.record_sent(id);
         self.changed.insert(id.clone());
         OrdererAction::Order {
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -55,7 +55,7 @@
                 continue;
             }
             replica.is_held = !self.history.permits(id, now);
-            if replica.ledger.settle(now) {
+            if replica.ledger.mark_arrivals(now) {
                 self.changed.insert(id.clone());
             }
             if replica.control_calls == ControlCalls::Paused {
@@ -80,7 +80,7 @@
         for action in &actions {
             if let OrdererAction::Report { replica, .. } = action {
                 if let Some(replica) = self.replicas.get_mut(replica) {
-                    replica.ledger.report_asked();
+                    replica.ledger.record_report_request();
                 }
             }
         }
--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -138,7 +138,7 @@
     }
 
     /// Marks the adapters that should have arrived by now. Returns true if there are any.
-    pub fn settle(&mut self, now: Moment) -> bool {
+    pub fn mark_arrivals(&mut self, now: Moment) -> bool {
         let mut any = false;
         for transit in &mut self.in_transit {
             let arrives = !transit.has_arrived && transit.expected_at <= now;
@@ -170,7 +170,7 @@
 
     /// Applies the holdings that the directory lists. A listing may be older than an
     /// order, so it is used only until a report has confirmed the ledger.
-    pub fn listed(&mut self, listed: &Holdings) -> LedgerChange {
+    pub fn apply_listing(&mut self, listed: &Holdings) -> LedgerChange {
         if self.confirmed && self.pending.is_none() && !lists_same_models(listed, &self.holdings) {
             // One of the two is outdated; a report from the replica shows which.
             self.next_question = Moment::default();
@@ -183,7 +183,7 @@
     }
 
     /// Records that an order is being sent. Returns the sequence that the order must name.
-    pub fn send(&mut self, order: Order, now: Moment) -> u64 {
+    pub fn begin_order(&mut self, order: Order, now: Moment) -> u64 {
         self.end_transit(&order);
         self.pending = Some(Pending {
             order,
@@ -195,7 +195,12 @@
 
     /// Records the outcome of the pending order. `expected_in` is the time until its
     /// effect if it was accepted.
-    pub fn answered(&mut self, outcome: OrderOutcome, expected_in: Duration, now: Moment) -> LedgerChange {
+    pub fn record_outcome(
+        &mut self,
+        outcome: OrderOutcome,
+        expected_in: Duration,
+        now: Moment,
+    ) -> LedgerChange {
         let Some(mut pending) = self.pending.take() else {
             return LedgerChange::None;
         };
@@ -260,19 +265,19 @@
     }
 
     /// Records that a report is being requested.
-    pub fn report_asked(&mut self) {
+    pub fn record_report_request(&mut self) {
         self.asking = true;
         self.is_awaited = false;
     }
 
     /// Records that the requested report did not arrive.
-    pub fn report_failed(&mut self, now: Moment) {
+    pub fn record_report_failure(&mut self, now: Moment) {
         self.asking = false;
         self.next_question = now + self.config.report_lag;
     }
 
     /// Applies a report that was requested at `asked_at`.
-    pub fn reported(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
+    pub fn apply_report(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
         self.asking = false;
         self.next_question = now + self.config.poll_interval;
         if self.is_sent() {
--- a/crates/croftrill-scheduler/tests/replica_ledger.rs
+++ b/crates/croftrill-scheduler/tests/replica_ledger.rs
@@ -26,7 +26,7 @@
 fn asks_report(ledger: &mut ReplicaLedger, now: Moment) -> bool {
     let is_due = ledger.report_due(now).is_some();
     if is_due {
-        ledger.report_asked();
+        ledger.record_report_request();
     }
     is_due
 }
@@ -45,7 +45,7 @@
 fn confirmed() -> ReplicaLedger {
     let mut ledger = ReplicaLedger::new(LedgerConfig::default(), holdings(0, &["m1"]), at(0));
     assert!(asks_report(&mut ledger, at(0)));
-    ledger.reported(&report(5, &["m1"], false), at(0), at(10));
+    ledger.apply_report(&report(5, &["m1"], false), at(0), at(10));
     ledger
 }
 
@@ -58,20 +58,20 @@
 
 #[test]
 fn an_order_names_the_sequence_of_the_last_report() {
-    assert_eq!(confirmed().send(Order::LoadModel("m2".into()), at(100)), 5);
+    assert_eq!(confirmed().begin_order(Order::LoadModel("m2".into()), at(100)), 5);
 }
 
 #[test]
 fn a_report_from_before_the_order_settles_nothing() {
     let mut ledger = confirmed();
-    ledger.send(Order::LoadModel("m2".into()), at(100));
-    ledger.answered(OrderOutcome::Accepted, Duration::from_millis(500), at(110));
+    ledger.begin_order(Order::LoadModel("m2".into()), at(100));
+    ledger.record_outcome(OrderOutcome::Accepted, Duration::from_millis(500), at(110));
     assert_eq!(
-        ledger.reported(&report(5, &["m1"], false), at(600), at(610)),
+        ledger.apply_report(&report(5, &["m1"], false), at(600), at(610)),
         LedgerChange::None
     );
     assert!(!ledger.is_idle());
-    let done = ledger.reported(&report(6, &["m1", "m2"], false), at(700), at(710));
+    let done = ledger.apply_report(&report(6, &["m1", "m2"], false), at(700), at(710));
     assert_eq!(done, LedgerChange::Done(Order::LoadModel("m2".into())));
     assert!(ledger.is_idle());
 }
@@ -79,18 +79,18 @@
 #[test]
 fn an_order_without_an_answer_is_settled_by_a_later_report() {
     let mut ledger = confirmed();
-    ledger.send(Order::LoadModel("m2".into()), at(100));
-    ledger.answered(OrderOutcome::Unknown, Duration::ZERO, at(600));
+    ledger.begin_order(Order::LoadModel("m2".into()), at(100));
+    ledger.record_outcome(OrderOutcome::Unknown, Duration::ZERO, at(600));
     assert_eq!(
-        ledger.reported(&report(5, &["m1"], false), at(700), at(710)),
+        ledger.apply_report(&report(5, &["m1"], false), at(700), at(710)),
         LedgerChange::None
     );
     assert!(!ledger.is_idle(), "the report may be older than the order");
-    let settled = ledger.reported(&report(5, &["m1"], false), at(900), at(910));
+    let settled = ledger.apply_report(&report(5, &["m1"], false), at(900), at(910));
     assert_eq!(settled, LedgerChange::Failed(Order::LoadModel("m2".into())));
     assert!(ledger.is_idle());
     assert_eq!(
-        ledger.send(Order::LoadModel("m3".into()), at(920)),
+        ledger.begin_order(Order::LoadModel("m3".into()), at(920)),
         5,
         "only one of the two orders can be accepted"
     );
@@ -99,29 +99,29 @@
 #[test]
 fn an_order_without_an_answer_that_was_taken_goes_on() {
     let mut ledger = confirmed();
-    ledger.send(Order::LoadModel("m2".into()), at(100));
-    ledger.answered(OrderOutcome::Unknown, Duration::ZERO, at(600));
+    ledger.begin_order(Order::LoadModel("m2".into()), at(100));
+    ledger.record_outcome(OrderOutcome::Unknown, Duration::ZERO, at(600));
     assert!(!matches!(
-        ledger.reported(&report(6, &["m1"], true), at(900), at(910)),
+        ledger.apply_report(&report(6, &["m1"], true), at(900), at(910)),
         LedgerChange::Failed(_)
     ));
     assert!(!ledger.is_idle());
-    let done = ledger.reported(&report(6, &["m1", "m2"], false), at(2000), at(2010));
+    let done = ledger.apply_report(&report(6, &["m1", "m2"], false), at(2000), at(2010));
     assert_eq!(done, LedgerChange::Done(Order::LoadModel("m2".into())));
 }
 
 #[test]
 fn after_a_conflict_a_report_is_needed() {
     let mut ledger = confirmed();
-    ledger.send(Order::UnloadModel("m1".into()), at(100));
-    ledger.answered(OrderOutcome::Conflict, Duration::ZERO, at(110));
+    ledger.begin_order(Order::UnloadModel("m1".into()), at(100));
+    ledger.record_outcome(OrderOutcome::Conflict, Duration::ZERO, at(110));
     assert!(!ledger.is_idle());
     assert!(
         !asks_report(&mut ledger, at(200)),
         "a report may be older than the conflict"
     );
     assert!(asks_report(&mut ledger, at(400)));
-    ledger.reported(&report(7, &["m2"], false), at(400), at(410));
+    ledger.apply_report(&report(7, &["m2"], false), at(400), at(410));
     assert!(ledger.is_idle());
     assert!(ledger.holdings().serves("m2", None));
 }
@@ -131,7 +131,7 @@
 #[test]
 fn listings_do_not_count_once_a_report_came() {
     let mut ledger = confirmed();
-    assert_eq!(ledger.listed(&holdings(90, &["m9"])), LedgerChange::None);
+    assert_eq!(ledger.apply_listing(&holdings(90, &["m9"])), LedgerChange::None);
     assert!(ledger.holdings().serves("m1", None));
 }
 
@@ -139,8 +139,8 @@
 /// that the order names.
 fn load_adapter(ledger: &mut ReplicaLedger, adapter: &str, now_ms: u64) -> u64 {
     let order = Order::LoadAdapter("m1".into(), adapter.into());
-    let sequence = ledger.send(order.clone(), at(now_ms));
-    let change = ledger.answered(OrderOutcome::Accepted, Duration::from_millis(30), at(now_ms + 2));
+    let sequence = ledger.begin_order(order.clone(), at(now_ms));
+    let change = ledger.record_outcome(OrderOutcome::Accepted, Duration::from_millis(30), at(now_ms + 2));
     assert_eq!(change, LedgerChange::Done(order));
     sequence
 }
@@ -154,9 +154,9 @@
     assert!(ledger.is_idle());
     assert_eq!(load_adapter(&mut ledger, "a2", 104), 6);
     assert!(ledger.is_in_transit("m1", "a1"));
-    assert!(ledger.settle(at(140)));
+    assert!(ledger.mark_arrivals(at(140)));
     assert!(!ledger.is_in_transit("m1", "a1"));
-    assert!(!ledger.settle(at(150)), "each arrives once");
+    assert!(!ledger.mark_arrivals(at(150)), "each arrives once");
 }
 
 #[test]
@@ -167,7 +167,7 @@
         load_adapter(&mut ledger, adapter, 100 + index as u64);
     }
     assert!(!ledger.is_idle());
-    ledger.settle(at(200));
+    ledger.mark_arrivals(at(200));
     assert!(ledger.is_idle());
 }
 
@@ -177,11 +177,11 @@
 fn a_report_without_an_adapter_in_transit_frees_no_place() {
     let mut ledger = confirmed();
     load_adapter(&mut ledger, "a1", 100);
-    ledger.settle(at(140));
-    ledger.reported(&report(6, &["m1"], false), at(300), at(310));
+    ledger.mark_arrivals(at(140));
+    ledger.apply_report(&report(6, &["m1"], false), at(300), at(310));
     assert!(ledger.holdings().serves("m1", Some("a1")));
-    ledger.settle(at(900));
-    ledger.reported(&report(6, &["m1"], false), at(900), at(910));
+    ledger.mark_arrivals(at(900));
+    ledger.apply_report(&report(6, &["m1"], false), at(900), at(910));
     assert!(!ledger.holdings().serves("m1", Some("a1")), "it never arrived");
 }
 
@@ -189,8 +189,8 @@
 fn a_dropped_adapter_is_not_in_transit() {
     let mut ledger = confirmed();
     load_adapter(&mut ledger, "a1", 100);
-    ledger.send(Order::UnloadAdapter("m1".into(), "a1".into()), at(110));
-    ledger.answered(OrderOutcome::AlreadyHolds, Duration::ZERO, at(112));
-    ledger.reported(&report(7, &["m1"], false), at(200), at(210));
+    ledger.begin_order(Order::UnloadAdapter("m1".into(), "a1".into()), at(110));
+    ledger.record_outcome(OrderOutcome::AlreadyHolds, Duration::ZERO, at(112));
+    ledger.apply_report(&report(7, &["m1"], false), at(200), at(210));
     assert!(!ledger.holdings().serves("m1", Some("a1")));
 }
