--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -48,7 +48,7 @@
     /// Sent, but not answered yet.
     Sent,
     /// Accepted; its effect is expected at `expected_at`.
-    Taken { expected_at: Moment },
+    Accepted { expected_at: Moment },
     /// The answer was lost at that time.
     Unknown { since: Moment },
 }
@@ -81,8 +81,8 @@
     /// as reports may lack them.
     in_transit: Vec<AdapterInTransit>,
     busy: bool,
-    asking: bool,
-    next_question: Moment,
+    is_report_requested: bool,
+    next_report_at: Moment,
     /// True if an order depends on the next report.
     is_awaited: bool,
 }
@@ -111,8 +111,8 @@
             pending: None,
             in_transit: Vec::new(),
             busy: false,
-            asking: false,
-            next_question: now,
+            is_report_requested: false,
+            next_report_at: now,
             is_awaited: false,
         }
     }
@@ -145,9 +145,9 @@
             transit.has_arrived |= arrives;
             any |= arrives;
         }
-        let kept_for = self.config.report_lag * 2;
+        let retention = self.config.report_lag * 2;
         self.in_transit
-            .retain(|transit| now.since(transit.expected_at) < kept_for);
+            .retain(|transit| now.since(transit.expected_at) < retention);
         any
     }
 
@@ -161,7 +161,7 @@
         match self.pending.as_ref()? {
             Pending {
                 order: Order::LoadModel(model),
-                progress: Progress::Taken { expected_at },
+                progress: Progress::Accepted { expected_at },
                 ..
             } => Some((model, *expected_at)),
             _ => None,
@@ -173,7 +173,7 @@
     pub fn apply_listing(&mut self, listed: &Holdings) -> LedgerChange {
         if self.confirmed && self.pending.is_none() && !lists_same_models(listed, &self.holdings) {
             // One of the two is outdated; a report from the replica shows which.
-            self.next_question = Moment::default();
+            self.next_report_at = Moment::default();
         }
         if self.confirmed || self.pending.is_some() || *listed == self.holdings {
             return LedgerChange::None;
@@ -212,10 +212,10 @@
             }
             OrderOutcome::Accepted => {
                 self.holdings.sequence += 1;
-                pending.progress = Progress::Taken {
+                pending.progress = Progress::Accepted {
                     expected_at: now + expected_in,
                 };
-                self.next_question = now + expected_in.max(self.config.poll_interval);
+                self.next_report_at = now + expected_in.max(self.config.poll_interval);
                 self.pending = Some(pending);
                 LedgerChange::Holdings
             }
@@ -229,16 +229,16 @@
             }
             OrderOutcome::Unknown => {
                 pending.progress = Progress::Unknown { since: now };
-                self.next_question = now + self.config.report_lag;
+                self.next_report_at = now + self.config.report_lag;
                 self.pending = Some(pending);
                 LedgerChange::None
             }
             OrderOutcome::Conflict | OrderOutcome::Fenced | OrderOutcome::Rejected => {
-                self.distrust(now + self.config.report_lag);
+                self.require_report(now + self.config.report_lag);
                 LedgerChange::Failed(pending.order)
             }
             OrderOutcome::OtherIncarnation => {
-                self.distrust(now + self.config.idle_poll_interval);
+                self.require_report(now + self.config.idle_poll_interval);
                 LedgerChange::Failed(pending.order)
             }
         }
@@ -246,8 +246,8 @@
 
     /// Returns since when a report has been due, if one should be requested now.
     pub fn report_due(&self, now: Moment) -> Option<Moment> {
-        let is_due = !self.asking && now >= self.next_question && !self.is_sent();
-        is_due.then_some(self.next_question)
+        let is_due = !self.is_report_requested && now >= self.next_report_at && !self.is_unanswered();
+        is_due.then_some(self.next_report_at)
     }
 
     /// Returns true if an order depends on the next report. Otherwise the report only
@@ -260,37 +260,42 @@
     pub fn await_confirmation(&mut self, now: Moment) {
         if !self.confirmed && !self.is_awaited {
             self.is_awaited = true;
-            self.next_question = self.next_question.min(now);
+            self.next_report_at = self.next_report_at.min(now);
         }
     }
 
     /// Records that a report is being requested.
     pub fn record_report_request(&mut self) {
-        self.asking = true;
+        self.is_report_requested = true;
         self.is_awaited = false;
     }
 
     /// Records that the requested report did not arrive.
     pub fn record_report_failure(&mut self, now: Moment) {
-        self.asking = false;
-        self.next_question = now + self.config.report_lag;
+        self.is_report_requested = false;
+        self.next_report_at = now + self.config.report_lag;
     }
 
-    /// Applies a report that was requested at `asked_at`.
-    pub fn apply_report(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
-        self.asking = false;
-        self.next_question = now + self.config.poll_interval;
-        if self.is_sent() {
+    /// Applies a report that was requested at `requested_at`.
+    pub fn apply_report(
+        &mut self,
+        report: &ReplicaReport,
+        requested_at: Moment,
+        now: Moment,
+    ) -> LedgerChange {
+        self.is_report_requested = false;
+        self.next_report_at = now + self.config.poll_interval;
+        if self.is_unanswered() {
             return LedgerChange::None;
         }
         if report.holdings.sequence < self.holdings.sequence {
             return LedgerChange::None;
         }
         let before = self.holdings.clone();
-        let change = self.judge_pending(report, asked_at, now);
+        let change = self.update_pending(report, requested_at, now);
         if self.pending.is_none() {
             self.holdings = report.holdings.clone();
-            self.keep_in_transit();
+            self.reapply_in_transit();
             self.busy = report.busy;
             self.confirmed = true;
             let pause = if report.busy {
@@ -298,7 +303,7 @@
             } else {
                 self.config.idle_poll_interval
             };
-            self.next_question = now + pause;
+            self.next_report_at = now + pause;
         }
         match change {
             LedgerChange::None if self.holdings != before => LedgerChange::Holdings,
@@ -307,7 +312,7 @@
     }
 
     /// Updates the pending order by a report of the same or a later sequence.
-    fn judge_pending(&mut self, report: &ReplicaReport, asked_at: Moment, now: Moment) -> LedgerChange {
+    fn update_pending(&mut self, report: &ReplicaReport, requested_at: Moment, now: Moment) -> LedgerChange {
         let Some(mut pending) = self.pending.take() else {
             return LedgerChange::None;
         };
@@ -316,24 +321,25 @@
             Progress::Sent => self.pending = Some(pending),
             Progress::Unknown { since } if advanced => {
                 self.holdings.sequence = report.holdings.sequence;
-                pending.progress = Progress::Taken { expected_at: since };
+                pending.progress = Progress::Accepted { expected_at: since };
                 self.pending = Some(pending);
-                return self.judge_pending(report, asked_at, now);
+                return self.update_pending(report, requested_at, now);
             }
             Progress::Unknown { since } => {
                 // The order had not been accepted when the report was made. It may still
                 // be executed, but only in the state against which it was checked.
-                if asked_at.since(since) >= self.config.report_lag {
+                if requested_at.since(since) >= self.config.report_lag {
                     return LedgerChange::Failed(pending.order);
                 }
                 self.pending = Some(pending);
             }
-            Progress::Taken { .. } => {
+            Progress::Accepted { .. } => {
                 if pending.order.holds_in(&report.holdings) && !(pending.order.is_weights() && report.busy) {
                     return LedgerChange::Done(pending.order);
                 }
-                let reported_after_taken = asked_at.since(pending.sent_at) >= self.config.report_lag * 2;
-                let ended = pending.order.is_weights() && !report.busy && reported_after_taken;
+                let requested_after_acceptance =
+                    requested_at.since(pending.sent_at) >= self.config.report_lag * 2;
+                let ended = pending.order.is_weights() && !report.busy && requested_after_acceptance;
                 if ended || now.since(pending.sent_at) >= self.order_timeout(&pending) {
                     return LedgerChange::Failed(pending.order);
                 }
@@ -347,7 +353,7 @@
     /// loads that share the weight store, which take longer than they would alone.
     fn order_timeout(&self, pending: &Pending) -> Duration {
         let expected = match pending.progress {
-            Progress::Taken { expected_at } => expected_at.since(pending.sent_at),
+            Progress::Accepted { expected_at } => expected_at.since(pending.sent_at),
             Progress::Sent | Progress::Unknown { .. } => Duration::ZERO,
         };
         self.config.min_order_timeout.max(expected * MAX_ORDER_SLOWDOWN)
@@ -368,7 +374,7 @@
 
     /// Adds the adapters in transit to the holdings of a report, which may have been made
     /// before they arrived.
-    fn keep_in_transit(&mut self) {
+    fn reapply_in_transit(&mut self) {
         for transit in std::mem::take(&mut self.in_transit) {
             self.apply(&Order::LoadAdapter(
                 transit.model.clone(),
@@ -386,7 +392,7 @@
         }
     }
 
-    fn is_sent(&self) -> bool {
+    fn is_unanswered(&self) -> bool {
         matches!(
             &self.pending,
             Some(Pending {
@@ -396,9 +402,9 @@
         )
     }
 
-    fn distrust(&mut self, ask_at: Moment) {
+    fn require_report(&mut self, report_at: Moment) {
         self.confirmed = false;
-        self.next_question = ask_at;
+        self.next_report_at = report_at;
     }
 
     fn apply(&mut self, order: &Order) {
--- a/crates/croftrill-scheduler/tests/replica_ledger.rs
+++ b/crates/croftrill-scheduler/tests/replica_ledger.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns true if a report is due, and records it as requested.
-fn asks_report(ledger: &mut ReplicaLedger, now: Moment) -> bool {
+fn requests_report(ledger: &mut ReplicaLedger, now: Moment) -> bool {
     let is_due = ledger.report_due(now).is_some();
     if is_due {
         ledger.record_report_request();
@@ -44,7 +44,7 @@
 /// Creates a ledger that a report has confirmed at sequence 5.
 fn confirmed() -> ReplicaLedger {
     let mut ledger = ReplicaLedger::new(LedgerConfig::default(), holdings(0, &["m1"]), at(0));
-    assert!(asks_report(&mut ledger, at(0)));
+    assert!(requests_report(&mut ledger, at(0)));
     ledger.apply_report(&report(5, &["m1"], false), at(0), at(10));
     ledger
 }
@@ -117,10 +117,10 @@
     ledger.record_outcome(OrderOutcome::Conflict, Duration::ZERO, at(110));
     assert!(!ledger.is_idle());
     assert!(
-        !asks_report(&mut ledger, at(200)),
+        !requests_report(&mut ledger, at(200)),
         "a report may be older than the conflict"
     );
-    assert!(asks_report(&mut ledger, at(400)));
+    assert!(requests_report(&mut ledger, at(400)));
     ledger.apply_report(&report(7, &["m2"], false), at(400), at(410));
     assert!(ledger.is_idle());
     assert!(ledger.holdings().serves("m2", None));
