--- a/crates/croftrill-scheduler/src/load_ceiling.rs
+++ b/crates/croftrill-scheduler/src/load_ceiling.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct LoadCeiling {
     window: Duration,
-    begun: VecDeque<Moment>,
+    started: VecDeque<Moment>,
 }
 
 impl LoadCeiling {
@@ -20,36 +20,36 @@
     pub fn new(window: Duration) -> Self {
         LoadCeiling {
             window,
-            begun: VecDeque::new(),
+            started: VecDeque::new(),
         }
     }
 
     /// Assumes after a takeover that the previous orderer started `ceiling` loads just now.
     pub fn assume_full(&mut self, now: Moment, ceiling: usize) {
-        self.begun.clear();
-        self.begun.extend(std::iter::repeat_n(now, ceiling));
+        self.started.clear();
+        self.started.extend(std::iter::repeat_n(now, ceiling));
     }
 
     /// Returns the start times of the counted loads.
-    pub fn begun(&self) -> impl Iterator<Item = Moment> + '_ {
-        self.begun.iter().copied()
+    pub fn started(&self) -> impl Iterator<Item = Moment> + '_ {
+        self.started.iter().copied()
     }
 
     /// Returns true if one more load may start.
     pub fn admits(&mut self, now: Moment, ceiling: usize) -> bool {
         while self
-            .begun
+            .started
             .front()
-            .is_some_and(|begun| now.since(*begun) > self.window)
+            .is_some_and(|started| now.since(*started) > self.window)
         {
-            self.begun.pop_front();
+            self.started.pop_front();
         }
-        self.begun.len() < ceiling
+        self.started.len() < ceiling
     }
 
     /// Counts a load that is being ordered. If the order's answer is lost, the load may
     /// start later than `now`.
-    pub fn begin(&mut self, now: Moment) {
-        self.begun.push_back(now);
+    pub fn record_start(&mut self, now: Moment) {
+        self.started.push_back(now);
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -286,7 +286,7 @@
                 return None;
             }
             if let Some(ceiling) = self.ceilings.get_mut(service) {
-                ceiling.begin(now);
+                ceiling.record_start(now);
             }
             self.store_loads.insert(id.clone(), now);
         }
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -207,7 +207,7 @@
             self.ceilings
                 .entry(service.clone())
                 .or_insert_with(|| LoadCeiling::new(window))
-                .begin(moment);
+                .record_start(moment);
         }
     }
 
@@ -220,7 +220,7 @@
     pub fn resign(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
         let loads = self.ceilings.iter().flat_map(|(service, ceiling)| {
-            ceiling.begun().map(move |begun| PastLoad {
+            ceiling.started().map(move |begun| PastLoad {
                 service: service.clone(),
                 age: now.since(begun),
             })
--- a/crates/croftrill-scheduler/tests/limits.rs
+++ b/crates/croftrill-scheduler/tests/limits.rs
@@ -81,7 +81,7 @@
         for pause in pauses {
             now += pause;
             if ceiling.admits(at(now), 7) {
-                ceiling.begin(at(now));
+                ceiling.record_start(at(now));
                 begun.push(now);
             }
         }
