--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -26,7 +26,7 @@
 use crate::demand::{Asked, Demand, ModelKey};
 use crate::hand_over::{HandOver, OrderHistory, PastLoad, ReceivedResignation};
 use crate::load_ceiling::LoadCeiling;
-use crate::load_pace::LoadPace;
+use crate::load_concurrency::LoadConcurrency;
 use crate::placement::{
     load_time, ControlCalls, Orders, PlacedReplica, PlacedReplicas, PlacementConfig, ServicePlacement,
     WeightSource,
@@ -142,7 +142,7 @@
     /// Models that had their turn to get one more holder, since all had theirs.
     lacking_tried: BTreeSet<ModelName>,
     ceilings: BTreeMap<ServiceName, LoadCeiling>,
-    paces: BTreeMap<ServiceName, LoadPace>,
+    paces: BTreeMap<ServiceName, LoadConcurrency>,
     /// Since when the weight store has had a place free.
     store_free_since: BTreeMap<ServiceName, Moment>,
     /// Own loads from the weight store that run, and since when.
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -4,7 +4,7 @@
 
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::load_ceiling::LoadCeiling;
-use crate::load_pace::LoadPace;
+use crate::load_concurrency::LoadConcurrency;
 use crate::placement::{weight_source, Orders, PlacedReplica, WeightSource};
 use crate::replica::ReplicaId;
 use crate::shard::{OrderScope, Shard};
@@ -55,10 +55,10 @@
         free_for >= STORE_TURN * reachable.count() as u32
     }
 
-    fn pace(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadPace {
+    fn pace(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
         let usual = || engine.models.values().map(|model| model.store_load).max();
         let pace = self.paces.entry(service.clone());
-        pace.or_insert_with(|| LoadPace::new(usual().unwrap_or_default()))
+        pace.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
     }
 
     /// Loads from the weight store that other orderers run or plan, as they told.
@@ -134,7 +134,8 @@
             return;
         };
         if let Some(spec) = engine.models.get(model) {
-            self.pace(service, engine).ended(took, spec.store_load, running);
+            self.pace(service, engine)
+                .record_ended(took, spec.store_load, running);
         }
     }
 }
--- a/crates/croftrill-scheduler/tests/load_pace.rs
+++ b/crates/croftrill-scheduler/tests/load_concurrency.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_scheduler::load_pace::LoadPace;
+use croftrill_scheduler::load_concurrency::LoadConcurrency;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -16,11 +16,11 @@
 
 /// Runs `rounds` loads at the limit. Returns the limit after each of them.
 fn play(full_speed: usize, rounds: usize) -> Vec<usize> {
-    let mut pace = LoadPace::new(USUAL);
+    let mut concurrency = LoadConcurrency::new(USUAL);
     let limits = (0..rounds).map(|_| {
-        let running = pace.limit();
-        pace.ended(takes(running, full_speed), USUAL, running);
-        pace.limit()
+        let running = concurrency.limit();
+        concurrency.record_ended(takes(running, full_speed), USUAL, running);
+        concurrency.limit()
     });
     limits.collect()
 }
@@ -44,18 +44,18 @@
 /// 13 s, six concurrent first loads took 79 s each, and the models were no longer needed by then.
 #[test]
 fn limit_at_first_goes_by_the_time_of_a_load() {
-    assert_eq!(LoadPace::new(Duration::from_millis(13_200)).limit(), 1);
-    assert_eq!(LoadPace::new(USUAL).limit(), 4);
-    assert_eq!(LoadPace::new(Duration::from_millis(1_300)).limit(), 6);
+    assert_eq!(LoadConcurrency::new(Duration::from_millis(13_200)).limit(), 1);
+    assert_eq!(LoadConcurrency::new(USUAL).limit(), 4);
+    assert_eq!(LoadConcurrency::new(Duration::from_millis(1_300)).limit(), 6);
 }
 
 #[test]
 fn limit_does_not_grow_on_idle_time() {
-    let mut pace = LoadPace::new(USUAL);
+    let mut concurrency = LoadConcurrency::new(USUAL);
     for _ in 0..20 {
-        pace.ended(USUAL, USUAL, 1);
+        concurrency.record_ended(USUAL, USUAL, 1);
     }
-    assert_eq!(pace.limit(), LoadPace::new(USUAL).limit());
+    assert_eq!(concurrency.limit(), LoadConcurrency::new(USUAL).limit());
 }
 
 proptest! {
@@ -68,10 +68,10 @@
 
     #[test]
     fn limit_is_never_zero(times in prop::collection::vec((1u64..100_000, 1usize..40), 0..60)) {
-        let mut pace = LoadPace::new(USUAL);
+        let mut concurrency = LoadConcurrency::new(USUAL);
         for (millis, running) in times {
-            pace.ended(Duration::from_millis(millis), USUAL, running);
-            prop_assert!(pace.limit() >= 1);
+            concurrency.record_ended(Duration::from_millis(millis), USUAL, running);
+            prop_assert!(concurrency.limit() >= 1);
         }
     }
 }
