--- a/crates/croftrill-scheduler/tests/lease.rs
+++ b/crates/croftrill-scheduler/tests/lease.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn no_order_before_the_quiet_period_is_over() {
+fn order_token_before_the_quiet_period_ends_is_none() {
     let mut lease = OrdererLease::new(config());
     lease.record_acquisition(7, 40, at(0), at(5), TermStart::AfterUnknown);
     assert_eq!(lease.token(at(10)), Some(40));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn validity_counts_from_when_a_renewal_was_sent() {
+fn record_acquisition_counts_validity_from_the_request() {
     let mut lease = OrdererLease::new(config());
     lease.record_acquisition(7, 40, at(0), at(800), TermStart::Continues);
     assert_eq!(lease.order_token(at(TIME_TO_LIVE - 151)), Some(40));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_old_renewal_does_not_shorten_validity() {
+fn record_renewal_with_an_older_request_keeps_validity() {
     let mut lease = OrdererLease::new(config());
     lease.record_acquisition(7, 40, at(1000), at(1000), TermStart::Continues);
     lease.record_renewal(at(2000));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn wanted_record_after_hand_over_is_unsettled_until_the_last_hold_ends() {
+fn missing_record_after_hand_over_is_unsettled_until_the_last_hold_ends() {
     let mut lease = OrdererLease::new(config());
     let settled_from = at(2000);
     lease.record_acquisition(
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn start_of_term_believes_a_resignation_only_under_its_record() {
+fn term_start_uses_a_resignation_only_under_its_record() {
     let received = |record_revision| ReceivedResignation {
         resignation: Resignation {
             record_revision,
@@ -171,7 +171,7 @@
 
 impl Store {
     /// Returns the point in history of a new change.
-    fn change(&mut self) -> u64 {
+    fn next_point(&mut self) -> u64 {
         self.revision += 1;
         self.revision | self.era << REVISION_BITS
     }
@@ -189,10 +189,10 @@
     fn restore(&mut self, copy: &Store) {
         let era = self.era + 1;
         *self = Store { era, ..copy.clone() };
-        let renamed = |point: u64| (point & ((1 << REVISION_BITS) - 1)) | era << REVISION_BITS;
-        self.holder = self.holder.map(|(holder, token)| (holder, renamed(token)));
+        let in_new_era = |point: u64| (point & ((1 << REVISION_BITS) - 1)) | era << REVISION_BITS;
+        self.holder = self.holder.map(|(holder, token)| (holder, in_new_era(token)));
         if let Some(last) = &mut self.last {
-            last.revision = renamed(last.revision);
+            last.revision = in_new_era(last.revision);
         }
     }
 }
@@ -213,7 +213,7 @@
 impl Machine {
     /// Creates a process of the system's first start. It has read the store before the first
     /// order, and so before any copy of the store was made.
-    fn first() -> Self {
+    fn at_first_start() -> Self {
         Machine {
             is_first: true,
             era: Some(0),
@@ -234,7 +234,7 @@
     }
 
     /// Records the era of an answer of the store. Returns true if the era has risen.
-    fn hears(&mut self, era: u64) -> bool {
+    fn observe_era(&mut self, era: u64) -> bool {
         let rises = self.era.is_some_and(|known| known < era);
         self.era = Some(era);
         self.rises += u64::from(rises);
@@ -268,7 +268,7 @@
     /// The machine ends its term cleanly and, if the flag is set, releases its key.
     Resign(usize, bool),
     /// The machine receives one of the latest resignations.
-    Hear(usize, usize),
+    Receive(usize, usize),
 }
 
 fn event() -> impl Strategy<Value = (u64, Event)> {
@@ -278,7 +278,7 @@
         6 => (machine.clone(), 0..REPLICAS.len(), any::<bool>()).prop_map(|(m, r, a)| Event::Order(m, r, a)),
         1 => machine.clone().prop_map(Event::Restart),
         2 => (machine.clone(), any::<bool>()).prop_map(|(m, release)| Event::Resign(m, release)),
-        3 => (machine, 0usize..2).prop_map(|(m, back)| Event::Hear(m, back)),
+        3 => (machine, 0usize..2).prop_map(|(m, back)| Event::Receive(m, back)),
     ];
     // Long pauses model frozen processes and lost connections.
     (prop_oneof![6 => 1u64..300, 1 => 1000u64..9000], kind)
@@ -294,15 +294,15 @@
     /// Two machines never order at a replica within the gap of each other, and tokens only
     /// rise, whether resignations are received early, late or not at all.
     #[test]
-    fn machines_never_take_turns_within_the_gap(events in prop::collection::vec(event(), 1..200)) {
-        let plain = events.into_iter().map(|(pause, event)| (pause, Step::Event(event)));
-        one_machine_orders_at_a_time(plain.collect())?;
+    fn orders_of_two_machines_keep_the_gap(events in prop::collection::vec(event(), 1..200)) {
+        let steps = events.into_iter().map(|(pause, event)| (pause, Step::Event(event)));
+        check_order_gaps(steps.collect())?;
     }
 
     /// The same with a store that is restored from copies of any age.
     #[test]
-    fn machines_never_take_turns_over_restores(steps in prop::collection::vec(step(), 1..200)) {
-        one_machine_orders_at_a_time(steps)?;
+    fn orders_of_two_machines_keep_the_gap_over_restores(steps in prop::collection::vec(step(), 1..200)) {
+        check_order_gaps(steps)?;
     }
 }
 
@@ -320,11 +320,11 @@
     ]
 }
 
-fn one_machine_orders_at_a_time(steps: Vec<(u64, Step)>) -> Result<(), TestCaseError> {
+fn check_order_gaps(steps: Vec<(u64, Step)>) -> Result<(), TestCaseError> {
     let mut store = Store::default();
     let mut copies: Vec<Store> = Vec::new();
-    let mut machines: Vec<Machine> = (0..MACHINES).map(|_| Machine::first()).collect();
-    let mut told: Vec<Resignation> = Vec::new();
+    let mut machines: Vec<Machine> = (0..MACHINES).map(|_| Machine::at_first_start()).collect();
+    let mut resignations: Vec<Resignation> = Vec::new();
     let mut orders: BTreeMap<usize, Vec<(u64, usize, u64)>> = BTreeMap::new();
     let mut now = 0;
     for (pause, step) in steps {
@@ -346,7 +346,7 @@
         match event {
             Event::Restart(machine) => machines[machine] = Machine::new(),
             Event::Order(machine, replica, is_answered) => {
-                if let Some(order) = order(&mut machines[machine], replica, is_answered, now) {
+                if let Some(order) = send_order(&mut machines[machine], replica, is_answered, now) {
                     orders.entry(replica).or_default().push((now, machine, order));
                 }
             }
@@ -355,11 +355,11 @@
                 if machines[machine].lease.lease().is_some() && held && releases {
                     store.holder = None;
                 }
-                told.extend(machines[machine].resign(now));
+                resignations.extend(machines[machine].resign(now));
             }
-            Event::Hear(machine, back) => {
-                let index = told.len().checked_sub(back + 1);
-                if let Some(resignation) = index.map(|index| told[index].clone()) {
+            Event::Receive(machine, back) => {
+                let index = resignations.len().checked_sub(back + 1);
+                if let Some(resignation) = index.map(|index| resignations[index].clone()) {
                     machines[machine].received = Some(ReceivedResignation {
                         resignation,
                         received_at: at(now),
@@ -367,7 +367,7 @@
                 }
             }
             Event::Act(machine) => {
-                told.extend(act(&mut store, &mut machines[machine], machine, now));
+                resignations.extend(act(&mut store, &mut machines[machine], machine, now));
             }
         }
     }
@@ -382,7 +382,7 @@
 }
 
 /// Sends an order if the machine may do so. Returns the fencing token.
-fn order(machine: &mut Machine, replica: usize, is_answered: bool, now: u64) -> Option<u64> {
+fn send_order(machine: &mut Machine, replica: usize, is_answered: bool, now: u64) -> Option<u64> {
     let replica: ReplicaId = REPLICAS[replica].into();
     let token = machine.lease.order_token(at(now))?;
     if !machine.history.permits(&replica, at(now)) {
@@ -399,7 +399,7 @@
 /// the key if it is free, its own or resigned. Returns a resignation if the machine's term
 /// has ended.
 fn act(store: &mut Store, machine: &mut Machine, index: usize, now: u64) -> Option<Resignation> {
-    if machine.hears(store.era) && machine.lease.lease().is_some() {
+    if machine.observe_era(store.era) && machine.lease.lease().is_some() {
         return machine.resign(now);
     }
     if machine.lease.expire(at(now)) {
@@ -416,7 +416,7 @@
     machine.lease.record_renewal(at(now));
     machine.history.prune(at(now));
     if let Some(kind) = machine.lease.missing_record(at(now)) {
-        let revision = store.change();
+        let revision = store.next_point();
         store.record(index, kind == RecordKind::Settled, revision);
         machine.lease.set_record(Record { kind, revision });
     }
@@ -453,7 +453,7 @@
         |received: &&ReceivedResignation| received.resignation.fencing_token >> REVISION_BITS == store.era;
     let received = machine.received.as_ref().filter(of_this_era).cloned();
     let start = term_start(last, is_record_current, received.as_ref(), at(now));
-    let token = store.change();
+    let token = store.next_point();
     store.holder = Some((index, token));
     store.expires = now + TIME_TO_LIVE;
     if start == TermStart::Continues {
