--- a/crates/croftrill-scheduler/tests/candidacy.rs
+++ b/crates/croftrill-scheduler/tests/candidacy.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn place(own: Candidate<'_>, shard: Shard, nodes: &[Candidate<'_>]) -> u32 {
+fn position(own: Candidate<'_>, shard: Shard, nodes: &[Candidate<'_>]) -> u32 {
     let candidacy = Candidacy {
         shard,
         own,
@@ -23,16 +23,16 @@
 /// Guards against weak orderers: a node with an eighth of a core held two shards, had no
 /// processor time left, and applied a configuration more than 3 s late.
 #[test]
-fn place_in_line_puts_processor_time_first() {
+fn queue_position_puts_processor_time_first() {
     let nodes = [node("weak-1", 120), node("strong", 500), node("weak-2", 120)];
     for shard in Shard::all() {
-        assert_eq!(place(nodes[1], shard, &nodes), 1);
-        assert!(place(nodes[0], shard, &nodes) > 1);
+        assert_eq!(position(nodes[1], shard, &nodes), 1);
+        assert!(position(nodes[0], shard, &nodes) > 1);
     }
 }
 
 #[test]
-fn should_hand_on_only_to_a_node_with_much_more_processor_time() {
+fn should_hand_over_only_to_a_node_with_much_more_processor_time() {
     let others = [node("weak", 120), node("strong", 500)];
     assert!(should_hand_over(node("own", 120), others.into_iter()));
     assert!(!should_hand_over(node("own", 300), others.into_iter()));
@@ -41,17 +41,17 @@
 }
 
 #[test]
-fn place_in_line_differs_between_nodes_and_shards() {
+fn queue_position_differs_between_nodes_and_shards() {
     let names: Vec<String> = (0..40).map(|index| format!("n{index}")).collect();
     let nodes: Vec<Candidate<'_>> = names.iter().map(|name| node(name, 250)).collect();
-    let first = |shard| nodes.iter().position(|own| place(*own, shard, &nodes) == 1);
+    let first = |shard| nodes.iter().position(|own| position(*own, shard, &nodes) == 1);
     let firsts: Vec<Option<usize>> = Shard::all().map(first).collect();
     assert!(firsts.iter().all(Option::is_some));
     assert!(firsts.iter().any(|other| other != &firsts[0]), "{firsts:?}");
 }
 
 #[test]
-fn place_in_line_holder_lets_others_pass_and_last_orderer_goes_at_once() {
+fn queue_position_of_a_holder_is_late_and_of_the_last_orderer_is_zero() {
     let nodes = [node("a", 250), node("b", 250)];
     let shard = Shard::from_index(0).expect("a shard");
     let mut candidacy = Candidacy {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn has_turn_goes_from_the_home_shard_to_the_next() {
+fn may_act_goes_from_the_home_shard_to_the_next() {
     let home = "r1".into();
     let patience = std::time::Duration::from_millis(400);
     let home_shard = Shard::of_replica("r1").index();
