--- a/crates/croftrill-scheduler/tests/followed_view.rs
+++ b/crates/croftrill-scheduler/tests/followed_view.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn judge_contiguous_span_is_believed_for_its_lifetime() {
+fn accept_span_that_is_contiguous_is_trusted_for_its_lifetime() {
     let mut view = view_at(10);
     assert_eq!(
         view.accept_span(span(8, 12, 100)),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn judge_gap_ends_belief() {
+fn accept_span_after_a_gap_ends_trust() {
     let mut view = view_at(10);
     view.accept_span(span(10, 10, 100));
     assert_eq!(view.accept_span(span(11, 12, 200)), RelayOutcome::Gap);
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn judge_span_behind_the_view_proves_nothing() {
+fn accept_span_behind_the_view_proves_nothing() {
     let mut view = view_at(10);
     assert_eq!(view.accept_span(span(7, 9, 100)), RelayOutcome::Behind);
     assert!(!view.trusts_relay(at(100)));
 }
 
 #[test]
-fn relay_lost_ends_belief() {
+fn relay_lost_ends_trust() {
     let mut view = view_at(10);
     view.accept_span(span(10, 10, 100));
     view.relay_lost();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn excess_counts_from_the_least_delay_seen() {
+fn excess_counts_from_the_minimum_delay() {
     let mut delay = LinkDelay::default();
     let ms = Duration::from_millis;
     assert_eq!(delay.excess(ms(50_000), at(110)), ms(0));
@@ -93,7 +93,7 @@
     /// The oldest queued message is lost.
     Lose,
     /// The follower reads the store.
-    Ask,
+    Read,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -102,7 +102,7 @@
         Just(Step::Watch),
         Just(Step::Deliver),
         Just(Step::Lose),
-        Just(Step::Ask),
+        Just(Step::Read),
     ];
     proptest::collection::vec(step, 1..120)
 }
@@ -139,7 +139,7 @@
                         apply(&mut view, &mut known, &history, after, reached);
                     }
                 }
-                Step::Ask => {
+                Step::Read => {
                     let after = view.reached() as usize;
                     let reached = history.len();
                     apply(&mut view, &mut known, &history, after, reached);
