--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -63,9 +63,9 @@
 }
 
 /// What is published of a replica: whether it is ready, and the models it holds.
-type Told = (bool, Vec<String>);
+type Published = (bool, Vec<String>);
 
-fn told(table: &ReplicaTable, id: &str) -> Option<Told> {
+fn published(table: &ReplicaTable, id: &str) -> Option<Published> {
     let entry = table.get(id)?;
     let held = &entry.listing.holdings.models;
     Some((
@@ -78,7 +78,7 @@
 struct Pair {
     table: ReplicaTable,
     relay: FollowerInterests,
-    follower: BTreeMap<ReplicaId, Told>,
+    follower: BTreeMap<ReplicaId, Published>,
 }
 
 impl Pair {
@@ -90,41 +90,41 @@
         }
     }
 
-    fn tell(&mut self, id: &ReplicaId) {
-        if let Some(told) = told(&self.table, id) {
-            self.follower.insert(id.clone(), told);
+    fn send(&mut self, id: &ReplicaId) {
+        if let Some(published) = published(&self.table, id) {
+            self.follower.insert(id.clone(), published);
         }
     }
 
-    fn listed(&mut self, listing: ReplicaListing) {
+    fn list(&mut self, listing: ReplicaListing) {
         let id = listing.id.clone();
         self.table.apply_relayed_listing(listing);
         if self.relay.update_for_listing(&self.table, &id) != FollowerUpdate::None {
-            self.tell(&id);
+            self.send(&id);
         }
     }
 
-    fn placed(&mut self, placement: Placement) {
+    fn place(&mut self, placement: Placement) {
         self.table.apply_placement(placement.clone());
         if self.relay.update_for_placement(&self.table, &placement) != FollowerUpdate::None {
-            self.tell(&placement.replica);
+            self.send(&placement.replica);
         }
     }
 
-    fn removed(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         self.table.remove(id);
         if self.relay.remove_replica(id) {
             self.follower.remove(id);
         }
     }
 
-    fn wants(&mut self, interest: Interest) {
+    fn add_interest(&mut self, interest: Interest) {
         for id in self.relay.add_interest(&self.table, interest) {
-            self.tell(&id);
+            self.send(&id);
         }
     }
 
-    fn forgets(&mut self, interest: Interest) {
+    fn remove_interest(&mut self, interest: Interest) {
         for id in self.relay.remove_interests(&self.table, &[interest]) {
             self.follower.remove(&id);
         }
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn want_of_a_model_names_the_same_replicas_to_all_followers() {
+fn add_interest_in_a_model_returns_the_same_replicas_for_all_followers() {
     let mut table = ReplicaTable::new();
     for index in 1..400 {
         table.apply_listing(listing(index, true));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn want_of_a_plain_service_names_replicas_of_the_zone_first() {
+fn add_interest_in_a_plain_service_returns_replicas_of_the_zone_first() {
     let mut table = ReplicaTable::new();
     for index in 0..1000 {
         table.apply_listing(listing(index, true));
@@ -161,7 +161,7 @@
 
 /// A replica with an adapter is not always among those that are published for its model.
 #[test]
-fn want_of_an_adapter_names_its_holder_among_hundreds() {
+fn add_interest_in_an_adapter_returns_its_holder_among_hundreds() {
     let mut table = ReplicaTable::new();
     for index in 1..1000 {
         let mut held = placement(index, &[1]);
@@ -181,33 +181,33 @@
     #[test]
     fn follower_knows_what_the_relay_knows(steps in prop::collection::vec((0u8..8, 0usize..12, prop::collection::vec(1usize..4, 0..3), any::<bool>()), 1..120)) {
         let mut pair = Pair::new();
-        let mut wanted: Vec<usize> = Vec::new();
+        let mut interests: Vec<usize> = Vec::new();
         for (step, index, models, is_ready) in steps {
             let number = index % 4;
             match step {
-                0 | 1 => pair.listed(listing(index, is_ready)),
-                2 | 3 => pair.placed(placement(index, &models)),
-                4 => pair.removed(&format!("r{index}")),
+                0 | 1 => pair.list(listing(index, is_ready)),
+                2 | 3 => pair.place(placement(index, &models)),
+                4 => pair.remove(&format!("r{index}")),
                 5 | 6 => {
-                    pair.wants(interest(number));
-                    wanted.push(number);
+                    pair.add_interest(interest(number));
+                    interests.push(number);
                 }
                 _ => {
-                    pair.forgets(interest(number));
-                    wanted.retain(|other| *other != number);
+                    pair.remove_interest(interest(number));
+                    interests.retain(|other| *other != number);
                 }
             }
             for (id, known) in &pair.follower {
-                prop_assert_eq!(Some(known.clone()), told(&pair.table, id));
+                prop_assert_eq!(Some(known.clone()), published(&pair.table, id));
             }
             for model in [1usize, 2] {
                 let name = format!("m{model}");
                 let holders = |entry: &&croftrill_scheduler::replica_table::ReplicaEntry| {
                     &*entry.listing.service == "llm" && entry.listing.holdings.serves(&name, None)
                 };
-                if wanted.contains(&model) {
+                if interests.contains(&model) {
                     let there = pair.table.iter().filter(holders).count();
-                    let known = pair.follower.values().filter(|told| told.1.contains(&name)).count();
+                    let known = pair.follower.values().filter(|published| published.1.contains(&name)).count();
                     prop_assert!(known >= there, "{known} of {there} holders of {name}");
                 }
             }
@@ -217,7 +217,7 @@
 
 /// Creates a relay's table of a large fleet and a follower whose requests need one popular
 /// model that half of all replicas hold.
-fn busy_model(replicas: usize) -> (ReplicaTable, FollowerInterests) {
+fn popular_model(replicas: usize) -> (ReplicaTable, FollowerInterests) {
     let mut table = ReplicaTable::new();
     for index in 0..replicas {
         table.apply_listing(listing(index, true));
@@ -235,9 +235,9 @@
 /// link sent all replicas again, and requests waited for models that were loaded. With that
 /// scan, the test visits four times as many entries for twice the replicas.
 #[test]
-fn hears_placement_of_all_replicas_looks_at_no_more_than_grows_with_them() {
+fn update_for_placement_of_all_replicas_scans_linearly() {
     let scanned_replicas = [2_000, 4_000].map(|replicas| {
-        let (table, mut follower) = busy_model(replicas);
+        let (table, mut follower) = popular_model(replicas);
         let before = follower.scanned_replicas();
         for index in 0..replicas {
             follower.update_for_placement(&table, &placement(index, &[1 + index % 2]));
@@ -255,9 +255,9 @@
 }
 
 #[test]
-fn hears_listing_of_all_replicas_looks_at_no_more_than_grows_with_them() {
+fn update_for_listing_of_all_replicas_scans_linearly() {
     let scanned_replicas = [2_000, 4_000].map(|replicas| {
-        let (table, mut follower) = busy_model(replicas);
+        let (table, mut follower) = popular_model(replicas);
         let before = follower.scanned_replicas();
         for index in 0..replicas {
             follower.update_for_listing(&table, &format!("r{index}").into());
