--- a/crates/croftrill-scheduler/tests/relay_log.rs
+++ b/crates/croftrill-scheduler/tests/relay_log.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn since_what_it_covers_tells_the_rest() {
+fn since_within_the_span_returns_later_changes() {
     let mut log = RelayLog::new(1000);
     log.push(5, 8, [change(6), change(8)]);
     log.push(8, 9, []);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn push_after_a_gap_begins_anew() {
+fn push_after_a_gap_clears_the_log() {
     let mut log = RelayLog::new(1000);
     log.push(5, 8, [change(6)]);
     log.push(10, 12, [change(11)]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn push_beyond_its_memory_forgets_the_oldest() {
+fn push_beyond_the_limit_drops_the_oldest() {
     let mut log = RelayLog::new(25);
     log.push(0, 4, [change(1), change(2), change(3), change(4)]);
     assert_eq!(revisions(&log, 1), None);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn since_an_empty_log_is_unknown() {
+fn since_of_an_empty_log_is_none() {
     assert_eq!(revisions(&RelayLog::new(1000), 0), None);
 }
 
@@ -54,21 +54,21 @@
     /// Spans may overlap, repeat or leave gaps: a replay consists of all changes since the
     /// revision, once and in order.
     #[test]
-    fn since_is_complete(spans in prop::collection::vec((0u64..40, 0u64..8), 1..20), most in 10usize..400, after in 0u64..50) {
-        let mut log = RelayLog::new(most);
+    fn since_is_complete(spans in prop::collection::vec((0u64..40, 0u64..8), 1..20), max_bytes in 10usize..400, after in 0u64..50) {
+        let mut log = RelayLog::new(max_bytes);
         for (from, length) in spans {
             let changes = (from + 1..=from + length).filter(|revision| revision % 3 != 0);
             log.push(from, from + length, changes.map(change));
         }
-        if let Some((reached, told)) = revisions(&log, after) {
-            let happened: Vec<u64> = (after + 1..=reached).filter(|revision| revision % 3 != 0).collect();
-            prop_assert_eq!(told, happened);
+        if let Some((reached, replayed)) = revisions(&log, after) {
+            let expected: Vec<u64> = (after + 1..=reached).filter(|revision| revision % 3 != 0).collect();
+            prop_assert_eq!(replayed, expected);
         }
     }
 }
 
 #[test]
-fn keep_last_writes_of_a_key_written_often_keeps_the_last() {
+fn retain_last_writes_of_a_repeated_key_retains_the_last() {
     let mut changes = vec![
         (Some("a"), 1),
         (Some("b"), 2),
