--- a/crates/croftrill-scheduler/tests/relay_tree.rs
+++ b/crates/croftrill-scheduler/tests/relay_tree.rs
@@ -32,21 +32,21 @@
 }
 
 #[test]
-fn place_in_a_small_fleet_is_direct() {
+fn role_in_a_small_fleet_is_direct() {
     let names = names(32);
     let nodes = fleet(&names, &[]);
     assert!(roles(&nodes).iter().all(|role| *role == TreeRole::Direct));
 }
 
 #[test]
-fn place_of_an_orderer_is_direct() {
+fn role_of_an_orderer_is_direct() {
     let names = names(90);
     let nodes = fleet(&names, &[10]);
     assert_eq!(roles(&nodes)[10], TreeRole::Direct);
 }
 
 #[test]
-fn place_of_an_unknown_node_counts_it_in_its_zone() {
+fn role_of_an_unknown_node_counts_it_in_its_zone() {
     let names = names(90);
     let nodes = fleet(&names, &[]);
     let newcomer = TreeNode {
@@ -66,21 +66,21 @@
     /// own computation, so no two nodes follow each other. No relay has far more followers
     /// than its share of the zone.
     #[test]
-    fn place_below_names_relays_of_the_zone(count in 33usize..400, orderers in prop::collection::vec(0usize..400, 0..4)) {
+    fn role_of_a_follower_names_relays_of_its_zone(count in 33usize..400, orderers in prop::collection::vec(0usize..400, 0..4)) {
         let names = names(count);
         let nodes = fleet(&names, &orderers);
         let roles = roles(&nodes);
-        let relay_of = |name: &str| nodes.iter().position(|node| node.name == name).expect("a node");
+        let index_of = |name: &str| nodes.iter().position(|node| node.name == name).expect("a node");
         let mut followers = vec![0usize; count];
         for (own, role) in nodes.iter().zip(&roles) {
             let TreeRole::Follower(relays) = role else { continue };
             prop_assert!(relays.len() >= 2);
             for name in relays {
-                let index = relay_of(name);
+                let index = index_of(name);
                 prop_assert_eq!(nodes[index].zone, own.zone);
                 prop_assert_eq!(&roles[index], &TreeRole::Relay);
             }
-            followers[relay_of(relays[0])] += 1;
+            followers[index_of(relays[0])] += 1;
         }
         prop_assert!(followers.iter().all(|followers| *followers <= 48));
     }
