--- a/crates/croftrill-scheduler/tests/replica_ledger.rs
+++ b/crates/croftrill-scheduler/tests/replica_ledger.rs
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn no_order_before_a_report() {
+fn is_idle_before_a_report_is_false() {
     let ledger = ReplicaLedger::new(LedgerConfig::default(), holdings(0, &["m1"]), at(0));
     assert!(!ledger.is_idle());
     assert!(confirmed().is_idle());
 }
 
 #[test]
-fn an_order_names_the_sequence_of_the_last_report() {
+fn begin_order_returns_the_sequence_of_the_last_report() {
     assert_eq!(confirmed().begin_order(Order::LoadModel("m2".into()), at(100)), 5);
 }
 
 #[test]
-fn a_report_from_before_the_order_settles_nothing() {
+fn apply_report_from_before_the_order_settles_nothing() {
     let mut ledger = confirmed();
     ledger.begin_order(Order::LoadModel("m2".into()), at(100));
     ledger.record_outcome(OrderOutcome::Accepted, Duration::from_millis(500), at(110));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_settled_by_a_later_report() {
+fn apply_report_settles_an_unanswered_order() {
     let mut ledger = confirmed();
     ledger.begin_order(Order::LoadModel("m2".into()), at(100));
     ledger.record_outcome(OrderOutcome::Unknown, Duration::ZERO, at(600));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_that_was_taken_goes_on() {
+fn apply_report_continues_an_unanswered_order_that_was_accepted() {
     let mut ledger = confirmed();
     ledger.begin_order(Order::LoadModel("m2".into()), at(100));
     ledger.record_outcome(OrderOutcome::Unknown, Duration::ZERO, at(600));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn after_a_conflict_a_report_is_needed() {
+fn record_outcome_of_a_conflict_requires_a_report() {
     let mut ledger = confirmed();
     ledger.begin_order(Order::UnloadModel("m1".into()), at(100));
     ledger.record_outcome(OrderOutcome::Conflict, Duration::ZERO, at(110));
@@ -129,7 +129,7 @@
 /// The sequence of a listing counts heartbeats. When listings were applied after a report,
 /// their higher sequence made every later report look outdated.
 #[test]
-fn listings_do_not_count_once_a_report_came() {
+fn apply_listing_after_a_report_changes_nothing() {
     let mut ledger = confirmed();
     assert_eq!(ledger.apply_listing(&holdings(90, &["m9"])), LedgerChange::None);
     assert!(ledger.holdings().serves("m1", None));
@@ -148,7 +148,7 @@
 /// Guards against slow adapter loads: when each order waited for a report that showed its
 /// effect, a replica got one adapter each 150 to 180 ms, although an adapter loads in 10 ms.
 #[test]
-fn adapter_orders_follow_without_a_report() {
+fn is_idle_after_an_adapter_load_without_a_report() {
     let mut ledger = confirmed();
     assert_eq!(load_adapter(&mut ledger, "a1", 100), 5);
     assert!(ledger.is_idle());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn adapters_in_transit_are_bounded() {
+fn is_idle_bounds_adapters_in_transit() {
     let mut ledger = confirmed();
     for (index, adapter) in ["a1", "a2", "a3", "a4"].iter().enumerate() {
         assert!(ledger.is_idle());
@@ -174,7 +174,7 @@
 /// Guards against overfilling a replica: when a report lacked an adapter that was still in
 /// transit, its slot was given to another adapter, one more than the replica has slots.
 #[test]
-fn a_report_without_an_adapter_in_transit_frees_no_place() {
+fn apply_report_without_an_adapter_in_transit_frees_no_slot() {
     let mut ledger = confirmed();
     load_adapter(&mut ledger, "a1", 100);
     ledger.mark_arrivals(at(140));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_dropped_adapter_is_not_in_transit() {
+fn begin_order_to_unload_an_adapter_ends_its_transit() {
     let mut ledger = confirmed();
     load_adapter(&mut ledger, "a1", 100);
     ledger.begin_order(Order::UnloadAdapter("m1".into(), "a1".into()), at(110));
