--- a/crates/croftrill-scheduler/tests/load_concurrency.rs
+++ b/crates/croftrill-scheduler/tests/load_concurrency.rs
@@ -10,16 +10,16 @@
 
 /// Returns the duration of a load while `running` loads run at a store that serves
 /// `full_speed` loads at full speed.
-fn takes(running: usize, full_speed: usize) -> Duration {
+fn load_duration(running: usize, full_speed: usize) -> Duration {
     USUAL.mul_f64(f64::max(1.0, running as f64 / full_speed as f64))
 }
 
 /// Runs `rounds` loads at the limit. Returns the limit after each of them.
-fn play(full_speed: usize, rounds: usize) -> Vec<usize> {
+fn run_loads(full_speed: usize, rounds: usize) -> Vec<usize> {
     let mut concurrency = LoadConcurrency::new(USUAL);
     let limits = (0..rounds).map(|_| {
         let running = concurrency.limit();
-        concurrency.record_ended(takes(running, full_speed), USUAL, running);
+        concurrency.record_ended(load_duration(running, full_speed), USUAL, running);
         concurrency.limit()
     });
     limits.collect()
@@ -27,7 +27,7 @@
 
 #[test]
 fn limit_grows_while_loads_are_fast() {
-    let limits = play(100, 40);
+    let limits = run_loads(100, 40);
     assert!(limits[39] > 15, "{limits:?}");
 }
 
@@ -35,7 +35,7 @@
 /// 6 s and occupied nine replicas.
 #[test]
 fn limit_stays_near_full_speed() {
-    let limits = play(4, 60);
+    let limits = run_loads(4, 60);
     let settled = &limits[20..];
     assert!(settled.iter().all(|limit| (3..=6).contains(limit)), "{limits:?}");
 }
@@ -43,7 +43,7 @@
 /// Guards against a high initial limit: at a store that serves a single load at full speed in
 /// 13 s, six concurrent first loads took 79 s each, and the models were no longer needed by then.
 #[test]
-fn limit_at_first_goes_by_the_time_of_a_load() {
+fn limit_at_first_depends_on_the_duration_of_a_load() {
     assert_eq!(LoadConcurrency::new(Duration::from_millis(13_200)).limit(), 1);
     assert_eq!(LoadConcurrency::new(USUAL).limit(), 4);
     assert_eq!(LoadConcurrency::new(Duration::from_millis(1_300)).limit(), 6);
