--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -49,7 +49,7 @@
     Sent,
     /// Accepted; its effect is expected at `expected_at`.
     Accepted { expected_at: Moment },
-    /// The answer was lost at that time.
+    /// Ended without an answer at `since`; whether it was accepted is unknown.
     Unknown { since: Moment },
 }
 
