--- a/crates/croftrill-scheduler/src/replica_ledger.rs
+++ b/crates/croftrill-scheduler/src/replica_ledger.rs
@@ -246,7 +246,7 @@
 
     /// Returns since when a report has been due, if one should be requested now.
     pub fn report_due(&self, now: Moment) -> Option<Moment> {
-        let is_due = !self.is_report_requested && now >= self.next_report_at && !self.is_unanswered();
+        let is_due = !self.is_report_requested && now >= self.next_report_at && !self.awaits_answer();
         is_due.then_some(self.next_report_at)
     }
 
@@ -285,7 +285,7 @@
     ) -> LedgerChange {
         self.is_report_requested = false;
         self.next_report_at = now + self.config.poll_interval;
-        if self.is_unanswered() {
+        if self.awaits_answer() {
             return LedgerChange::None;
         }
         if report.holdings.sequence < self.holdings.sequence {
@@ -392,7 +392,7 @@
         }
     }
 
-    fn is_unanswered(&self) -> bool {
+    fn awaits_answer(&self) -> bool {
         matches!(
             &self.pending,
             Some(Pending {
