--- a/crates/croftrill-bench/src/experiment.rs
+++ b/crates/croftrill-bench/src/experiment.rs
@@ -83,15 +83,15 @@
             name: "many-holders",
             placement: PlacementConfig {
                 // Every model wants a second holder as much as its first.
-                spare_share: 1.0,
-                spare_holder_from: 0.0,
+                spare_value_share: 1.0,
+                spare_holder_min_rate: 0.0,
                 ..usual
             },
         },
         Policy {
             name: "no-residence",
             placement: PlacementConfig {
-                least_residence: Duration::ZERO,
+                min_residence: Duration::ZERO,
                 ..usual
             },
         },
--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -289,7 +289,7 @@
     let places = 2.0 * fleet.work_times_pct.len() as f64;
     let count = loads.len() - before;
     assert!(count as f64 <= places * horizons, "{count} loads");
-    let residence = fleet.config.placement.least_residence;
+    let residence = fleet.config.placement.min_residence;
     for (at, replica, order) in &loads {
         let dropped = fleet
             .world
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -166,7 +166,7 @@
             let count = view.holders(model);
             let gain = view.kept_by_next(model, slots);
             let gain = gain.unwrap_or_else(|| view.value_of_holder(model, count + 1));
-            let is_wanted = count > 0 && gain * horizon_s > config.least_kept;
+            let is_wanted = count > 0 && gain * horizon_s > config.min_on_time_gain;
             is_wanted.then(|| (gain, model.clone()))
         };
         let looked_at: Vec<&ModelName> = match &view.work {
@@ -200,10 +200,10 @@
             return;
         }
         let place = view.best_place(model, store_allowed, Among::Own);
-        let least_gain = self.config.placement.least_gain;
+        let min_gain_ratio = self.config.placement.min_gain_ratio;
         let place = place.filter(|place| {
             let gain = place.kept.unwrap_or(gain);
-            gain * view.stay_s(place.load) > least_gain * place.lost
+            gain * view.stay_s(place.load) > min_gain_ratio * place.lost
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -462,7 +462,7 @@
             replicas: &self.replicas,
             reload_times: Default::default(),
             work: self.service_work(service),
-            usual_objective: self.configuration.longest_objective(service),
+            default_objective: self.configuration.longest_objective(service),
             now,
         }
     }
--- a/crates/croftrill-scheduler/src/placement/choice.rs
+++ b/crates/croftrill-scheduler/src/placement/choice.rs
@@ -41,7 +41,7 @@
             .iter()
             .map(|held| &held.model)
             .filter(|model| replica.goal.as_ref() != Some(model))
-            .filter(|model| !replica.is_fresh(model, self.config.least_residence, self.now))
+            .filter(|model| !replica.is_fresh(model, self.config.min_residence, self.now))
             .map(|model| (self.value_of_held(model, id), model))
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, model)| model.clone())
@@ -60,7 +60,7 @@
         let mut free = self.engine.weights_mb - memory_used(self.engine, holdings);
         let held = holdings.models.iter().map(|held| &held.model);
         let (fresh, others): (Vec<_>, Vec<_>) =
-            held.partition(|model| replica.is_fresh(model, self.config.least_residence, self.now));
+            held.partition(|model| replica.is_fresh(model, self.config.min_residence, self.now));
         let mut values: Vec<(f64, f64, &ModelName)> = others
             .into_iter()
             .map(|held| {
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -34,32 +34,32 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementConfig {
     /// Requests per second from which a model may get a spare holder.
-    pub spare_holder_from: f64,
+    pub spare_holder_min_rate: f64,
     /// Fraction of a model's value that is attributed to its spare holder.
-    pub spare_share: f64,
+    pub spare_value_share: f64,
     /// Requests that one more holder must serve on time over the horizon, beyond those that
     /// the present holders do.
-    pub least_kept: f64,
+    pub min_on_time_gain: f64,
     /// Factor by which the gain of a load must exceed the loss by what is evicted for it.
-    pub least_gain: f64,
+    pub min_gain_ratio: f64,
     /// Time for which demand is assumed to continue as it is.
     pub horizon: Duration,
     /// Requests delayed by one adapter request while weights are loaded at its replica.
     pub adapter_block_share: f64,
     /// Time for which a model is not evicted after its load.
-    pub least_residence: Duration,
+    pub min_residence: Duration,
 }
 
 impl Default for PlacementConfig {
     fn default() -> Self {
         PlacementConfig {
-            spare_holder_from: 0.7,
-            spare_share: 0.02,
-            least_kept: 0.5,
-            least_gain: 1.5,
+            spare_holder_min_rate: 0.7,
+            spare_value_share: 0.02,
+            min_on_time_gain: 0.5,
+            min_gain_ratio: 1.5,
             horizon: Duration::from_secs(20),
             adapter_block_share: 0.5,
-            least_residence: Duration::from_millis(3000),
+            min_residence: Duration::from_millis(3000),
         }
     }
 }
@@ -82,7 +82,7 @@
     /// follows the work.
     pub work: Option<Rc<ServiceWork>>,
     /// Objective assumed for models that have not been requested yet.
-    pub usual_objective: Duration,
+    pub default_objective: Duration,
     /// The current time.
     pub now: Moment,
 }
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -11,7 +11,7 @@
 use crate::time::Moment;
 
 /// Time for which an adapter is not evicted after its load.
-const ADAPTER_RESIDENCE: Duration = Duration::from_millis(400);
+const MIN_ADAPTER_RESIDENCE: Duration = Duration::from_millis(400);
 
 /// The orderer that sends orders to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,7 +80,7 @@
     pub(super) fn is_fresh_adapter(&self, adapter: &(ModelName, AdapterName), now: Moment) -> bool {
         self.adapters_loaded_at
             .get(adapter)
-            .is_some_and(|loaded| now.since(*loaded) < ADAPTER_RESIDENCE)
+            .is_some_and(|loaded| now.since(*loaded) < MIN_ADAPTER_RESIDENCE)
     }
 
     /// Returns true if this orderer may send an order now.
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -13,7 +13,7 @@
 /// Fraction of the objective up to which waiting for a load costs next to nothing.
 const FREE_WAIT_SHARE: f64 = 0.5;
 /// Minimum share of requests that miss their objective while their model is loaded.
-const LEAST_MISSED: f64 = 0.1;
+const MIN_MISSED_SHARE: f64 = 0.1;
 /// Credit for a request that is refused, retried and then served on time, relative to one
 /// that is served at once.
 const LATE_CREDIT: f64 = 0.5;
@@ -24,7 +24,7 @@
     let objective_s = objective.as_secs_f64().max(f64::EPSILON);
     let used = ready_in.as_secs_f64() / objective_s;
     let missed = (used - FREE_WAIT_SHARE) / (1.0 - FREE_WAIT_SHARE);
-    missed.clamp(LEAST_MISSED, 1.0)
+    missed.clamp(MIN_MISSED_SHARE, 1.0)
 }
 
 impl ServicePlacement<'_> {
@@ -56,7 +56,7 @@
     fn objective(&self, model: &ModelName) -> Duration {
         self.demand
             .objective(&self.key(model))
-            .unwrap_or(self.usual_objective)
+            .unwrap_or(self.default_objective)
     }
 
     /// Returns the share of a model's requests that miss their objective if it has to be
@@ -144,9 +144,9 @@
     /// Returns the requests per second that the second holder is worth as a spare.
     pub(super) fn spare_value(&self, model: &ModelName) -> f64 {
         let requests = self.demand.requests_per_second(&self.key(model), self.now);
-        if requests < self.config.spare_holder_from {
+        if requests < self.config.spare_holder_min_rate {
             return 0.0;
         }
-        self.value_of_model(model) * self.config.spare_share
+        self.value_of_model(model) * self.config.spare_value_share
     }
 }
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -98,7 +98,7 @@
             replicas: &self.replicas,
             reload_times: Default::default(),
             work: None,
-            usual_objective: OBJECTIVE,
+            default_objective: OBJECTIVE,
             now: at(10_000),
         }
     }
