--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -34,7 +34,7 @@
             loaded_at: Default::default(),
             adapters_loaded_at: Default::default(),
             is_held: former.is_held,
-            orders: former.orders,
+            ordered_by: former.ordered_by,
             control_calls: ControlCalls::Free,
             listed_slots: former.listed_slots,
             capacity: Capacity::default(),
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -28,7 +28,7 @@
 use crate::load_ceiling::LoadCeiling;
 use crate::load_concurrency::LoadConcurrency;
 use crate::placement::{
-    load_time, ControlCalls, Orders, PlacedReplica, PlacedReplicas, PlacementConfig, ServicePlacement,
+    load_time, ControlCalls, OrderedBy, PlacedReplica, PlacedReplicas, PlacementConfig, ServicePlacement,
     WeightSource,
 };
 use crate::replica::{
@@ -244,7 +244,7 @@
         }
         self.reachable = reachable;
         for (id, replica) in self.replicas.iter_mut() {
-            replica.orders = orders_at(self.config.scope, &reachable, id);
+            replica.ordered_by = orders_at(self.config.scope, &reachable, id);
         }
     }
 
@@ -324,7 +324,7 @@
         }
         let ledger_config = self.config.ledger;
         let is_own = self.config.scope.covers(&listing.id);
-        let orders = orders_at(self.config.scope, &self.reachable, &listing.id);
+        let ordered_by = orders_at(self.config.scope, &self.reachable, &listing.id);
         let is_new = !self.replicas.contains_key(&listing.id);
         if is_new {
             let anew = PlacedReplica {
@@ -337,7 +337,7 @@
                 loaded_at: Default::default(),
                 adapters_loaded_at: Default::default(),
                 is_held: false,
-                orders,
+                ordered_by,
                 control_calls: ControlCalls::Free,
                 listed_slots: listing.slots,
                 capacity: Capacity::default(),
@@ -572,12 +572,12 @@
 }
 
 /// Who orders at a replica.
-fn orders_at(scope: OrderScope, reachable: &[bool; SHARD_COUNT], id: &str) -> Orders {
+fn orders_at(scope: OrderScope, reachable: &[bool; SHARD_COUNT], id: &str) -> OrderedBy {
     if scope.covers(id) {
-        Orders::Own
+        OrderedBy::ThisOrderer
     } else if reachable[Shard::of_replica(id).index()] {
-        Orders::Other
+        OrderedBy::OtherOrderer
     } else {
-        Orders::Nobody
+        OrderedBy::Nobody
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -5,7 +5,7 @@
 //! asked for at a bounded rate, those that are due longest first, so that an orderer's
 //! work does not grow with its replicas.
 
-use crate::placement::{ControlCalls, Orders};
+use crate::placement::{ControlCalls, OrderedBy};
 use crate::replica::ReplicaId;
 use crate::time::Moment;
 
@@ -51,7 +51,7 @@
         let mut asked: Vec<ReplicaId> = Vec::new();
         let mut routine: Vec<(Moment, ReplicaId)> = Vec::new();
         for (id, replica) in self.replicas.iter_mut_unindexed() {
-            if replica.orders != Orders::Own {
+            if replica.ordered_by != OrderedBy::ThisOrderer {
                 continue;
             }
             replica.is_held = !self.history.permits(id, now);
@@ -90,7 +90,7 @@
     /// An order would go to this replica, were its account confirmed.
     pub(super) fn await_confirmation(&mut self, id: &str, now: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            if replica.orders == Orders::Own {
+            if replica.ordered_by == OrderedBy::ThisOrderer {
                 replica.ledger.await_confirmation(now);
             }
         }
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -5,7 +5,7 @@
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::load_ceiling::LoadCeiling;
 use crate::load_concurrency::LoadConcurrency;
-use crate::placement::{weight_source, Orders, PlacedReplica, WeightSource};
+use crate::placement::{weight_source, OrderedBy, PlacedReplica, WeightSource};
 use crate::replica::ReplicaId;
 use crate::shard::{OrderScope, Shard};
 use crate::time::Moment;
@@ -67,7 +67,7 @@
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
-                && replica.orders != Orders::Own
+                && replica.ordered_by != OrderedBy::ThisOrderer
                 && replica.goal.as_ref().is_some_and(from_store)
         };
         let fleet = self.replicas.fleet(service);
@@ -94,7 +94,7 @@
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
-                && replica.orders == Orders::Own
+                && replica.ordered_by == OrderedBy::ThisOrderer
                 && !self.store_loads.contains_key(*id)
                 && replica.goal.as_ref().is_some_and(from_store)
         };
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -24,7 +24,7 @@
 
 pub use self::choice::{Among, Place};
 pub use self::placed::{
-    load_time, memory_used, weight_source, ControlCalls, Orders, PlacedReplica, WeightSource,
+    load_time, memory_used, weight_source, ControlCalls, OrderedBy, PlacedReplica, WeightSource,
 };
 pub use self::replicas::{PlacedReplicas, ServiceFleet};
 pub use self::value::missed_share;
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -15,11 +15,11 @@
 
 /// The orderer that sends orders to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Orders {
+pub enum OrderedBy {
     /// This orderer.
-    Own,
+    ThisOrderer,
     /// The orderer of another shard, which is reachable.
-    Other,
+    OtherOrderer,
     /// No orderer at the moment: that of the replica's shard is unreachable.
     Nobody,
 }
@@ -58,7 +58,7 @@
     /// True while orders of a predecessor may still be under way, so that none may be sent.
     pub is_held: bool,
     /// The orderer that sends orders here.
-    pub orders: Orders,
+    pub ordered_by: OrderedBy,
     /// Restriction on those orders.
     pub control_calls: ControlCalls,
     /// Number of requests that it runs concurrently, according to its listing.
@@ -86,13 +86,13 @@
     /// Returns true if this orderer may send an order now.
     pub fn takes_orders(&self) -> bool {
         let may_call = self.control_calls != ControlCalls::Paused;
-        self.orders == Orders::Own && may_call && !self.is_held && self.ledger.is_idle()
+        self.ordered_by == OrderedBy::ThisOrderer && may_call && !self.is_held && self.ledger.is_idle()
     }
 
     /// Returns true if the replica may be selected to load something.
     pub(super) fn is_candidate(&self, among: Among) -> bool {
         match among {
-            Among::All => self.orders != Orders::Nobody,
+            Among::All => self.ordered_by != OrderedBy::Nobody,
             Among::Own => self.takes_orders(),
         }
     }
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Orders, PlacedReplica};
+use super::{OrderedBy, PlacedReplica};
 use crate::capacity::ReplicaLoad;
 use crate::catalog::{ModelName, ServiceName};
 use crate::replica::{ReplicaId, ReplicaState};
@@ -206,7 +206,7 @@
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
         let keeps = held.filter(|model| replica.keeps(model)).cloned().collect();
         let awaits = replica.goal.clone().filter(|goal| !replica.keeps(goal));
-        let takes_loads = replica.state == ReplicaState::Ready && replica.orders != Orders::Nobody;
+        let takes_loads = replica.state == ReplicaState::Ready && replica.ordered_by != OrderedBy::Nobody;
         let copies = &replica.ledger.holdings().copies;
         let copies = copies
             .in_memory
@@ -219,7 +219,7 @@
             goal: replica.goal.clone(),
             awaits,
             copies: copies.cloned().collect(),
-            is_own: replica.orders == Orders::Own,
+            is_own: replica.ordered_by == OrderedBy::ThisOrderer,
         }
     }
 }
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -8,7 +8,7 @@
 use croftrill_scheduler::catalog::{EngineSpec, ModelName, ModelSpec, ServiceName};
 use croftrill_scheduler::demand::{Asked, Demand, ModelKey};
 use croftrill_scheduler::placement::{
-    Among, ControlCalls, LateShares, Orders, PlacedReplica, PlacedReplicas, PlacementConfig,
+    Among, ControlCalls, LateShares, OrderedBy, PlacedReplica, PlacedReplicas, PlacementConfig,
     ServicePlacement, ServiceWork,
 };
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaId, ReplicaState, WeightCopies};
@@ -154,7 +154,7 @@
         loaded_at: HashMap::new(),
         adapters_loaded_at: HashMap::new(),
         is_held: false,
-        orders: Orders::Own,
+        ordered_by: OrderedBy::ThisOrderer,
         control_calls: ControlCalls::Free,
         listed_slots: 24,
         capacity: Capacity::default(),
