--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -33,7 +33,7 @@
             withdrawn: None,
             loaded_at: Default::default(),
             adapters_loaded_at: Default::default(),
-            is_held: former.is_held,
+            is_blocked_by_predecessor: former.is_blocked_by_predecessor,
             ordered_by: former.ordered_by,
             control_calls: ControlCalls::Free,
             listed_slots: former.listed_slots,
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -336,7 +336,7 @@
                 withdrawn: None,
                 loaded_at: Default::default(),
                 adapters_loaded_at: Default::default(),
-                is_held: false,
+                is_blocked_by_predecessor: false,
                 ordered_by,
                 control_calls: ControlCalls::Free,
                 listed_slots: listing.slots,
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -54,7 +54,7 @@
             if replica.ordered_by != OrderedBy::ThisOrderer {
                 continue;
             }
-            replica.is_held = !self.history.permits(id, now);
+            replica.is_blocked_by_predecessor = !self.history.permits(id, now);
             if replica.ledger.mark_arrivals(now) {
                 self.changed.insert(id.clone());
             }
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -56,7 +56,7 @@
     /// Times at which adapters were loaded here.
     pub adapters_loaded_at: HashMap<(ModelName, AdapterName), Moment>,
     /// True while orders of a predecessor may still be under way, so that none may be sent.
-    pub is_held: bool,
+    pub is_blocked_by_predecessor: bool,
     /// The orderer that sends orders here.
     pub ordered_by: OrderedBy,
     /// Restriction on those orders.
@@ -86,7 +86,10 @@
     /// Returns true if this orderer may send an order now.
     pub fn takes_orders(&self) -> bool {
         let may_call = self.control_calls != ControlCalls::Paused;
-        self.ordered_by == OrderedBy::ThisOrderer && may_call && !self.is_held && self.ledger.is_idle()
+        self.ordered_by == OrderedBy::ThisOrderer
+            && may_call
+            && !self.is_blocked_by_predecessor
+            && self.ledger.is_idle()
     }
 
     /// Returns true if the replica may be selected to load something.
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -153,7 +153,7 @@
         withdrawn: None,
         loaded_at: HashMap::new(),
         adapters_loaded_at: HashMap::new(),
-        is_held: false,
+        is_blocked_by_predecessor: false,
         ordered_by: OrderedBy::ThisOrderer,
         control_calls: ControlCalls::Free,
         listed_slots: 24,
