--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -4,7 +4,7 @@
 
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::demand::ModelKey;
-use crate::placement::{load_time, memory_used, weight_source, Among, PlacedReplica, WeightSource};
+use crate::placement::{load_time, memory_used, weight_source, Among, TrackedReplica, WeightSource};
 use crate::replica::{Order, ReplicaId};
 use crate::time::Moment;
 
@@ -238,7 +238,7 @@
         now: Moment,
         actions: &mut Vec<OrdererAction>,
     ) {
-        let takes_orders = |id: &&ReplicaId| self.replicas.get(id).is_some_and(PlacedReplica::takes_orders);
+        let takes_orders = |id: &&ReplicaId| self.replicas.get(id).is_some_and(TrackedReplica::takes_orders);
         let fleet = self.replicas.fleet(service);
         let ids: Vec<ReplicaId> = fleet.with_goal().filter(takes_orders).cloned().collect();
         drop(fleet);
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -1,7 +1,7 @@
 //! Replicas that start again under their identity: what is over, and what begins anew.
 
 use crate::capacity::Capacity;
-use crate::placement::{ControlCalls, PlacedReplica};
+use crate::placement::{ControlCalls, TrackedReplica};
 use crate::replica::{BornMs, Incarnation, OrderOutcome, ReplicaReport};
 use crate::replica_ledger::ReplicaLedger;
 use crate::time::Moment;
@@ -24,7 +24,7 @@
         self.store_loads.remove(&id);
         self.told.remove(&id);
         self.changed.insert(id.clone());
-        let anew = PlacedReplica {
+        let anew = TrackedReplica {
             state: former.state,
             service: former.service,
             born_ms,
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -28,7 +28,7 @@
 use crate::load_ceiling::LoadCeiling;
 use crate::load_concurrency::LoadConcurrency;
 use crate::placement::{
-    load_time, ControlCalls, OrderedBy, PlacedReplica, PlacedReplicas, PlacementConfig, ServicePlacement,
+    load_time, ControlCalls, OrderedBy, PlacementConfig, ServicePlacement, TrackedReplica, TrackedReplicas,
     WeightSource,
 };
 use crate::replica::{
@@ -130,7 +130,7 @@
 pub struct Orderer {
     config: OrdererConfig,
     configuration: Arc<Configuration>,
-    replicas: PlacedReplicas,
+    replicas: TrackedReplicas,
     demand: Demand,
     /// Work of each service whose replicas tell their load.
     work: BTreeMap<ServiceName, WorkMeter>,
@@ -169,7 +169,7 @@
         Orderer {
             config,
             configuration,
-            replicas: PlacedReplicas::default(),
+            replicas: TrackedReplicas::default(),
             demand: Demand::new(),
             work: BTreeMap::new(),
             waiting_tried: BTreeSet::new(),
@@ -327,7 +327,7 @@
         let ordered_by = orders_at(self.config.scope, &self.reachable, &listing.id);
         let is_new = !self.replicas.contains_key(&listing.id);
         if is_new {
-            let anew = PlacedReplica {
+            let anew = TrackedReplica {
                 state: listing.state,
                 service: listing.service.clone(),
                 born_ms: listing.born_ms,
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -5,7 +5,7 @@
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::load_ceiling::LoadCeiling;
 use crate::load_concurrency::LoadConcurrency;
-use crate::placement::{weight_source, OrderedBy, PlacedReplica, WeightSource};
+use crate::placement::{weight_source, OrderedBy, TrackedReplica, WeightSource};
 use crate::replica::ReplicaId;
 use crate::shard::{OrderScope, Shard};
 use crate::time::Moment;
@@ -63,7 +63,7 @@
 
     /// Loads from the weight store that other orderers run or plan, as they told.
     fn others_store_loads(&self, service: &ServiceName) -> usize {
-        let loads = |replica: &&PlacedReplica| {
+        let loads = |replica: &&TrackedReplica| {
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
@@ -90,7 +90,7 @@
 
     /// Own goals that will be loaded from the weight store.
     fn planned_store_loads(&self, service: &ServiceName) -> usize {
-        let planned = |(id, replica): &(&ReplicaId, &PlacedReplica)| {
+        let planned = |(id, replica): &(&ReplicaId, &TrackedReplica)| {
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use crate::catalog::ModelName;
-use crate::placement::{load_time, PlacedReplica};
+use crate::placement::{load_time, TrackedReplica};
 use crate::replica::{Holdings, Order, ReplicaId};
 use crate::replica_table::{Arrival, Placement};
 use crate::time::Moment;
@@ -68,7 +68,7 @@
 
     /// When a replica's goal should be ready: its load as told by its account,
     /// or else making room and loading, both still to come.
-    fn ready_at(&self, replica: &PlacedReplica, goal: &ModelName, now: Moment) -> Moment {
+    fn ready_at(&self, replica: &TrackedReplica, goal: &ModelName, now: Moment) -> Moment {
         let lag = self.config.ledger.poll_interval + self.config.ledger.report_lag / 2;
         if let Some((_, expected_at)) = replica.ledger.loading().filter(|(model, _)| *model == goal) {
             return expected_at + lag;
@@ -83,7 +83,7 @@
 }
 
 /// Holdings that requests may rely on: without what makes way.
-fn usable_holdings(replica: &PlacedReplica) -> Holdings {
+fn usable_holdings(replica: &TrackedReplica) -> Holdings {
     let mut usable = replica.ledger.holdings().clone();
     if let Some((withdrawn, _)) = &replica.withdrawn {
         usable.models.retain(|held| held.model != *withdrawn);
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -6,7 +6,7 @@
 
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::demand::ModelKey;
-use crate::placement::{LateShares, ModelWork, PlacedReplica, ServicePlacement, ServiceWork};
+use crate::placement::{LateShares, ModelWork, ServicePlacement, ServiceWork, TrackedReplica};
 use crate::time::Moment;
 
 use super::Orderer;
@@ -144,8 +144,8 @@
     /// Requests that run at the service's replicas, as they would be at the usual speed;
     /// `None` if no replica told its load lately.
     fn running_work(&self, service: &ServiceName, now: Moment) -> Option<f64> {
-        let of_service = |(_, replica): &(_, &PlacedReplica)| replica.service == *service;
-        let running = |(_, replica): (_, &PlacedReplica)| {
+        let of_service = |(_, replica): &(_, &TrackedReplica)| replica.service == *service;
+        let running = |(_, replica): (_, &TrackedReplica)| {
             let told = replica.capacity.newest();
             let (load, _) = told.filter(|(_, at)| now.since(*at) <= LOAD_HOLDS)?;
             // The request whose answer tells the load is there besides those that it meets.
--- a/crates/croftrill-scheduler/src/placement/adapters.rs
+++ b/crates/croftrill-scheduler/src/placement/adapters.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Among, PlacedReplica, ServicePlacement};
+use super::{Among, ServicePlacement, TrackedReplica};
 use crate::catalog::{AdapterName, ModelName};
 use crate::demand::ModelKey;
 use crate::replica::ReplicaId;
@@ -13,7 +13,7 @@
     pub fn adapter_home(&self, model: &ModelName, adapter: &AdapterName) -> Option<&ReplicaId> {
         let seed = xxh3_64(adapter.as_bytes());
         let is_full =
-            |replica: &PlacedReplica| replica.ledger.holdings().adapter_count() >= self.engine.adapter_slots;
+            |replica: &TrackedReplica| replica.ledger.holdings().adapter_count() >= self.engine.adapter_slots;
         self.keepers(model)
             .filter(|(_, replica)| replica.is_candidate(Among::All))
             .min_by_key(|(id, replica)| (is_full(replica), xxh3_64_with_seed(id.as_bytes(), seed)))
@@ -21,7 +21,7 @@
     }
 
     /// Iterates over the current holders of a model.
-    fn keepers(&self, model: &str) -> impl Iterator<Item = (&ReplicaId, &PlacedReplica)> {
+    fn keepers(&self, model: &str) -> impl Iterator<Item = (&ReplicaId, &TrackedReplica)> {
         let ids: Vec<ReplicaId> = self.fleet().keepers(model).cloned().collect();
         ids.into_iter().filter_map(|id| self.replicas.get_key_value(&id))
     }
@@ -39,7 +39,7 @@
     /// Returns the adapter to evict first from a replica: the least recently requested one,
     /// as it is the least likely to be in use. One that was just loaded stays until its
     /// requests have arrived.
-    pub fn adapter_victim(&self, replica: &PlacedReplica) -> Option<(ModelName, AdapterName)> {
+    pub fn adapter_victim(&self, replica: &TrackedReplica) -> Option<(ModelName, AdapterName)> {
         let held = &replica.ledger.holdings().models;
         let adapters = held.iter().flat_map(|held| {
             held.adapters
--- a/crates/croftrill-scheduler/src/placement/choice.rs
+++ b/crates/croftrill-scheduler/src/placement/choice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    load_time, memory_used, weight_source, ControlCalls, PlacedReplica, ServicePlacement, ServiceWork,
+    load_time, memory_used, weight_source, ControlCalls, ServicePlacement, ServiceWork, TrackedReplica,
     WeightSource,
 };
 use crate::catalog::ModelName;
@@ -35,7 +35,7 @@
 
 impl ServicePlacement<'_> {
     /// Returns the model to evict first from a replica: the one of the least value.
-    pub fn victim(&self, id: &ReplicaId, replica: &PlacedReplica) -> Option<ModelName> {
+    pub fn victim(&self, id: &ReplicaId, replica: &TrackedReplica) -> Option<ModelName> {
         let present = &replica.ledger.holdings().models;
         present
             .iter()
@@ -52,7 +52,7 @@
     fn displaced<'r>(
         &self,
         id: &ReplicaId,
-        replica: &'r PlacedReplica,
+        replica: &'r TrackedReplica,
         model: &ModelName,
     ) -> Option<(f64, Vec<&'r ModelName>)> {
         let holdings = replica.ledger.holdings();
@@ -85,7 +85,7 @@
 
     /// Returns the requests per second for adapters on a replica; loads of weights there delay
     /// them.
-    fn adapter_requests(&self, replica: &PlacedReplica) -> f64 {
+    fn adapter_requests(&self, replica: &TrackedReplica) -> f64 {
         let held = replica.ledger.holdings().models.iter();
         let rates = held.map(|held| {
             let count = self.holders(&held.model).max(1);
@@ -102,7 +102,7 @@
             return self.place_by_work(model, store_allowed, among, work);
         }
         let rate = self.lasting_rate(model);
-        let cost = |id: &ReplicaId, replica: &PlacedReplica| -> Option<(f64, Duration)> {
+        let cost = |id: &ReplicaId, replica: &TrackedReplica| -> Option<(f64, Duration)> {
             let holdings = replica.ledger.holdings();
             let (displaced, _) = self.displaced(id, replica, model)?;
             let load = load_time(self.engine, holdings, model)?;
@@ -164,7 +164,7 @@
         &self,
         model: &ModelName,
         id: &ReplicaId,
-        replica: &PlacedReplica,
+        replica: &TrackedReplica,
         rate: f64,
         work: &ServiceWork,
     ) -> Option<(f64, Place)> {
@@ -188,7 +188,7 @@
     }
 
     /// Returns the load time of a replica's goal, or zero if it has none.
-    fn goal_time(&self, replica: &PlacedReplica) -> Duration {
+    fn goal_time(&self, replica: &TrackedReplica) -> Duration {
         let goal = replica.goal.as_ref();
         let load = goal.and_then(|goal| load_time(self.engine, replica.ledger.holdings(), goal));
         load.unwrap_or_default()
@@ -197,7 +197,7 @@
 
 /// Returns true if the replica is ready, lacks the model and can be ordered to load it. Loads
 /// from the weight store count only if they are allowed.
-fn may_load(replica: &PlacedReplica, model: &ModelName, store_allowed: bool, among: Among) -> bool {
+fn may_load(replica: &TrackedReplica, model: &ModelName, store_allowed: bool, among: Among) -> bool {
     let holdings = replica.ledger.holdings();
     replica.state == ReplicaState::Ready
         && replica.is_candidate(among)
@@ -207,7 +207,7 @@
 
 /// Returns the restriction on calls to a replica, as far as all orderers that choose agree on
 /// it.
-fn need(replica: &PlacedReplica, among: Among) -> ControlCalls {
+fn need(replica: &TrackedReplica, among: Among) -> ControlCalls {
     match among {
         // Another orderer may not know of the restriction.
         Among::All => ControlCalls::Free,
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -24,9 +24,9 @@
 
 pub use self::choice::{Among, Place};
 pub use self::placed::{
-    load_time, memory_used, weight_source, ControlCalls, OrderedBy, PlacedReplica, WeightSource,
+    load_time, memory_used, weight_source, ControlCalls, OrderedBy, TrackedReplica, WeightSource,
 };
-pub use self::replicas::{PlacedReplicas, ServiceFleet};
+pub use self::replicas::{ServiceFleet, TrackedReplicas};
 pub use self::value::missed_share;
 pub use self::work::{LateShares, ModelWork, ServiceWork};
 
@@ -75,7 +75,7 @@
     /// Demand observed by all nodes.
     pub demand: &'a Demand,
     /// All replicas; those of other services are ignored.
-    pub replicas: &'a PlacedReplicas,
+    pub replicas: &'a TrackedReplicas,
     /// Cache of the shortest time in which a ready replica can load each model.
     pub reload_times: RefCell<HashMap<ModelName, Duration>>,
     /// Cost of the service's work, if its replicas report it: the number of holders then
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/placed.rs
@@ -38,7 +38,7 @@
 
 /// One replica with what placement knows of it.
 #[derive(Debug)]
-pub struct PlacedReplica {
+pub struct TrackedReplica {
     /// Whether it accepts requests.
     pub state: ReplicaState,
     /// The service it belongs to.
@@ -67,7 +67,7 @@
     pub capacity: Capacity,
 }
 
-impl PlacedReplica {
+impl TrackedReplica {
     /// Returns true if the model was loaded less than `residence` ago.
     pub(super) fn is_fresh(&self, model: &str, residence: Duration, now: Moment) -> bool {
         self.loaded_at
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -9,7 +9,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{OrderedBy, PlacedReplica};
+use super::{OrderedBy, TrackedReplica};
 use crate::capacity::ReplicaLoad;
 use crate::catalog::{ModelName, ServiceName};
 use crate::replica::{ReplicaId, ReplicaState};
@@ -22,8 +22,8 @@
 
 /// All replicas by id, with their index.
 #[derive(Debug, Default)]
-pub struct PlacedReplicas {
-    replicas: BTreeMap<ReplicaId, PlacedReplica>,
+pub struct TrackedReplicas {
+    replicas: BTreeMap<ReplicaId, TrackedReplica>,
     changed: RefCell<BTreeSet<ReplicaId>>,
     index: RefCell<Index>,
     /// Services whose replicas report their load; the value is true if any of them reports
@@ -202,7 +202,7 @@
 }
 
 impl Indexed {
-    fn of(replica: &PlacedReplica) -> Self {
+    fn of(replica: &TrackedReplica) -> Self {
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
         let keeps = held.filter(|model| replica.keeps(model)).cloned().collect();
         let awaits = replica.goal.clone().filter(|goal| !replica.keeps(goal));
@@ -225,7 +225,7 @@
 }
 
 impl Index {
-    fn update(&mut self, id: &ReplicaId, replica: Option<&PlacedReplica>) {
+    fn update(&mut self, id: &ReplicaId, replica: Option<&TrackedReplica>) {
         let now = replica.map(Indexed::of);
         if self.replicas.get(id) == now.as_ref() {
             return;
@@ -249,7 +249,7 @@
     }
 }
 
-impl PlacedReplicas {
+impl TrackedReplicas {
     /// Returns the up-to-date index of a service's replicas.
     pub fn fleet(&self, service: &ServiceName) -> Ref<'_, ServiceFleet> {
         let changed = self.changed.take();
@@ -273,17 +273,17 @@
     }
 
     /// Returns a replica.
-    pub fn get(&self, id: &str) -> Option<&PlacedReplica> {
+    pub fn get(&self, id: &str) -> Option<&TrackedReplica> {
         self.replicas.get(id)
     }
 
     /// Returns a replica and its id.
-    pub fn get_key_value(&self, id: &str) -> Option<(&ReplicaId, &PlacedReplica)> {
+    pub fn get_key_value(&self, id: &str) -> Option<(&ReplicaId, &TrackedReplica)> {
         self.replicas.get_key_value(id)
     }
 
     /// Returns a replica for changes of any kind.
-    pub fn get_mut(&mut self, id: &str) -> Option<&mut PlacedReplica> {
+    pub fn get_mut(&mut self, id: &str) -> Option<&mut TrackedReplica> {
         self.note(id);
         self.replicas.get_mut(id)
     }
@@ -312,13 +312,13 @@
     }
 
     /// Adds a replica, or replaces the one of the same id.
-    pub fn insert(&mut self, id: ReplicaId, replica: PlacedReplica) {
+    pub fn insert(&mut self, id: ReplicaId, replica: TrackedReplica) {
         self.changed.borrow_mut().insert(id.clone());
         self.replicas.insert(id, replica);
     }
 
     /// Removes a replica.
-    pub fn remove(&mut self, id: &str) -> Option<(ReplicaId, PlacedReplica)> {
+    pub fn remove(&mut self, id: &str) -> Option<(ReplicaId, TrackedReplica)> {
         self.note(id);
         self.replicas.remove_entry(id)
     }
@@ -332,12 +332,12 @@
     }
 
     /// Iterates over all replicas.
-    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &PlacedReplica)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &TrackedReplica)> {
         self.replicas.iter()
     }
 
     /// Iterates over all replicas for changes of any kind.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut PlacedReplica)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut TrackedReplica)> {
         self.changed.borrow_mut().extend(self.replicas.keys().cloned());
         self.replicas.iter_mut()
     }
@@ -345,7 +345,7 @@
     /// Iterates over all replicas for changes that the index does not reflect. What a replica
     /// holds, is to load, is about to evict or has copies of must not change, nor its state,
     /// its service or who sends orders there.
-    pub fn iter_mut_unindexed(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut PlacedReplica)> {
+    pub fn iter_mut_unindexed(&mut self) -> impl Iterator<Item = (&ReplicaId, &mut TrackedReplica)> {
         self.replicas.iter_mut()
     }
 
@@ -355,9 +355,9 @@
     }
 }
 
-impl FromIterator<(ReplicaId, PlacedReplica)> for PlacedReplicas {
-    fn from_iter<T: IntoIterator<Item = (ReplicaId, PlacedReplica)>>(replicas: T) -> Self {
-        let mut placed = PlacedReplicas::default();
+impl FromIterator<(ReplicaId, TrackedReplica)> for TrackedReplicas {
+    fn from_iter<T: IntoIterator<Item = (ReplicaId, TrackedReplica)>>(replicas: T) -> Self {
+        let mut placed = TrackedReplicas::default();
         for (id, replica) in replicas {
             placed.insert(id, replica);
         }
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::{PlacedReplica, ServicePlacement};
+use super::{ServicePlacement, TrackedReplica};
 use crate::capacity::SpeedClass;
 use crate::catalog::ModelName;
 use crate::replica::ReplicaId;
@@ -154,7 +154,7 @@
     }
 
     /// Returns the number of requests that a replica runs concurrently.
-    fn slots(&self, replica: &PlacedReplica) -> u32 {
+    fn slots(&self, replica: &TrackedReplica) -> u32 {
         let told = replica.capacity.newest().and_then(|(load, _)| load.slots);
         told.unwrap_or(replica.listed_slots).max(1)
     }
@@ -162,7 +162,7 @@
     /// Returns the work that a replica can do while first events and pauses meet their
     /// objectives. The speed counts twice: at half of the usual speed a replica does half the
     /// work, and each prefill and step takes twice as much of the allowed pause.
-    pub(super) fn room(&self, replica: &PlacedReplica) -> f64 {
+    pub(super) fn room(&self, replica: &TrackedReplica) -> f64 {
         let slots = f64::from(self.slots(replica));
         let speed = replica.capacity.lasting_speed();
         (slots * USABLE_SLOTS * speed * speed).min(slots * speed)
@@ -182,7 +182,7 @@
 
     /// Returns the part of a replica's capacity that a model has there or would have: what the
     /// work of the other models leaves, and at least its share in proportion to work.
-    fn room_for(&self, model: &ModelName, replica: &PlacedReplica, work: &ServiceWork) -> f64 {
+    fn room_for(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> f64 {
         let room = self.room(replica);
         // Work of a model that goes to this replica if it is distributed by capacity.
         let part = |name: &ModelName, is_new: bool| {
@@ -215,7 +215,7 @@
 
     /// Returns the capacity that a model has or would have at a replica, with the share that is
     /// late even so.
-    fn room_at(&self, model: &ModelName, replica: &PlacedReplica, work: &ServiceWork) -> HolderRoom {
+    fn room_at(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> HolderRoom {
         HolderRoom {
             work: self.room_for(model, replica, work),
             late_share: work.late_shares.of(replica.capacity.speed_class()),
@@ -232,7 +232,7 @@
         let keepers = fleet
             .keepers(model)
             .filter_map(|id| self.replicas.get_key_value(id));
-        let mut keepers: Vec<(i64, &ReplicaId, &PlacedReplica)> = keepers
+        let mut keepers: Vec<(i64, &ReplicaId, &TrackedReplica)> = keepers
             .map(|(id, replica)| (self.room(replica).round() as i64, id, replica))
             .collect();
         // The sort is stable, so that ties stay in hash order, which all orderers share.
@@ -325,7 +325,7 @@
     }
 
     /// Returns the sole holder of a model if it has enough capacity for the model's work.
-    pub fn only_holder_with_room(&self, model: &ModelName) -> Option<&PlacedReplica> {
+    pub fn only_holder_with_room(&self, model: &ModelName) -> Option<&TrackedReplica> {
         let work = self.work.as_ref()?;
         let fleet = self.fleet();
         let mut keepers = fleet.keepers(model);
@@ -346,7 +346,7 @@
     pub(super) fn kept_by_work_at(
         &self,
         model: &ModelName,
-        replica: &PlacedReplica,
+        replica: &TrackedReplica,
         work: &ServiceWork,
     ) -> f64 {
         let more = self.room_at(model, replica, work);
@@ -398,7 +398,7 @@
     pub fn is_worth_at(
         &self,
         model: &ModelName,
-        replica: &PlacedReplica,
+        replica: &TrackedReplica,
         load: Duration,
         displaced: f64,
     ) -> bool {
@@ -411,7 +411,7 @@
     fn is_next_worth(
         &self,
         model: &ModelName,
-        replica: &PlacedReplica,
+        replica: &TrackedReplica,
         load: Duration,
         displaced: f64,
     ) -> Option<bool> {
@@ -436,7 +436,7 @@
     pub(super) fn late_beside(
         &self,
         model: &ModelName,
-        replica: &PlacedReplica,
+        replica: &TrackedReplica,
         stays: &[&ModelName],
         work: &ServiceWork,
     ) -> f64 {
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -8,8 +8,8 @@
 use croftrill_scheduler::catalog::{EngineSpec, ModelName, ModelSpec, ServiceName};
 use croftrill_scheduler::demand::{Asked, Demand, ModelKey};
 use croftrill_scheduler::placement::{
-    Among, ControlCalls, LateShares, OrderedBy, PlacedReplica, PlacedReplicas, PlacementConfig,
-    ServicePlacement, ServiceWork,
+    Among, ControlCalls, LateShares, OrderedBy, PlacementConfig, ServicePlacement, ServiceWork,
+    TrackedReplica, TrackedReplicas,
 };
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaId, ReplicaState, WeightCopies};
 use croftrill_scheduler::replica_ledger::{LedgerConfig, ReplicaLedger};
@@ -53,7 +53,7 @@
     engine: EngineSpec,
     config: PlacementConfig,
     demand: Demand,
-    replicas: PlacedReplicas,
+    replicas: TrackedReplicas,
 }
 
 impl Site {
@@ -131,7 +131,7 @@
     }
 }
 
-fn placed(models: &[&str], on_disk: &[&str]) -> PlacedReplica {
+fn placed(models: &[&str], on_disk: &[&str]) -> TrackedReplica {
     let held = models.iter().map(|model| HeldModel {
         model: (*model).into(),
         adapters: Vec::new(),
@@ -144,7 +144,7 @@
             on_disk: on_disk.iter().map(|model| (*model).into()).collect(),
         },
     };
-    PlacedReplica {
+    TrackedReplica {
         state: ReplicaState::Ready,
         service: "llm".into(),
         born_ms: None,
