--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -1,15 +1,15 @@
 //! Placement of models and adapters on replicas.
 //!
 //! Pure functions over the replicas of one service. [`value`] computes what a model and each
-//! of its holders are worth, [`choice`] selects the replica that loads a model and the model
-//! that is evicted there, [`adapters`] does the same for adapters, [`placed`] describes a
-//! replica, [`replicas`] indexes all of them, and [`work`] estimates how much work the holders
-//! can do on time.
+//! of its holders are worth, [`target_selection`] selects the replica that loads a model and the
+//! model that is evicted there, [`adapters`] does the same for adapters, [`tracked_replica`]
+//! describes a replica, [`replicas`] indexes all of them, and [`work`] estimates how much work
+//! the holders can do on time.
 
 mod adapters;
-mod choice;
-mod placed;
 mod replicas;
+mod target_selection;
+mod tracked_replica;
 mod value;
 mod work;
 
@@ -22,11 +22,11 @@
 use crate::demand::{Demand, ModelKey};
 use crate::time::Moment;
 
-pub use self::choice::{Among, Place};
-pub use self::placed::{
+pub use self::replicas::{ServiceFleet, TrackedReplicas};
+pub use self::target_selection::{Among, Place};
+pub use self::tracked_replica::{
     load_time, memory_used, weight_source, ControlCalls, OrderedBy, TrackedReplica, WeightSource,
 };
-pub use self::replicas::{ServiceFleet, TrackedReplicas};
 pub use self::value::missed_share;
 pub use self::work::{LateShares, ModelWork, ServiceWork};
 
--- a/crates/croftrill-scheduler/src/placement/placed.rs
+++ b/crates/croftrill-scheduler/src/placement/tracked_replica.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::choice::Among;
+use super::target_selection::Among;
 use crate::capacity::Capacity;
 use crate::catalog::{AdapterName, EngineSpec, ModelName, ServiceName};
 use crate::replica::{BornMs, Holdings, ReplicaState};
