--- a/crates/croftrill-scheduler/src/orderer/adapters.rs
+++ b/crates/croftrill-scheduler/src/orderer/adapters.rs
@@ -37,7 +37,7 @@
                 continue;
             }
             let home = home.cloned();
-            let Some(id) = view.adapter_place(&key.model) else {
+            let Some(id) = view.adapter_target(&key.model) else {
                 if let Some(home) = home {
                     self.await_confirmation(&home, now);
                 }
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -4,7 +4,7 @@
 
 use crate::catalog::{EngineSpec, ModelName, ServiceName};
 use crate::demand::ModelKey;
-use crate::placement::{load_time, memory_used, weight_source, Among, TrackedReplica, WeightSource};
+use crate::placement::{load_time, memory_used, weight_source, CandidateScope, TrackedReplica, WeightSource};
 use crate::replica::{Order, ReplicaId};
 use crate::time::Moment;
 
@@ -103,13 +103,13 @@
             model: model.clone(),
             adapter: None,
         };
-        let best = view.best_place(model, store_allowed, Among::All);
+        let best = view.best_target(model, store_allowed, CandidateScope::All);
         let waited = self.demand.waited(&key, now);
         let home = best.as_ref().map(|place| &place.replica);
         if !self.config.scope.may_act(home, waited, MODEL_PATIENCE) {
             return;
         }
-        let place = view.best_place(model, store_allowed, Among::Own);
+        let place = view.best_target(model, store_allowed, CandidateScope::Own);
         let place = place.filter(|place| {
             let saved = view.saved_by_load(model, place.load);
             let store_load = engine.models.get(model).map(|spec| spec.store_load);
@@ -192,14 +192,14 @@
         let store_allowed = store_allowed && (!self.follows_work(service) || self.knows_work(service));
         let view = self.placement_of(service, engine, now);
         // Every orderer finds the same best place; the one who orders there acts.
-        let best = view.best_place(model, store_allowed, Among::All);
+        let best = view.best_target(model, store_allowed, CandidateScope::All);
         if best
             .as_ref()
             .is_none_or(|best| !self.config.scope.covers(&best.replica))
         {
             return;
         }
-        let place = view.best_place(model, store_allowed, Among::Own);
+        let place = view.best_target(model, store_allowed, CandidateScope::Own);
         let min_gain_ratio = self.config.placement.min_gain_ratio;
         let place = place.filter(|place| {
             let gain = place.kept.unwrap_or(gain);
--- a/crates/croftrill-scheduler/src/placement/adapters.rs
+++ b/crates/croftrill-scheduler/src/placement/adapters.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{Among, ServicePlacement, TrackedReplica};
+use super::{CandidateScope, ServicePlacement, TrackedReplica};
 use crate::catalog::{AdapterName, ModelName};
 use crate::demand::ModelKey;
 use crate::replica::ReplicaId;
@@ -15,7 +15,7 @@
         let is_full =
             |replica: &TrackedReplica| replica.ledger.holdings().adapter_count() >= self.engine.adapter_slots;
         self.keepers(model)
-            .filter(|(_, replica)| replica.is_candidate(Among::All))
+            .filter(|(_, replica)| replica.is_candidate(CandidateScope::All))
             .min_by_key(|(id, replica)| (is_full(replica), xxh3_64_with_seed(id.as_bytes(), seed)))
             .map(|(id, _)| id)
     }
@@ -29,9 +29,9 @@
     /// Returns the replica that should load an adapter now: of the model's holders that take
     /// orders, the one with the least restricted calls, and of those the one with the fewest
     /// adapters.
-    pub fn adapter_place(&self, model: &ModelName) -> Option<ReplicaId> {
+    pub fn adapter_target(&self, model: &ModelName) -> Option<ReplicaId> {
         self.keepers(model)
-            .filter(|(_, replica)| replica.is_candidate(Among::Own))
+            .filter(|(_, replica)| replica.is_candidate(CandidateScope::Own))
             .min_by_key(|(_, replica)| (replica.control_calls, replica.ledger.holdings().adapter_count()))
             .map(|(id, _)| id.clone())
     }
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -23,7 +23,7 @@
 use crate::time::Moment;
 
 pub use self::replicas::{ServiceFleet, TrackedReplicas};
-pub use self::target_selection::{Among, Place};
+pub use self::target_selection::{CandidateScope, PlacementTarget};
 pub use self::tracked_replica::{
     load_time, memory_used, weight_source, ControlCalls, OrderedBy, TrackedReplica, WeightSource,
 };
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -18,7 +18,7 @@
 /// Number of replicas rated for one model besides those with a copy of its weights. A sample is
 /// enough in a large fleet: the chance that 256 replicas include none of the best twentieth is
 /// one in 500,000.
-const MOST_WEIGHED: usize = 256;
+const MAX_SAMPLED_CANDIDATES: usize = 256;
 
 /// All replicas by id, with their index.
 #[derive(Debug, Default)]
@@ -103,8 +103,8 @@
     }
 
     /// Returns the rank of a replica among the current holders; 0 if it is not one of them.
-    /// Beyond the second holder the exact rank hardly matters, so that at most `MOST_WEIGHED`
-    /// holders are counted.
+    /// Beyond the second holder the exact rank hardly matters, so that at most
+    /// `MAX_SAMPLED_CANDIDATES` holders are counted.
     pub fn keeper_rank(&self, model: &str, id: &ReplicaId) -> usize {
         let Some(keepers) = self.keepers.get(model) else {
             return 0;
@@ -113,7 +113,7 @@
         if keepers.get(&rank) != Some(id) {
             return 0;
         }
-        keepers.range(..rank).take(MOST_WEIGHED).count()
+        keepers.range(..rank).take(MAX_SAMPLED_CANDIDATES).count()
     }
 
     /// Returns true if no current holder of a model precedes this replica in hash order, which
@@ -142,8 +142,8 @@
     /// Returns the replicas that are rated for loading a model: all in a fleet of a few hundred,
     /// else some with a copy of the weights and some selected by a hash of the model. All
     /// orderers select the same ones.
-    pub fn weighed_for(&self, model: &str) -> BTreeSet<&ReplicaId> {
-        if self.ring.len() <= 2 * MOST_WEIGHED {
+    pub fn candidates_for(&self, model: &str) -> BTreeSet<&ReplicaId> {
+        if self.ring.len() <= 2 * MAX_SAMPLED_CANDIDATES {
             return self.ring.iter().map(|(_, id)| id).collect();
         }
         let begin = (
@@ -151,8 +151,8 @@
             Bound::Unbounded,
         );
         let around = self.ring.range(begin).chain(&self.ring).map(|(_, id)| id);
-        let with_copy = self.with_copy(model).take(MOST_WEIGHED);
-        with_copy.chain(around.take(MOST_WEIGHED)).collect()
+        let with_copy = self.with_copy(model).take(MAX_SAMPLED_CANDIDATES);
+        with_copy.chain(around.take(MAX_SAMPLED_CANDIDATES)).collect()
     }
 
     fn add(&mut self, id: &ReplicaId, indexed: &Indexed) {
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -11,7 +11,7 @@
 
 /// A replica that should load a model.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct PlacementTarget {
     /// The replica.
     pub replica: ReplicaId,
     /// Requests that are expected to miss their objective because of the load.
@@ -25,7 +25,7 @@
 
 /// The replicas that may be selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Among {
+pub enum CandidateScope {
     /// Those that some orderer sends orders to, idle or not. All orderers see the same set,
     /// and so agree on which of them acts.
     All,
@@ -97,9 +97,14 @@
     }
 
     /// Returns the replica that should load a model next, with what the load costs.
-    pub fn best_place(&self, model: &ModelName, store_allowed: bool, among: Among) -> Option<Place> {
+    pub fn best_target(
+        &self,
+        model: &ModelName,
+        store_allowed: bool,
+        scope: CandidateScope,
+    ) -> Option<PlacementTarget> {
         if let Some(work) = &self.work {
-            return self.place_by_work(model, store_allowed, among, work);
+            return self.best_target_by_work(model, store_allowed, scope, work);
         }
         let rate = self.lasting_rate(model);
         let cost = |id: &ReplicaId, replica: &TrackedReplica| -> Option<(f64, Duration)> {
@@ -111,19 +116,19 @@
             Some((displacement + adapters * load.as_secs_f64(), load))
         };
         let fleet = self.fleet();
-        let weighed = fleet.weighed_for(model);
-        weighed
+        let candidates = fleet.candidates_for(model);
+        candidates
             .into_iter()
             .filter_map(|id| self.replicas.get_key_value(id))
-            .filter(|(_, replica)| replica.goal.is_none() && may_load(replica, model, store_allowed, among))
+            .filter(|(_, replica)| replica.goal.is_none() && may_load(replica, model, store_allowed, scope))
             .filter_map(|(id, replica)| cost(id, replica).map(|(lost, load)| (lost, load, id, replica)))
             .min_by(|left, right| {
                 let waits = |load: Duration| load.as_secs_f64() * (1.0 + rate);
                 let total = |(lost, load, ..): &(f64, Duration, _, _)| lost + waits(*load);
-                let by_need = need(left.3, among).cmp(&need(right.3, among));
-                by_need.then(total(left).total_cmp(&total(right)))
+                let by_restriction = call_restriction(left.3, scope).cmp(&call_restriction(right.3, scope));
+                by_restriction.then(total(left).total_cmp(&total(right)))
             })
-            .map(|(lost, load, id, _)| Place {
+            .map(|(lost, load, id, _)| PlacementTarget {
                 replica: id.clone(),
                 lost,
                 load,
@@ -135,39 +140,39 @@
     /// it serves on time and by what the other models there lose. If all replicas are in scope,
     /// `None` is returned as well if the best one has another goal at the moment: waiting for it
     /// is better than a worse replica or a load from the weight store.
-    fn place_by_work(
+    fn best_target_by_work(
         &self,
         model: &ModelName,
         store_allowed: bool,
-        among: Among,
+        scope: CandidateScope,
         work: &ServiceWork,
-    ) -> Option<Place> {
+    ) -> Option<PlacementTarget> {
         let rate = self.lasting_rate(model);
         let fleet = self.fleet();
-        let places = fleet.weighed_for(model).into_iter();
-        let places = places
+        let candidates = fleet.candidates_for(model).into_iter();
+        let candidates = candidates
             .filter_map(|id| self.replicas.get_key_value(id))
-            .filter(|(_, replica)| may_load(replica, model, store_allowed, among))
-            .filter(|(_, replica)| among == Among::All || replica.goal.is_none());
-        let weighed = places.filter_map(|(id, replica)| {
-            let (total, place) = self.weigh_by_work(model, id, replica, rate, work)?;
-            Some((need(replica, among), total, replica, place))
+            .filter(|(_, replica)| may_load(replica, model, store_allowed, scope))
+            .filter(|(_, replica)| scope == CandidateScope::All || replica.goal.is_none());
+        let rated = candidates.filter_map(|(id, replica)| {
+            let (total, target) = self.evaluate_by_work(model, id, replica, rate, work)?;
+            Some((call_restriction(replica, scope), total, replica, target))
         });
-        let best = weighed.min_by(|left, right| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
+        let best = rated.min_by(|left, right| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
         best.filter(|(.., replica, _)| replica.goal.is_none())
-            .map(|(.., place)| place)
+            .map(|(.., target)| target)
     }
 
     /// Rates a replica for a model of `rate` requests per second. The cost is what is lost there
     /// and by the requests that wait, minus what is served on time.
-    fn weigh_by_work(
+    fn evaluate_by_work(
         &self,
         model: &ModelName,
         id: &ReplicaId,
         replica: &TrackedReplica,
         rate: f64,
         work: &ServiceWork,
-    ) -> Option<(f64, Place)> {
+    ) -> Option<(f64, PlacementTarget)> {
         let (displaced, stays) = self.displaced(id, replica, model)?;
         let load = load_time(self.engine, replica.ledger.holdings(), model)?;
         let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
@@ -178,13 +183,13 @@
         let held_up = self.goal_time(replica);
         let waits = (load + held_up).as_secs_f64() * (1.0 + rate);
         let total = lost + waits - kept * self.stay_s(load + held_up);
-        let place = Place {
+        let target = PlacementTarget {
             replica: id.clone(),
             lost,
             load,
             kept: Some(kept),
         };
-        Some((total, place))
+        Some((total, target))
     }
 
     /// Returns the load time of a replica's goal, or zero if it has none.
@@ -197,20 +202,20 @@
 
 /// Returns true if the replica is ready, lacks the model and can be ordered to load it. Loads
 /// from the weight store count only if they are allowed.
-fn may_load(replica: &TrackedReplica, model: &ModelName, store_allowed: bool, among: Among) -> bool {
+fn may_load(replica: &TrackedReplica, model: &ModelName, store_allowed: bool, scope: CandidateScope) -> bool {
     let holdings = replica.ledger.holdings();
     replica.state == ReplicaState::Ready
-        && replica.is_candidate(among)
+        && replica.is_candidate(scope)
         && !holdings.serves(model, None)
         && (store_allowed || weight_source(holdings, model) != WeightSource::Store)
 }
 
 /// Returns the restriction on calls to a replica, as far as all orderers that choose agree on
 /// it.
-fn need(replica: &TrackedReplica, among: Among) -> ControlCalls {
-    match among {
+fn call_restriction(replica: &TrackedReplica, scope: CandidateScope) -> ControlCalls {
+    match scope {
         // Another orderer may not know of the restriction.
-        Among::All => ControlCalls::Free,
-        Among::Own => replica.control_calls,
+        CandidateScope::All => ControlCalls::Free,
+        CandidateScope::Own => replica.control_calls,
     }
 }
--- a/crates/croftrill-scheduler/src/placement/tracked_replica.rs
+++ b/crates/croftrill-scheduler/src/placement/tracked_replica.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::target_selection::Among;
+use super::target_selection::CandidateScope;
 use crate::capacity::Capacity;
 use crate::catalog::{AdapterName, EngineSpec, ModelName, ServiceName};
 use crate::replica::{BornMs, Holdings, ReplicaState};
@@ -93,10 +93,10 @@
     }
 
     /// Returns true if the replica may be selected to load something.
-    pub(super) fn is_candidate(&self, among: Among) -> bool {
-        match among {
-            Among::All => self.ordered_by != OrderedBy::Nobody,
-            Among::Own => self.takes_orders(),
+    pub(super) fn is_candidate(&self, scope: CandidateScope) -> bool {
+        match scope {
+            CandidateScope::All => self.ordered_by != OrderedBy::Nobody,
+            CandidateScope::Own => self.takes_orders(),
         }
     }
 
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -8,7 +8,7 @@
 use croftrill_scheduler::catalog::{EngineSpec, ModelName, ModelSpec, ServiceName};
 use croftrill_scheduler::demand::{Asked, Demand, ModelKey};
 use croftrill_scheduler::placement::{
-    Among, ControlCalls, LateShares, OrderedBy, PlacementConfig, ServicePlacement, ServiceWork,
+    CandidateScope, ControlCalls, LateShares, OrderedBy, PlacementConfig, ServicePlacement, ServiceWork,
     TrackedReplica, TrackedReplicas,
 };
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaId, ReplicaState, WeightCopies};
@@ -314,8 +314,8 @@
     late_shares.count(class("r0"), 100.0, 35.0);
     late_shares.count(class("r1"), 100.0, 1.0);
     let view = by_work(&site, 0.01, late_shares);
-    let place = view
-        .best_place(&"m3".into(), true, Among::All)
+    let target = view
+        .best_target(&"m3".into(), true, CandidateScope::All)
         .expect("a replica");
-    assert_eq!(&*place.replica, "r1");
+    assert_eq!(&*target.replica, "r1");
 }
