--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -111,10 +111,11 @@
         }
         let place = view.best_target(model, store_allowed, CandidateScope::Own);
         let place = place.filter(|place| {
-            let saved = view.saved_by_load(model, place.load);
+            let saved = view.saved_by_load(model, place.load_time);
             let store_load = engine.models.get(model).map(|spec| spec.store_load);
-            let from_store = Some(place.load) == store_load;
-            saved > place.lost && !(from_store && view.store_keeps_more(saved, place.load, slots))
+            let from_store = Some(place.load_time) == store_load;
+            saved > place.missed_requests
+                && !(from_store && view.store_keeps_more(saved, place.load_time, slots))
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
@@ -202,8 +203,8 @@
         let place = view.best_target(model, store_allowed, CandidateScope::Own);
         let min_gain_ratio = self.config.placement.min_gain_ratio;
         let place = place.filter(|place| {
-            let gain = place.kept.unwrap_or(gain);
-            gain * view.stay_s(place.load) > min_gain_ratio * place.lost
+            let gain = place.on_time_gain.unwrap_or(gain);
+            gain * view.stay_s(place.load_time) > min_gain_ratio * place.missed_requests
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -15,12 +15,12 @@
     /// The replica.
     pub replica: ReplicaId,
     /// Requests that are expected to miss their objective because of the load.
-    pub lost: f64,
+    pub missed_requests: f64,
     /// Expected time of the load.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Additional requests per second that are served on time with this holder; `None` where
     /// holders do not follow the work.
-    pub kept: Option<f64>,
+    pub on_time_gain: Option<f64>,
 }
 
 /// The replicas that may be selected.
@@ -121,18 +121,21 @@
             .into_iter()
             .filter_map(|id| self.replicas.get_key_value(id))
             .filter(|(_, replica)| replica.goal.is_none() && may_load(replica, model, store_allowed, scope))
-            .filter_map(|(id, replica)| cost(id, replica).map(|(lost, load)| (lost, load, id, replica)))
+            .filter_map(|(id, replica)| {
+                cost(id, replica).map(|(missed_requests, load)| (missed_requests, load, id, replica))
+            })
             .min_by(|left, right| {
                 let waits = |load: Duration| load.as_secs_f64() * (1.0 + rate);
-                let total = |(lost, load, ..): &(f64, Duration, _, _)| lost + waits(*load);
+                let total =
+                    |(missed_requests, load, ..): &(f64, Duration, _, _)| missed_requests + waits(*load);
                 let by_restriction = call_restriction(left.3, scope).cmp(&call_restriction(right.3, scope));
                 by_restriction.then(total(left).total_cmp(&total(right)))
             })
-            .map(|(lost, load, id, _)| PlacementTarget {
+            .map(|(missed_requests, load, id, _)| PlacementTarget {
                 replica: id.clone(),
-                lost,
-                load,
-                kept: None,
+                missed_requests,
+                load_time: load,
+                on_time_gain: None,
             })
     }
 
@@ -178,16 +181,16 @@
         let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
         let late_beside = self.late_beside(model, replica, &stays, work);
         let horizon_s = self.config.horizon.as_secs_f64();
-        let lost = (displaced + late_beside) * horizon_s + adapters * load.as_secs_f64();
-        let kept = self.kept_by_work_at(model, replica, work);
+        let missed_requests = (displaced + late_beside) * horizon_s + adapters * load.as_secs_f64();
+        let on_time_gain = self.kept_by_work_at(model, replica, work);
         let held_up = self.goal_time(replica);
         let waits = (load + held_up).as_secs_f64() * (1.0 + rate);
-        let total = lost + waits - kept * self.stay_s(load + held_up);
+        let total = missed_requests + waits - on_time_gain * self.stay_s(load + held_up);
         let target = PlacementTarget {
             replica: id.clone(),
-            lost,
-            load,
-            kept: Some(kept),
+            missed_requests,
+            load_time: load,
+            on_time_gain: Some(on_time_gain),
         };
         Some((total, target))
     }
