--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -166,7 +166,7 @@
         let wanted = |model: &ModelName| {
             let count = view.holders(model);
             let gain = view.kept_by_next(model, slots);
-            let gain = gain.unwrap_or_else(|| view.value_of_holder(model, count + 1));
+            let gain = gain.unwrap_or_else(|| view.value_of_nth_holder(model, count + 1));
             let is_wanted = count > 0 && gain * horizon_s > config.min_on_time_gain;
             is_wanted.then(|| (gain, model.clone()))
         };
@@ -327,7 +327,7 @@
             return None;
         };
         let count = view.holders(&victim);
-        let value = view.value_of_held(&victim, id);
+        let value = view.value_of_holder_at(&victim, id);
         let load = load_time(engine, replica.ledger.holdings(), replica.goal.as_ref()?)?;
         let goal = replica.goal.as_ref()?;
         if !view.is_worth_at(goal, replica, load, value) {
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -42,7 +42,7 @@
             .map(|held| &held.model)
             .filter(|model| replica.goal.as_ref() != Some(model))
             .filter(|model| !replica.is_fresh(model, self.config.min_residence, self.now))
-            .map(|model| (self.value_of_held(model, id), model))
+            .map(|model| (self.value_of_holder_at(model, id), model))
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, model)| model.clone())
     }
@@ -66,7 +66,7 @@
             .map(|held| {
                 let spec = self.engine.models.get(held);
                 let memory = spec.map_or(0.0, |spec| spec.weights_mb);
-                (self.value_of_held(held, id), memory, held)
+                (self.value_of_holder_at(held, id), memory, held)
             })
             .collect();
         values.sort_by(|left, right| left.0.total_cmp(&right.0));
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -117,19 +117,19 @@
     /// Replicas that are still to load the model do not lower the value of its holders. A hash
     /// decides which of several holders are spare, so that two orderers never evict both of
     /// two.
-    pub fn value_of_held(&self, model: &ModelName, id: &ReplicaId) -> f64 {
+    pub fn value_of_holder_at(&self, model: &ModelName, id: &ReplicaId) -> f64 {
         if let Some(work) = &self.work {
-            return self.value_by_work(model, id, work);
+            return self.value_of_holder_by_work(model, id, work);
         }
         let rank = self.fleet().keeper_rank(model, id);
-        self.value_of_holder(model, rank + 1)
+        self.value_of_nth_holder(model, rank + 1)
     }
 
     /// Returns the requests per second that depend on the last of `holders` holders: for a
     /// sole holder all that miss their objective without it, for one of several those that
     /// the others would serve late. The second one also counts as a spare in case the first
     /// fails.
-    pub fn value_of_holder(&self, model: &ModelName, holders: usize) -> f64 {
+    pub fn value_of_nth_holder(&self, model: &ModelName, holders: usize) -> f64 {
         if holders <= 1 {
             return self.value_of_model(model);
         }
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -264,7 +264,12 @@
     }
 
     /// Returns the requests per second that depend on a model's holder at a replica.
-    pub(super) fn value_by_work(&self, model: &ModelName, id: &ReplicaId, work: &ServiceWork) -> f64 {
+    pub(super) fn value_of_holder_by_work(
+        &self,
+        model: &ModelName,
+        id: &ReplicaId,
+        work: &ServiceWork,
+    ) -> f64 {
         let holders = self.model_holders(model, work);
         let held = holders.iter().find(|holder| holder.id == *id);
         held.map_or_else(|| self.value_of_model(model), |holder| holder.value)
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -126,7 +126,7 @@
         let values = self
             .replicas
             .iter()
-            .map(|(id, _)| view.value_of_held(&model.into(), id));
+            .map(|(id, _)| view.value_of_holder_at(&model.into(), id));
         values.collect()
     }
 }
@@ -201,14 +201,14 @@
     site.ask("m1", 1);
     site.ask("m2", 1);
     let view = site.view();
-    let held = view.value_of_held(&"m1".into(), &"r0".into());
+    let held = view.value_of_holder_at(&"m1".into(), &"r0".into());
     assert!(!view.is_worth(&"m2".into(), STORE_LOAD, held));
     assert!(view.is_worth(&"m2".into(), STORE_LOAD, 0.3 * held));
 }
 
 /// Returns the value of one more holder besides `holders` holders.
 fn value_of_next(site: &Site, model: &str, holders: usize) -> f64 {
-    site.view().value_of_holder(&model.into(), holders + 1)
+    site.view().value_of_nth_holder(&model.into(), holders + 1)
 }
 
 #[test]
@@ -278,7 +278,7 @@
         tell_work_time(&mut site, id, pct);
     }
     let view = by_work(&site, 0.01, LateShares::default());
-    let value = |id: &str| view.value_of_held(&"m1".into(), &id.into());
+    let value = |id: &str| view.value_of_holder_at(&"m1".into(), &id.into());
     assert!(value("r1") > value("r2"), "{} {}", value("r1"), value("r2"));
     assert!(value("r2") > value("r0"), "{} {}", value("r2"), value("r0"));
 }
