--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -37,7 +37,7 @@
             return;
         }
         let view = self.placement_of(service, engine, now);
-        wanted.retain(|model| view.holders(model) == 0);
+        wanted.retain(|model| view.expected_holder_count(model) == 0);
         if view.work.is_some() {
             self.set_goals_by_objective(service, engine, wanted, now);
             return;
@@ -164,7 +164,7 @@
         let view = self.placement_of(service, engine, now);
         let slots = self.usual_slots(service);
         let wanted = |model: &ModelName| {
-            let count = view.holders(model);
+            let count = view.expected_holder_count(model);
             let gain = view.kept_by_next(model, slots);
             let gain = gain.unwrap_or_else(|| view.value_of_nth_holder(model, count + 1));
             let is_wanted = count > 0 && gain * horizon_s > config.min_on_time_gain;
@@ -210,7 +210,9 @@
             self.await_confirmation(&best.replica, now);
         }
         if let Some(place) = place {
-            let count = self.placement_of(service, engine, now).holders(model);
+            let count = self
+                .placement_of(service, engine, now)
+                .expected_holder_count(model);
             self.set_goal(&place.replica, model.clone(), GoalReason::Demand, count);
         }
     }
@@ -326,7 +328,7 @@
             self.drop_goal(id);
             return None;
         };
-        let count = view.holders(&victim);
+        let count = view.expected_holder_count(&victim);
         let value = view.value_of_holder_at(&victim, id);
         let load = load_time(engine, replica.ledger.holdings(), replica.goal.as_ref()?)?;
         let goal = replica.goal.as_ref()?;
@@ -361,8 +363,8 @@
     ) -> Duration {
         let view = self.placement_of(service, engine, now);
         let fleet = view.fleet();
-        let is_one_of_two = view.work.is_some() && fleet.keeper_count(withdrawn) == 1;
-        if is_one_of_two && fleet.comes_first(withdrawn, id) {
+        let is_one_of_two = view.work.is_some() && fleet.current_holder_count(withdrawn) == 1;
+        if is_one_of_two && fleet.ranks_first(withdrawn, id) {
             WITHDRAWAL_HEARD_WITHIN.max(self.config.withdraw_notice)
         } else {
             self.config.withdraw_notice
@@ -381,7 +383,7 @@
         now: Moment,
     ) -> bool {
         let view = self.placement_of(service, engine, now);
-        if view.work.is_none() || view.fleet().keeper_count(withdrawn) > 0 {
+        if view.work.is_none() || view.fleet().current_holder_count(withdrawn) > 0 {
             return false;
         }
         let goal = self.replicas.get(id).and_then(|replica| replica.goal.as_ref());
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -482,7 +482,9 @@
     /// True if a ready replica holds the model, and the adapter if one is named.
     fn is_held(&self, key: &ModelKey) -> bool {
         let fleet = self.replicas.fleet(&key.service);
-        let mut keepers = fleet.keepers(&key.model).filter_map(|id| self.replicas.get(id));
+        let mut keepers = fleet
+            .current_holders(&key.model)
+            .filter_map(|id| self.replicas.get(id));
         let adapter = key.adapter.as_deref();
         keepers.any(|replica| replica.ledger.holdings().serves(&key.model, adapter))
     }
@@ -491,7 +493,9 @@
     fn is_ordered(&self, key: &ModelKey) -> bool {
         let adapter = key.adapter.as_deref().unwrap_or_default();
         let fleet = self.replicas.fleet(&key.service);
-        let mut keepers = fleet.keepers(&key.model).filter_map(|id| self.replicas.get(id));
+        let mut keepers = fleet
+            .current_holders(&key.model)
+            .filter_map(|id| self.replicas.get(id));
         keepers.any(|replica| match replica.ledger.pending() {
             _ if replica.ledger.is_in_transit(&key.model, adapter) => true,
             Some(Order::LoadAdapter(model, adapter)) => {
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -202,13 +202,13 @@
     pub(super) fn service_work(&self, service: &ServiceName) -> Option<Rc<ServiceWork>> {
         let meter = self.work.get(service)?;
         let per_token_s = meter.per_token_s?;
-        let keeping_changes = self.replicas.fleet(service).keeping_changes();
+        let holder_changes = self.replicas.fleet(service).holder_changes();
         let mut known = meter.known.borrow_mut();
-        if let Some((_, work)) = known.as_ref().filter(|(at, _)| *at == keeping_changes) {
+        if let Some((_, work)) = known.as_ref().filter(|(at, _)| *at == holder_changes) {
             return Some(Rc::clone(work));
         }
         let work = Rc::new(ServiceWork::new(per_token_s, meter.late_shares.clone()));
-        *known = Some((keeping_changes, Rc::clone(&work)));
+        *known = Some((holder_changes, Rc::clone(&work)));
         Some(work)
     }
 }
--- a/crates/croftrill-scheduler/src/placement/adapters.rs
+++ b/crates/croftrill-scheduler/src/placement/adapters.rs
@@ -14,15 +14,15 @@
         let seed = xxh3_64(adapter.as_bytes());
         let is_full =
             |replica: &TrackedReplica| replica.ledger.holdings().adapter_count() >= self.engine.adapter_slots;
-        self.keepers(model)
+        self.current_holders(model)
             .filter(|(_, replica)| replica.is_candidate(CandidateScope::All))
             .min_by_key(|(id, replica)| (is_full(replica), xxh3_64_with_seed(id.as_bytes(), seed)))
             .map(|(id, _)| id)
     }
 
     /// Iterates over the current holders of a model.
-    fn keepers(&self, model: &str) -> impl Iterator<Item = (&ReplicaId, &TrackedReplica)> {
-        let ids: Vec<ReplicaId> = self.fleet().keepers(model).cloned().collect();
+    fn current_holders(&self, model: &str) -> impl Iterator<Item = (&ReplicaId, &TrackedReplica)> {
+        let ids: Vec<ReplicaId> = self.fleet().current_holders(model).cloned().collect();
         ids.into_iter().filter_map(|id| self.replicas.get_key_value(&id))
     }
 
@@ -30,7 +30,7 @@
     /// orders, the one with the least restricted calls, and of those the one with the fewest
     /// adapters.
     pub fn adapter_target(&self, model: &ModelName) -> Option<ReplicaId> {
-        self.keepers(model)
+        self.current_holders(model)
             .filter(|(_, replica)| replica.is_candidate(CandidateScope::Own))
             .min_by_key(|(_, replica)| (replica.control_calls, replica.ledger.holdings().adapter_count()))
             .map(|(id, _)| id.clone())
--- a/crates/croftrill-scheduler/src/placement/mod.rs
+++ b/crates/croftrill-scheduler/src/placement/mod.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns the number of replicas that hold a model or are to load it.
-    pub fn holders(&self, model: &str) -> usize {
-        self.fleet().holders(model)
+    pub fn expected_holder_count(&self, model: &str) -> usize {
+        self.fleet().expected_holder_count(model)
     }
 
     fn key(&self, model: &ModelName) -> ModelKey {
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Indexed {
     service: ServiceName,
-    keeps: Vec<ModelName>,
+    retained: Vec<ModelName>,
     goal: Option<ModelName>,
     awaits: Option<ModelName>,
     copies: Vec<ModelName>,
@@ -54,7 +54,7 @@
     /// All replicas in hash order, which is the same for all orderers.
     ring: BTreeSet<(u64, ReplicaId)>,
     /// The current holders of each model in hash order, which is the same for all orderers.
-    keepers: HashMap<ModelName, BTreeMap<u64, ReplicaId>>,
+    holders: HashMap<ModelName, BTreeMap<u64, ReplicaId>>,
     /// Number of replicas that are to load each model.
     awaited: HashMap<ModelName, usize>,
     /// Ready replicas with a reachable orderer, by the models whose weights they have copies of.
@@ -62,7 +62,7 @@
     with_goal: BTreeSet<ReplicaId>,
     own: usize,
     /// Number of changes to the current holders of any model.
-    keeping_changes: u64,
+    holder_changes: u64,
 }
 
 impl ServiceFleet {
@@ -82,8 +82,8 @@
     }
 
     /// Returns a counter that increases whenever the current holders of any model change.
-    pub fn keeping_changes(&self) -> u64 {
-        self.keeping_changes
+    pub fn holder_changes(&self) -> u64 {
+        self.holder_changes
     }
 
     /// Returns the number of replicas that this orderer sends orders to.
@@ -93,39 +93,39 @@
 
     /// Iterates over the current holders of a model: the ready replicas that hold it and are
     /// not about to evict it.
-    pub fn keepers(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
-        self.keepers.get(model).into_iter().flat_map(BTreeMap::values)
+    pub fn current_holders(&self, model: &str) -> impl Iterator<Item = &ReplicaId> {
+        self.holders.get(model).into_iter().flat_map(BTreeMap::values)
     }
 
     /// Returns the number of current holders of a model.
-    pub fn keeper_count(&self, model: &str) -> usize {
-        self.keepers.get(model).map_or(0, BTreeMap::len)
+    pub fn current_holder_count(&self, model: &str) -> usize {
+        self.holders.get(model).map_or(0, BTreeMap::len)
     }
 
     /// Returns the rank of a replica among the current holders; 0 if it is not one of them.
     /// Beyond the second holder the exact rank hardly matters, so that at most
     /// `MAX_SAMPLED_CANDIDATES` holders are counted.
-    pub fn keeper_rank(&self, model: &str, id: &ReplicaId) -> usize {
-        let Some(keepers) = self.keepers.get(model) else {
+    pub fn current_holder_rank(&self, model: &str, id: &ReplicaId) -> usize {
+        let Some(holders) = self.holders.get(model) else {
             return 0;
         };
-        let rank = keeper_hash(model, id);
-        if keepers.get(&rank) != Some(id) {
+        let rank = holder_hash(model, id);
+        if holders.get(&rank) != Some(id) {
             return 0;
         }
-        keepers.range(..rank).take(MAX_SAMPLED_CANDIDATES).count()
+        holders.range(..rank).take(MAX_SAMPLED_CANDIDATES).count()
     }
 
     /// Returns true if no current holder of a model precedes this replica in hash order, which
     /// is the same for all orderers. The replica need not hold the model itself.
-    pub fn comes_first(&self, model: &str, id: &ReplicaId) -> bool {
-        let first = self.keepers.get(model).and_then(|keepers| keepers.keys().next());
-        first.is_none_or(|first| keeper_hash(model, id) <= *first)
+    pub fn ranks_first(&self, model: &str, id: &ReplicaId) -> bool {
+        let first = self.holders.get(model).and_then(|holders| holders.keys().next());
+        first.is_none_or(|first| holder_hash(model, id) <= *first)
     }
 
     /// Returns the number of replicas that hold a model or are to load it.
-    pub fn holders(&self, model: &str) -> usize {
-        self.keeper_count(model) + self.awaited.get(model).copied().unwrap_or(0)
+    pub fn expected_holder_count(&self, model: &str) -> usize {
+        self.current_holder_count(model) + self.awaited.get(model).copied().unwrap_or(0)
     }
 
     /// Iterates over the ready replicas with a copy of a model's weights outside the
@@ -157,9 +157,9 @@
 
     fn add(&mut self, id: &ReplicaId, indexed: &Indexed) {
         self.ring.insert((xxh3_64(id.as_bytes()), id.clone()));
-        for model in &indexed.keeps {
-            let keepers = self.keepers.entry(model.clone()).or_default();
-            keepers.insert(keeper_hash(model, id), id.clone());
+        for model in &indexed.retained {
+            let holders = self.holders.entry(model.clone()).or_default();
+            holders.insert(holder_hash(model, id), id.clone());
         }
         if let Some(model) = &indexed.awaits {
             *self.awaited.entry(model.clone()).or_default() += 1;
@@ -175,9 +175,9 @@
 
     fn take_out(&mut self, id: &ReplicaId, indexed: &Indexed) {
         self.ring.remove(&(xxh3_64(id.as_bytes()), id.clone()));
-        for model in &indexed.keeps {
-            if let Some(keepers) = self.keepers.get_mut(model) {
-                keepers.remove(&keeper_hash(model, id));
+        for model in &indexed.retained {
+            if let Some(holders) = self.holders.get_mut(model) {
+                holders.remove(&holder_hash(model, id));
             }
         }
         if let Some(awaited) = indexed
@@ -197,15 +197,15 @@
     }
 }
 
-fn keeper_hash(model: &str, id: &ReplicaId) -> u64 {
+fn holder_hash(model: &str, id: &ReplicaId) -> u64 {
     xxh3_64_with_seed(id.as_bytes(), xxh3_64(model.as_bytes()))
 }
 
 impl Indexed {
     fn of(replica: &TrackedReplica) -> Self {
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
-        let keeps = held.filter(|model| replica.keeps(model)).cloned().collect();
-        let awaits = replica.goal.clone().filter(|goal| !replica.keeps(goal));
+        let retained = held.filter(|model| replica.retains(model)).cloned().collect();
+        let awaits = replica.goal.clone().filter(|goal| !replica.retains(goal));
         let takes_loads = replica.state == ReplicaState::Ready && replica.ordered_by != OrderedBy::Nobody;
         let copies = &replica.ledger.holdings().copies;
         let copies = copies
@@ -215,7 +215,7 @@
             .filter(|_| takes_loads);
         Indexed {
             service: replica.service.clone(),
-            keeps,
+            retained,
             goal: replica.goal.clone(),
             awaits,
             copies: copies.cloned().collect(),
@@ -231,19 +231,22 @@
             return;
         }
         let former = self.replicas.remove(id);
-        let keeps =
-            |indexed: Option<&Indexed>| indexed.map(|indexed| indexed.keeps.clone()).unwrap_or_default();
-        let keeps_others = keeps(former.as_ref()) != keeps(now.as_ref());
+        let retained = |indexed: Option<&Indexed>| {
+            indexed
+                .map(|indexed| indexed.retained.clone())
+                .unwrap_or_default()
+        };
+        let holders_changed = retained(former.as_ref()) != retained(now.as_ref());
         if let Some(former) = former {
             if let Some(fleet) = self.services.get_mut(&former.service) {
                 fleet.take_out(id, &former);
-                fleet.keeping_changes += u64::from(keeps_others);
+                fleet.holder_changes += u64::from(holders_changed);
             }
         }
         if let Some(now) = now {
             let fleet = self.services.entry(now.service.clone()).or_default();
             fleet.add(id, &now);
-            fleet.keeping_changes += u64::from(keeps_others);
+            fleet.holder_changes += u64::from(holders_changed);
             self.replicas.insert(id.clone(), now);
         }
     }
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -88,7 +88,7 @@
     fn adapter_requests(&self, replica: &TrackedReplica) -> f64 {
         let held = replica.ledger.holdings().models.iter();
         let rates = held.map(|held| {
-            let count = self.holders(&held.model).max(1);
+            let count = self.expected_holder_count(&held.model).max(1);
             self.demand
                 .adapter_requests_per_second(&self.key(&held.model), self.now)
                 / count as f64
--- a/crates/croftrill-scheduler/src/placement/tracked_replica.rs
+++ b/crates/croftrill-scheduler/src/placement/tracked_replica.rs
@@ -101,7 +101,7 @@
     }
 
     /// Returns true if the replica holds the model and is not about to evict it.
-    pub fn keeps(&self, model: &str) -> bool {
+    pub fn retains(&self, model: &str) -> bool {
         let withdrawn = self.withdrawn.as_ref().is_some_and(|(name, _)| &**name == model);
         !withdrawn && self.state == ReplicaState::Ready && self.ledger.holdings().serves(model, None)
     }
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -106,7 +106,7 @@
     /// Returns the requests per second that are on time because of the last of `holders`
     /// holders. The share that is late is assumed to be proportional to the load of each.
     fn kept_in_time(&self, model: &ModelName, holders: usize) -> f64 {
-        let present = self.fleet().keeper_count(model).max(1) as f64;
+        let present = self.fleet().current_holder_count(model).max(1) as f64;
         let late_share = self.demand.late_share(&self.key(model), self.now);
         let late_with = |count: usize| (late_share * present / count as f64).min(1.0);
         self.lasting_rate(model) * (late_with(holders - 1) - late_with(holders))
@@ -121,7 +121,7 @@
         if let Some(work) = &self.work {
             return self.value_of_holder_by_work(model, id, work);
         }
-        let rank = self.fleet().keeper_rank(model, id);
+        let rank = self.fleet().current_holder_rank(model, id);
         self.value_of_nth_holder(model, rank + 1)
     }
 
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -174,8 +174,10 @@
             return *room;
         }
         let fleet = self.fleet();
-        let keepers = fleet.keepers(model).filter_map(|id| self.replicas.get(id));
-        let room = keepers.map(|replica| self.room(replica)).sum();
+        let current_holders = fleet
+            .current_holders(model)
+            .filter_map(|id| self.replicas.get(id));
+        let room = current_holders.map(|replica| self.room(replica)).sum();
         work.rooms.borrow_mut().insert(model.clone(), room);
         room
     }
@@ -189,10 +191,10 @@
             let whole = self.keepers_room(name, work) + if is_new { room } else { 0.0 };
             self.work(name, work) * room / whole.max(room)
         };
-        let own = part(model, !replica.keeps(model));
+        let own = part(model, !replica.retains(model));
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
         let beside: f64 = held
-            .filter(|held| *held != model && replica.keeps(held))
+            .filter(|held| *held != model && replica.retains(held))
             .map(|held| part(held, false))
             .sum();
         let fair = if own + beside > 0.0 {
@@ -229,18 +231,18 @@
             return Rc::clone(known);
         }
         let fleet = self.fleet();
-        let keepers = fleet
-            .keepers(model)
+        let current_holders = fleet
+            .current_holders(model)
             .filter_map(|id| self.replicas.get_key_value(id));
-        let mut keepers: Vec<(i64, &ReplicaId, &TrackedReplica)> = keepers
+        let mut current_holders: Vec<(i64, &ReplicaId, &TrackedReplica)> = current_holders
             .map(|(id, replica)| (self.room(replica).round() as i64, id, replica))
             .collect();
         // The sort is stable, so that ties stay in hash order, which all orderers share.
-        keepers.sort_by_key(|(room, ..)| Reverse(*room));
-        let mut rooms = Vec::with_capacity(keepers.len());
-        let mut holders = Vec::with_capacity(keepers.len());
+        current_holders.sort_by_key(|(room, ..)| Reverse(*room));
+        let mut rooms = Vec::with_capacity(current_holders.len());
+        let mut holders = Vec::with_capacity(current_holders.len());
         let mut late = self.late_with(model, Vec::new(), work);
-        for (index, (_, id, replica)) in keepers.into_iter().enumerate() {
+        for (index, (_, id, replica)) in current_holders.into_iter().enumerate() {
             let room = self.room_at(model, replica, work);
             rooms.push(room);
             let late_before = std::mem::replace(&mut late, self.late_with(model, rooms.clone(), work));
@@ -280,11 +282,12 @@
     fn rooms_of(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderRoom> {
         let mut rooms = self.present_rooms(model, work);
         let fleet = self.fleet();
-        if fleet.holders(model) == fleet.keeper_count(model) {
+        if fleet.expected_holder_count(model) == fleet.current_holder_count(model) {
             return rooms;
         }
         let awaited = fleet.with_goal().filter_map(|id| self.replicas.get(id));
-        let awaited = awaited.filter(|replica| replica.goal.as_ref() == Some(model) && !replica.keeps(model));
+        let awaited =
+            awaited.filter(|replica| replica.goal.as_ref() == Some(model) && !replica.retains(model));
         rooms.extend(awaited.map(|replica| self.room_at(model, replica, work)));
         rooms
     }
@@ -333,8 +336,10 @@
     pub fn only_holder_with_room(&self, model: &ModelName) -> Option<&TrackedReplica> {
         let work = self.work.as_ref()?;
         let fleet = self.fleet();
-        let mut keepers = fleet.keepers(model);
-        let only = keepers.next().filter(|_| keepers.next().is_none())?;
+        let mut current_holders = fleet.current_holders(model);
+        let only = current_holders
+            .next()
+            .filter(|_| current_holders.next().is_none())?;
         let replica = self.replicas.get(only)?;
         (self.work(model, work) < self.room_for(model, replica, work)).then_some(replica)
     }
@@ -343,7 +348,7 @@
     fn free_copies(&self, model: &ModelName) -> usize {
         let fleet = self.fleet();
         let with_copy = fleet.with_copy(model).filter_map(|id| self.replicas.get(id));
-        with_copy.filter(|replica| !replica.keeps(model)).count()
+        with_copy.filter(|replica| !replica.retains(model)).count()
     }
 
     /// Returns the additional requests per second that are on time with one more holder at a
@@ -361,7 +366,7 @@
 
     /// Returns the value of the next holder as a spare: zero unless it would be the second one.
     fn spare_of_next(&self, model: &ModelName) -> f64 {
-        if self.holders(model) == 1 {
+        if self.expected_holder_count(model) == 1 {
             self.spare_value(model)
         } else {
             0.0
@@ -389,7 +394,7 @@
             return false;
         }
         let kept = |model: &ModelName| {
-            if self.holders(model) == 0 || self.free_copies(model) > 0 {
+            if self.expected_holder_count(model) == 0 || self.free_copies(model) > 0 {
                 return 0.0;
             }
             self.kept_by_next(model, slots).unwrap_or(0.0)
@@ -421,13 +426,13 @@
         displaced: f64,
     ) -> Option<bool> {
         let work = self.work.as_ref()?;
-        let keepers = self.fleet().keeper_count(model);
-        if keepers == 0 {
+        let holder_count = self.fleet().current_holder_count(model);
+        if holder_count == 0 {
             return None;
         }
         let more = self.room_at(model, replica, work);
         let kept = self.kept_by(model, self.present_rooms(model, work), more, work);
-        let spare = if keepers == 1 {
+        let spare = if holder_count == 1 {
             self.spare_value(model)
         } else {
             0.0
