--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -115,7 +115,7 @@
             let store_load = engine.models.get(model).map(|spec| spec.store_load);
             let from_store = Some(place.load_time) == store_load;
             saved > place.missed_requests
-                && !(from_store && view.store_keeps_more(saved, place.load_time, slots))
+                && !(from_store && view.store_load_gains_more(saved, place.load_time, slots))
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
@@ -165,7 +165,7 @@
         let slots = self.usual_slots(service);
         let wanted = |model: &ModelName| {
             let count = view.expected_holder_count(model);
-            let gain = view.kept_by_next(model, slots);
+            let gain = view.on_time_gain_of_next_holder(model, slots);
             let gain = gain.unwrap_or_else(|| view.value_of_nth_holder(model, count + 1));
             let is_wanted = count > 0 && gain * horizon_s > config.min_on_time_gain;
             is_wanted.then(|| (gain, model.clone()))
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -179,10 +179,10 @@
         let (displaced, stays) = self.displaced(id, replica, model)?;
         let load = load_time(self.engine, replica.ledger.holdings(), model)?;
         let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
-        let late_beside = self.late_beside(model, replica, &stays, work);
+        let late_rate_by_sharing = self.late_rate_by_sharing(model, replica, &stays, work);
         let horizon_s = self.config.horizon.as_secs_f64();
-        let missed_requests = (displaced + late_beside) * horizon_s + adapters * load.as_secs_f64();
-        let on_time_gain = self.kept_by_work_at(model, replica, work);
+        let missed_requests = (displaced + late_rate_by_sharing) * horizon_s + adapters * load.as_secs_f64();
+        let on_time_gain = self.on_time_gain_at(model, replica, work);
         let held_up = self.goal_time(replica);
         let waits = (load + held_up).as_secs_f64() * (1.0 + rate);
         let total = missed_requests + waits - on_time_gain * self.stay_s(load + held_up);
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -105,7 +105,7 @@
 
     /// Returns the requests per second that are on time because of the last of `holders`
     /// holders. The share that is late is assumed to be proportional to the load of each.
-    fn kept_in_time(&self, model: &ModelName, holders: usize) -> f64 {
+    fn on_time_gain_of_nth_holder(&self, model: &ModelName, holders: usize) -> f64 {
         let present = self.fleet().current_holder_count(model).max(1) as f64;
         let late_share = self.demand.late_share(&self.key(model), self.now);
         let late_with = |count: usize| (late_share * present / count as f64).min(1.0);
@@ -138,7 +138,7 @@
         } else {
             0.0
         };
-        self.kept_in_time(model, holders).max(spare)
+        self.on_time_gain_of_nth_holder(model, holders).max(spare)
     }
 
     /// Returns the requests per second that the second holder is worth as a spare.
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -246,11 +246,11 @@
             let room = self.room_at(model, replica, work);
             rooms.push(room);
             let late_before = std::mem::replace(&mut late, self.late_with(model, rooms.clone(), work));
-            let kept = (late_before - late).max(0.0);
+            let gain = (late_before - late).max(0.0);
             let value = match index {
                 0 => self.value_of_model(model) * (1.0 - room.late_share),
-                1 => kept.max(self.spare_value(model)),
-                _ => kept,
+                1 => gain.max(self.spare_value(model)),
+                _ => gain,
             };
             holders.push(Holder {
                 id: id.clone(),
@@ -300,7 +300,7 @@
 
     /// Returns the additional requests per second that are on time with one more holder besides
     /// those of the given capacities.
-    fn kept_by(
+    fn on_time_gain(
         &self,
         model: &ModelName,
         mut rooms: Vec<HolderRoom>,
@@ -353,19 +353,19 @@
 
     /// Returns the additional requests per second that are on time with one more holder at a
     /// replica.
-    pub(super) fn kept_by_work_at(
+    pub(super) fn on_time_gain_at(
         &self,
         model: &ModelName,
         replica: &TrackedReplica,
         work: &ServiceWork,
     ) -> f64 {
         let more = self.room_at(model, replica, work);
-        let kept = self.kept_by(model, self.rooms_of(model, work), more, work);
-        kept.max(self.spare_of_next(model))
+        let gain = self.on_time_gain(model, self.rooms_of(model, work), more, work);
+        gain.max(self.spare_value_of_next_holder(model))
     }
 
     /// Returns the value of the next holder as a spare: zero unless it would be the second one.
-    fn spare_of_next(&self, model: &ModelName) -> f64 {
+    fn spare_value_of_next_holder(&self, model: &ModelName) -> f64 {
         if self.expected_holder_count(model) == 1 {
             self.spare_value(model)
         } else {
@@ -376,30 +376,30 @@
     /// Returns the additional requests per second that are on time with one more holder: a
     /// replica of usual speed with `slots` slots that holds nothing else. `None` where holders
     /// do not follow the work.
-    pub fn kept_by_next(&self, model: &ModelName, slots: u32) -> Option<f64> {
+    pub fn on_time_gain_of_next_holder(&self, model: &ModelName, slots: u32) -> Option<f64> {
         let work = self.work.as_ref()?;
         let more = HolderRoom {
             work: f64::from(slots) * USABLE_SLOTS,
             late_share: 0.0,
         };
-        let kept = self.kept_by(model, self.rooms_of(model, work), more, work);
-        Some(kept.max(self.spare_of_next(model)))
+        let gain = self.on_time_gain(model, self.rooms_of(model, work), more, work);
+        Some(gain.max(self.spare_value_of_next_holder(model)))
     }
 
     /// Returns true if some model that is held or about to be loaded, and has no unused copy of
     /// its weights, gains more than `saved` requests on time by a load from the weight store of
     /// the same duration.
-    pub fn store_keeps_more(&self, saved: f64, load: Duration, slots: u32) -> bool {
+    pub fn store_load_gains_more(&self, saved: f64, load: Duration, slots: u32) -> bool {
         if self.work.is_none() {
             return false;
         }
-        let kept = |model: &ModelName| {
+        let gain = |model: &ModelName| {
             if self.expected_holder_count(model) == 0 || self.free_copies(model) > 0 {
                 return 0.0;
             }
-            self.kept_by_next(model, slots).unwrap_or(0.0)
+            self.on_time_gain_of_next_holder(model, slots).unwrap_or(0.0)
         };
-        let most = self.engine.model_order.iter().map(kept).fold(0.0, f64::max);
+        let most = self.engine.model_order.iter().map(gain).fold(0.0, f64::max);
         most * self.stay_s(load) > saved
     }
 
@@ -431,19 +431,19 @@
             return None;
         }
         let more = self.room_at(model, replica, work);
-        let kept = self.kept_by(model, self.present_rooms(model, work), more, work);
+        let gain = self.on_time_gain(model, self.present_rooms(model, work), more, work);
         let spare = if holder_count == 1 {
             self.spare_value(model)
         } else {
             0.0
         };
         let horizon_s = self.config.horizon.as_secs_f64();
-        Some(kept.max(spare) * self.stay_s(load) > displaced * horizon_s)
+        Some(gain.max(spare) * self.stay_s(load) > displaced * horizon_s)
     }
 
     /// Returns the requests per second that become late for the models that stay on a replica
     /// if another model shares it.
-    pub(super) fn late_beside(
+    pub(super) fn late_rate_by_sharing(
         &self,
         model: &ModelName,
         replica: &TrackedReplica,
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -291,7 +291,8 @@
     site.ask("m2", 1);
     let kept = |per_token_s: f64| {
         let view = by_work(&site, per_token_s, LateShares::default());
-        view.kept_by_next(&"m1".into(), 24).expect("follows work")
+        view.on_time_gain_of_next_holder(&"m1".into(), 24)
+            .expect("follows work")
     };
     // With 100 tokens per request, 2 and 20 requests run concurrently; a replica can serve 12 on
     // time.
