--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -127,7 +127,7 @@
         }
         let turn = self.models_in_turn(engine);
         for model in engine.model_order.iter().skip(turn.start).take(turn.len()) {
-            let Some(replica) = view.only_holder_with_room(model) else {
+            let Some(replica) = view.only_holder_with_free_capacity(model) else {
                 continue;
             };
             let key = ModelKey {
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -57,7 +57,7 @@
     /// Cache of the work and the requests per second of models.
     asked: RefCell<HashMap<ModelName, (f64, f64)>>,
     /// Cache of the sum of the capacities of each model's holders.
-    rooms: RefCell<HashMap<ModelName, f64>>,
+    capacities: RefCell<HashMap<ModelName, f64>>,
     /// Cache of the holders of models.
     holders: RefCell<HashMap<ModelName, Rc<Vec<Holder>>>>,
 }
@@ -82,7 +82,7 @@
     /// Requests that run concurrently, at replicas of usual speed.
     pub work: f64,
     /// Such requests that its holders can serve on time.
-    pub room: f64,
+    pub capacity: f64,
     /// Number of its holders.
     pub holders: usize,
     /// Number of other replicas with a copy of its weights.
@@ -93,14 +93,14 @@
 #[derive(Debug, Clone)]
 struct Holder {
     id: ReplicaId,
-    room: HolderRoom,
+    capacity: HolderCapacity,
     /// Requests per second that depend on it, given the holders ranked before it.
     value: f64,
 }
 
 /// Work of a model that a holder can do, and the share of it that is late even so.
 #[derive(Debug, Clone, Copy)]
-struct HolderRoom {
+struct HolderCapacity {
     work: f64,
     late_share: f64,
 }
@@ -108,26 +108,26 @@
 /// Returns the work that is late with holders of the given capacities: what exceeds their sum,
 /// and of the rest the late share of the holder that does it. Holders with the lowest late
 /// share are filled first.
-fn late_work(work: f64, mut rooms: Vec<HolderRoom>) -> f64 {
-    rooms.sort_by(|left, right| left.late_share.total_cmp(&right.late_share));
-    let beyond = beyond(work, rooms.iter().map(|room| room.work).sum());
+fn late_work(work: f64, mut capacities: Vec<HolderCapacity>) -> f64 {
+    capacities.sort_by(|left, right| left.late_share.total_cmp(&right.late_share));
+    let beyond = expected_excess(work, capacities.iter().map(|capacity| capacity.work).sum());
     let mut left = work - beyond;
     let mut late = beyond;
-    for room in rooms {
-        let here = left.min(room.work);
-        late += here * room.late_share;
+    for capacity in capacities {
+        let here = left.min(capacity.work);
+        late += here * capacity.late_share;
         left -= here;
     }
     late
 }
 
-/// Returns the expected excess over `room` of a Poisson distributed number of requests of mean
-/// `work`. It is approximated by a normal distribution of the same mean and variance: the
+/// Returns the expected excess over `capacity` of a Poisson distributed number of requests of
+/// mean `work`. It is approximated by a normal distribution of the same mean and variance: the
 /// standard deviation times the normal loss function. The tail probability is the usual logistic
 /// approximation, 1 / (1 + e^(1.5976 z + 0.07056 z^3)), accurate to 0.0002.
-fn beyond(work: f64, room: f64) -> f64 {
+fn expected_excess(work: f64, capacity: f64) -> f64 {
     let deviation = work.sqrt().max(f64::EPSILON);
-    let distance = (room - work) / deviation;
+    let distance = (capacity - work) / deviation;
     let density = (-0.5 * distance * distance).exp() / (2.0 * std::f64::consts::PI).sqrt();
     let tail = 1.0 / (1.0 + (1.5976 * distance + 0.070_56 * distance.powi(3)).exp());
     (deviation * (density - distance * tail)).clamp(0.0, work)
@@ -162,34 +162,34 @@
     /// Returns the work that a replica can do while first events and pauses meet their
     /// objectives. The speed counts twice: at half of the usual speed a replica does half the
     /// work, and each prefill and step takes twice as much of the allowed pause.
-    pub(super) fn room(&self, replica: &TrackedReplica) -> f64 {
+    pub(super) fn usable_capacity(&self, replica: &TrackedReplica) -> f64 {
         let slots = f64::from(self.slots(replica));
         let speed = replica.capacity.lasting_speed();
         (slots * USABLE_SLOTS * speed * speed).min(slots * speed)
     }
 
     /// Returns the sum of the capacities of a model's current holders, whatever else they hold.
-    fn keepers_room(&self, model: &ModelName, work: &ServiceWork) -> f64 {
-        if let Some(room) = work.rooms.borrow().get(model) {
-            return *room;
+    fn holders_capacity(&self, model: &ModelName, work: &ServiceWork) -> f64 {
+        if let Some(capacity) = work.capacities.borrow().get(model) {
+            return *capacity;
         }
         let fleet = self.fleet();
         let current_holders = fleet
             .current_holders(model)
             .filter_map(|id| self.replicas.get(id));
-        let room = current_holders.map(|replica| self.room(replica)).sum();
-        work.rooms.borrow_mut().insert(model.clone(), room);
-        room
+        let capacity = current_holders.map(|replica| self.usable_capacity(replica)).sum();
+        work.capacities.borrow_mut().insert(model.clone(), capacity);
+        capacity
     }
 
     /// Returns the part of a replica's capacity that a model has there or would have: what the
     /// work of the other models leaves, and at least its share in proportion to work.
-    fn room_for(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> f64 {
-        let room = self.room(replica);
+    fn capacity_for(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> f64 {
+        let capacity = self.usable_capacity(replica);
         // Work of a model that goes to this replica if it is distributed by capacity.
         let part = |name: &ModelName, is_new: bool| {
-            let whole = self.keepers_room(name, work) + if is_new { room } else { 0.0 };
-            self.work(name, work) * room / whole.max(room)
+            let whole = self.holders_capacity(name, work) + if is_new { capacity } else { 0.0 };
+            self.work(name, work) * capacity / whole.max(capacity)
         };
         let own = part(model, !replica.retains(model));
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
@@ -198,28 +198,33 @@
             .map(|held| part(held, false))
             .sum();
         let fair = if own + beside > 0.0 {
-            room * own / (own + beside)
+            capacity * own / (own + beside)
         } else {
-            room
+            capacity
         };
-        (room - beside).max(fair)
+        (capacity - beside).max(fair)
     }
 
     /// Returns the requests per second of a model that are late with holders of the given
     /// capacities.
-    fn late_with(&self, model: &ModelName, rooms: Vec<HolderRoom>, work: &ServiceWork) -> f64 {
+    fn late_with(&self, model: &ModelName, capacities: Vec<HolderCapacity>, work: &ServiceWork) -> f64 {
         let (needed, rate) = self.work_and_rate(model, work);
         if needed <= 0.0 {
             return 0.0;
         }
-        rate * late_work(needed, rooms) / needed
+        rate * late_work(needed, capacities) / needed
     }
 
     /// Returns the capacity that a model has or would have at a replica, with the share that is
     /// late even so.
-    fn room_at(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> HolderRoom {
-        HolderRoom {
-            work: self.room_for(model, replica, work),
+    fn holder_capacity(
+        &self,
+        model: &ModelName,
+        replica: &TrackedReplica,
+        work: &ServiceWork,
+    ) -> HolderCapacity {
+        HolderCapacity {
+            work: self.capacity_for(model, replica, work),
             late_share: work.late_shares.of(replica.capacity.speed_class()),
         }
     }
@@ -235,26 +240,26 @@
             .current_holders(model)
             .filter_map(|id| self.replicas.get_key_value(id));
         let mut current_holders: Vec<(i64, &ReplicaId, &TrackedReplica)> = current_holders
-            .map(|(id, replica)| (self.room(replica).round() as i64, id, replica))
+            .map(|(id, replica)| (self.usable_capacity(replica).round() as i64, id, replica))
             .collect();
         // The sort is stable, so that ties stay in hash order, which all orderers share.
-        current_holders.sort_by_key(|(room, ..)| Reverse(*room));
-        let mut rooms = Vec::with_capacity(current_holders.len());
+        current_holders.sort_by_key(|(capacity, ..)| Reverse(*capacity));
+        let mut capacities = Vec::with_capacity(current_holders.len());
         let mut holders = Vec::with_capacity(current_holders.len());
         let mut late = self.late_with(model, Vec::new(), work);
         for (index, (_, id, replica)) in current_holders.into_iter().enumerate() {
-            let room = self.room_at(model, replica, work);
-            rooms.push(room);
-            let late_before = std::mem::replace(&mut late, self.late_with(model, rooms.clone(), work));
+            let capacity = self.holder_capacity(model, replica, work);
+            capacities.push(capacity);
+            let late_before = std::mem::replace(&mut late, self.late_with(model, capacities.clone(), work));
             let gain = (late_before - late).max(0.0);
             let value = match index {
-                0 => self.value_of_model(model) * (1.0 - room.late_share),
+                0 => self.value_of_model(model) * (1.0 - capacity.late_share),
                 1 => gain.max(self.spare_value(model)),
                 _ => gain,
             };
             holders.push(Holder {
                 id: id.clone(),
-                room,
+                capacity,
                 value,
             });
         }
@@ -279,23 +284,23 @@
 
     /// Returns the capacities of a model's current holders and of the replicas that are to load
     /// it.
-    fn rooms_of(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderRoom> {
-        let mut rooms = self.present_rooms(model, work);
+    fn expected_capacities(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderCapacity> {
+        let mut capacities = self.current_capacities(model, work);
         let fleet = self.fleet();
         if fleet.expected_holder_count(model) == fleet.current_holder_count(model) {
-            return rooms;
+            return capacities;
         }
         let awaited = fleet.with_goal().filter_map(|id| self.replicas.get(id));
         let awaited =
             awaited.filter(|replica| replica.goal.as_ref() == Some(model) && !replica.retains(model));
-        rooms.extend(awaited.map(|replica| self.room_at(model, replica, work)));
-        rooms
+        capacities.extend(awaited.map(|replica| self.holder_capacity(model, replica, work)));
+        capacities
     }
 
     /// Returns the capacities of a model's current holders.
-    fn present_rooms(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderRoom> {
+    fn current_capacities(&self, model: &ModelName, work: &ServiceWork) -> Vec<HolderCapacity> {
         let holders = self.model_holders(model, work);
-        holders.iter().map(|holder| holder.room).collect()
+        holders.iter().map(|holder| holder.capacity).collect()
     }
 
     /// Returns the additional requests per second that are on time with one more holder besides
@@ -303,13 +308,13 @@
     fn on_time_gain(
         &self,
         model: &ModelName,
-        mut rooms: Vec<HolderRoom>,
-        more: HolderRoom,
+        mut capacities: Vec<HolderCapacity>,
+        more: HolderCapacity,
         work: &ServiceWork,
     ) -> f64 {
-        let late = self.late_with(model, rooms.clone(), work);
-        rooms.push(more);
-        late - self.late_with(model, rooms, work)
+        let late = self.late_with(model, capacities.clone(), work);
+        capacities.push(more);
+        late - self.late_with(model, capacities, work)
     }
 
     /// Returns a model's work and the capacity of its holders; `None` where holders do not
@@ -320,7 +325,7 @@
         Some(ModelWork {
             model: model.clone(),
             work: self.work(model, work),
-            room: holders.iter().map(|holder| holder.room.work).sum(),
+            capacity: holders.iter().map(|holder| holder.capacity.work).sum(),
             holders: holders.len(),
             copies: self.free_copies(model),
         })
@@ -333,7 +338,7 @@
     }
 
     /// Returns the sole holder of a model if it has enough capacity for the model's work.
-    pub fn only_holder_with_room(&self, model: &ModelName) -> Option<&TrackedReplica> {
+    pub fn only_holder_with_free_capacity(&self, model: &ModelName) -> Option<&TrackedReplica> {
         let work = self.work.as_ref()?;
         let fleet = self.fleet();
         let mut current_holders = fleet.current_holders(model);
@@ -341,7 +346,7 @@
             .next()
             .filter(|_| current_holders.next().is_none())?;
         let replica = self.replicas.get(only)?;
-        (self.work(model, work) < self.room_for(model, replica, work)).then_some(replica)
+        (self.work(model, work) < self.capacity_for(model, replica, work)).then_some(replica)
     }
 
     /// Returns the number of replicas with a copy of a model's weights that do not hold it.
@@ -359,8 +364,8 @@
         replica: &TrackedReplica,
         work: &ServiceWork,
     ) -> f64 {
-        let more = self.room_at(model, replica, work);
-        let gain = self.on_time_gain(model, self.rooms_of(model, work), more, work);
+        let more = self.holder_capacity(model, replica, work);
+        let gain = self.on_time_gain(model, self.expected_capacities(model, work), more, work);
         gain.max(self.spare_value_of_next_holder(model))
     }
 
@@ -378,11 +383,11 @@
     /// do not follow the work.
     pub fn on_time_gain_of_next_holder(&self, model: &ModelName, slots: u32) -> Option<f64> {
         let work = self.work.as_ref()?;
-        let more = HolderRoom {
+        let more = HolderCapacity {
             work: f64::from(slots) * USABLE_SLOTS,
             late_share: 0.0,
         };
-        let gain = self.on_time_gain(model, self.rooms_of(model, work), more, work);
+        let gain = self.on_time_gain(model, self.expected_capacities(model, work), more, work);
         Some(gain.max(self.spare_value_of_next_holder(model)))
     }
 
@@ -430,8 +435,8 @@
         if holder_count == 0 {
             return None;
         }
-        let more = self.room_at(model, replica, work);
-        let gain = self.on_time_gain(model, self.present_rooms(model, work), more, work);
+        let more = self.holder_capacity(model, replica, work);
+        let gain = self.on_time_gain(model, self.current_capacities(model, work), more, work);
         let spare = if holder_count == 1 {
             self.spare_value(model)
         } else {
@@ -450,15 +455,16 @@
         stays: &[&ModelName],
         work: &ServiceWork,
     ) -> f64 {
-        let room = self.room(replica);
-        let taken = self.work(model, work) * room / (self.keepers_room(model, work) + room).max(f64::EPSILON);
+        let capacity = self.usable_capacity(replica);
+        let taken = self.work(model, work) * capacity
+            / (self.holders_capacity(model, work) + capacity).max(f64::EPSILON);
         let late = |held: &&ModelName| {
-            let present = self.present_rooms(held, work);
-            let whole: f64 = present.iter().map(|room| room.work).sum();
-            let left = 1.0 - (taken.min(room) / whole.max(f64::EPSILON)).min(1.0);
-            let shared = present.iter().map(|room| HolderRoom {
-                work: room.work * left,
-                ..*room
+            let present = self.current_capacities(held, work);
+            let whole: f64 = present.iter().map(|capacity| capacity.work).sum();
+            let left = 1.0 - (taken.min(capacity) / whole.max(f64::EPSILON)).min(1.0);
+            let shared = present.iter().map(|capacity| HolderCapacity {
+                work: capacity.work * left,
+                ..*capacity
             });
             self.late_with(held, shared.collect(), work) - self.late_with(held, present, work)
         };
