--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -204,7 +204,7 @@
         let min_gain_ratio = self.config.placement.min_gain_ratio;
         let place = place.filter(|place| {
             let gain = place.on_time_gain.unwrap_or(gain);
-            gain * view.stay_s(place.load_time) > min_gain_ratio * place.missed_requests
+            gain * view.serving_seconds(place.load_time) > min_gain_ratio * place.missed_requests
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
@@ -332,7 +332,7 @@
         let value = view.value_of_holder_at(&victim, id);
         let load = load_time(engine, replica.ledger.holdings(), replica.goal.as_ref()?)?;
         let goal = replica.goal.as_ref()?;
-        if !view.is_worth_at(goal, replica, load, value) {
+        if !view.is_worth_loading_at(goal, replica, load, value) {
             // Since the goal was set, another holder of the victim went.
             self.drop_goal(id);
             return None;
@@ -390,7 +390,7 @@
         let worth = goal.zip(self.replicas.get(id)).and_then(|(goal, replica)| {
             let load = load_time(engine, replica.ledger.holdings(), goal)?;
             let value = view.value_of_model(withdrawn);
-            Some(view.is_worth_at(goal, replica, load, value))
+            Some(view.is_worth_loading_at(goal, replica, load, value))
         });
         worth == Some(false)
     }
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -49,7 +49,7 @@
 
     /// Returns the value of the models that a replica must evict to fit `model`, and the models
     /// that stay there; `None` if it does not fit.
-    fn displaced<'r>(
+    fn evictions_for<'r>(
         &self,
         id: &ReplicaId,
         replica: &'r TrackedReplica,
@@ -70,17 +70,17 @@
             })
             .collect();
         values.sort_by(|left, right| left.0.total_cmp(&right.0));
-        let mut displaced = 0.0;
-        let mut stays = fresh;
+        let mut evicted_value = 0.0;
+        let mut remaining = fresh;
         for (value, memory, held) in values {
             if free >= needed {
-                stays.push(held);
+                remaining.push(held);
                 continue;
             }
             free += memory;
-            displaced += value;
+            evicted_value += value;
         }
-        (free >= needed).then_some((displaced, stays))
+        (free >= needed).then_some((evicted_value, remaining))
     }
 
     /// Returns the requests per second for adapters on a replica; loads of weights there delay
@@ -109,10 +109,10 @@
         let rate = self.lasting_rate(model);
         let cost = |id: &ReplicaId, replica: &TrackedReplica| -> Option<(f64, Duration)> {
             let holdings = replica.ledger.holdings();
-            let (displaced, _) = self.displaced(id, replica, model)?;
+            let (evicted_value, _) = self.evictions_for(id, replica, model)?;
             let load = load_time(self.engine, holdings, model)?;
             let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
-            let displacement = displaced * self.config.horizon.as_secs_f64();
+            let displacement = evicted_value * self.config.horizon.as_secs_f64();
             Some((displacement + adapters * load.as_secs_f64(), load))
         };
         let fleet = self.fleet();
@@ -176,16 +176,17 @@
         rate: f64,
         work: &ServiceWork,
     ) -> Option<(f64, PlacementTarget)> {
-        let (displaced, stays) = self.displaced(id, replica, model)?;
+        let (evicted_value, remaining) = self.evictions_for(id, replica, model)?;
         let load = load_time(self.engine, replica.ledger.holdings(), model)?;
         let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
-        let late_rate_by_sharing = self.late_rate_by_sharing(model, replica, &stays, work);
+        let late_rate_by_sharing = self.late_rate_by_sharing(model, replica, &remaining, work);
         let horizon_s = self.config.horizon.as_secs_f64();
-        let missed_requests = (displaced + late_rate_by_sharing) * horizon_s + adapters * load.as_secs_f64();
+        let missed_requests =
+            (evicted_value + late_rate_by_sharing) * horizon_s + adapters * load.as_secs_f64();
         let on_time_gain = self.on_time_gain_at(model, replica, work);
         let held_up = self.goal_time(replica);
         let waits = (load + held_up).as_secs_f64() * (1.0 + rate);
-        let total = missed_requests + waits - on_time_gain * self.stay_s(load + held_up);
+        let total = missed_requests + waits - on_time_gain * self.serving_seconds(load + held_up);
         let target = PlacementTarget {
             replica: id.clone(),
             missed_requests,
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -89,17 +89,17 @@
         } else {
             self.value_of_model(model)
         };
-        waiting + value * self.stay_s(load)
+        waiting + value * self.serving_seconds(load)
     }
 
     /// Returns true if loading a model saves more requests than the eviction of a holder
-    /// worth `displaced` requests per second loses.
-    pub fn is_worth(&self, model: &ModelName, load: Duration, displaced: f64) -> bool {
-        self.saved_by_load(model, load) > displaced * self.config.horizon.as_secs_f64()
+    /// worth `evicted_value` requests per second loses.
+    pub fn is_worth_loading(&self, model: &ModelName, load: Duration, evicted_value: f64) -> bool {
+        self.saved_by_load(model, load) > evicted_value * self.config.horizon.as_secs_f64()
     }
 
     /// Returns the seconds of the horizon that remain once a load is over.
-    pub fn stay_s(&self, load: Duration) -> f64 {
+    pub fn serving_seconds(&self, load: Duration) -> f64 {
         self.config.horizon.saturating_sub(load).as_secs_f64()
     }
 
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -327,7 +327,7 @@
             work: self.work(model, work),
             capacity: holders.iter().map(|holder| holder.capacity.work).sum(),
             holders: holders.len(),
-            copies: self.free_copies(model),
+            copies: self.unused_copies(model),
         })
     }
 
@@ -350,7 +350,7 @@
     }
 
     /// Returns the number of replicas with a copy of a model's weights that do not hold it.
-    fn free_copies(&self, model: &ModelName) -> usize {
+    fn unused_copies(&self, model: &ModelName) -> usize {
         let fleet = self.fleet();
         let with_copy = fleet.with_copy(model).filter_map(|id| self.replicas.get(id));
         with_copy.filter(|replica| !replica.retains(model)).count()
@@ -399,36 +399,36 @@
             return false;
         }
         let gain = |model: &ModelName| {
-            if self.expected_holder_count(model) == 0 || self.free_copies(model) > 0 {
+            if self.expected_holder_count(model) == 0 || self.unused_copies(model) > 0 {
                 return 0.0;
             }
             self.on_time_gain_of_next_holder(model, slots).unwrap_or(0.0)
         };
         let most = self.engine.model_order.iter().map(gain).fold(0.0, f64::max);
-        most * self.stay_s(load) > saved
+        most * self.serving_seconds(load) > saved
     }
 
     /// Returns true if a holder of a model at a replica saves more requests than the eviction of
-    /// a holder worth `displaced` requests per second loses.
-    pub fn is_worth_at(
+    /// a holder worth `evicted_value` requests per second loses.
+    pub fn is_worth_loading_at(
         &self,
         model: &ModelName,
         replica: &TrackedReplica,
         load: Duration,
-        displaced: f64,
+        evicted_value: f64,
     ) -> bool {
-        self.is_next_worth(model, replica, load, displaced)
-            .unwrap_or_else(|| self.is_worth(model, load, displaced))
+        self.is_next_holder_worth_loading(model, replica, load, evicted_value)
+            .unwrap_or_else(|| self.is_worth_loading(model, load, evicted_value))
     }
 
     /// Returns the same by the requests that are on time with one more holder; `None` where
     /// holders do not follow the work, or the model has no holder yet.
-    fn is_next_worth(
+    fn is_next_holder_worth_loading(
         &self,
         model: &ModelName,
         replica: &TrackedReplica,
         load: Duration,
-        displaced: f64,
+        evicted_value: f64,
     ) -> Option<bool> {
         let work = self.work.as_ref()?;
         let holder_count = self.fleet().current_holder_count(model);
@@ -443,7 +443,7 @@
             0.0
         };
         let horizon_s = self.config.horizon.as_secs_f64();
-        Some(gain.max(spare) * self.stay_s(load) > displaced * horizon_s)
+        Some(gain.max(spare) * self.serving_seconds(load) > evicted_value * horizon_s)
     }
 
     /// Returns the requests per second that become late for the models that stay on a replica
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -202,8 +202,8 @@
     site.ask("m2", 1);
     let view = site.view();
     let held = view.value_of_holder_at(&"m1".into(), &"r0".into());
-    assert!(!view.is_worth(&"m2".into(), STORE_LOAD, held));
-    assert!(view.is_worth(&"m2".into(), STORE_LOAD, 0.3 * held));
+    assert!(!view.is_worth_loading(&"m2".into(), STORE_LOAD, held));
+    assert!(view.is_worth_loading(&"m2".into(), STORE_LOAD, 0.3 * held));
 }
 
 /// Returns the value of one more holder besides `holders` holders.
