--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -304,7 +304,7 @@
 
     /// A replica told its load at `at`, in an answer to a node.
     pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
-        self.replicas.told_load(id, load, at);
+        self.replicas.record_load(id, load, at);
     }
 
     /// A replica is listed.
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -78,8 +78,8 @@
 impl Orderer {
     /// True if holders follow the work of the service.
     pub(super) fn follows_work(&self, service: &ServiceName) -> bool {
-        let tells_load = self.replicas.tell_load(service);
-        self.replicas.tell_work_time(service) || (self.config.callers_compete && tells_load)
+        let tells_load = self.replicas.reports_load(service);
+        self.replicas.reports_work_time(service) || (self.config.callers_compete && tells_load)
     }
 
     /// True if it is known what the work of the service takes.
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -28,7 +28,7 @@
     index: RefCell<Index>,
     /// Services whose replicas report their load; the value is true if any of them reports
     /// its work time as well.
-    telling: HashMap<ServiceName, bool>,
+    load_reporting: HashMap<ServiceName, bool>,
 }
 
 /// The state of one replica that the index reflects.
@@ -173,7 +173,7 @@
         self.own += usize::from(indexed.is_own);
     }
 
-    fn take_out(&mut self, id: &ReplicaId, indexed: &Indexed) {
+    fn remove(&mut self, id: &ReplicaId, indexed: &Indexed) {
         self.ring.remove(&(xxh3_64(id.as_bytes()), id.clone()));
         for model in &indexed.retained {
             if let Some(holders) = self.holders.get_mut(model) {
@@ -239,7 +239,7 @@
         let holders_changed = retained(former.as_ref()) != retained(now.as_ref());
         if let Some(former) = former {
             if let Some(fleet) = self.services.get_mut(&former.service) {
-                fleet.take_out(id, &former);
+                fleet.remove(id, &former);
                 fleet.holder_changes += u64::from(holders_changed);
             }
         }
@@ -269,7 +269,7 @@
         Ref::map(self.index.borrow(), |index| &index.services[service])
     }
 
-    fn note(&self, id: &str) {
+    fn mark_changed(&self, id: &str) {
         if let Some((id, _)) = self.replicas.get_key_value(id) {
             self.changed.borrow_mut().insert(id.clone());
         }
@@ -287,31 +287,31 @@
 
     /// Returns a replica for changes of any kind.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut TrackedReplica> {
-        self.note(id);
+        self.mark_changed(id);
         self.replicas.get_mut(id)
     }
 
     /// Records a load that a replica reported at `at`.
-    pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
+    pub fn record_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
             if replica.capacity.newest().is_some_and(|(_, known)| at <= known) {
                 // The same report arrived before by another path.
                 return;
             }
             replica.capacity.hear(load, 0, at);
-            let tells_work_time = self.telling.entry(replica.service.clone()).or_default();
-            *tells_work_time |= load.work_time_pct.is_some();
+            let reports_work_time = self.load_reporting.entry(replica.service.clone()).or_default();
+            *reports_work_time |= load.work_time_pct.is_some();
         }
     }
 
     /// Returns true if replicas of the service report their load.
-    pub fn tell_load(&self, service: &ServiceName) -> bool {
-        self.telling.contains_key(service)
+    pub fn reports_load(&self, service: &ServiceName) -> bool {
+        self.load_reporting.contains_key(service)
     }
 
     /// Returns true if replicas of the service report their work time.
-    pub fn tell_work_time(&self, service: &ServiceName) -> bool {
-        self.telling.get(service).is_some_and(|tells| *tells)
+    pub fn reports_work_time(&self, service: &ServiceName) -> bool {
+        self.load_reporting.get(service).is_some_and(|reports| *reports)
     }
 
     /// Adds a replica, or replaces the one of the same id.
@@ -322,14 +322,14 @@
 
     /// Removes a replica.
     pub fn remove(&mut self, id: &str) -> Option<(ReplicaId, TrackedReplica)> {
-        self.note(id);
+        self.mark_changed(id);
         self.replicas.remove_entry(id)
     }
 
     /// Removes the replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        let gone: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
-        for id in gone {
+        let removed: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
+        for id in removed {
             self.remove(&id);
         }
     }
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -264,7 +264,7 @@
         work_time_pct: Some(pct),
     };
     for ms in 0..5 {
-        site.replicas.told_load(id, load, at(9000 + ms));
+        site.replicas.record_load(id, load, at(9000 + ms));
     }
 }
 
