--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -22,7 +22,7 @@
     pub(super) fn ceiling(&self, service: &ServiceName, engine: &EngineSpec) -> usize {
         let all = engine.loads_per_second * self.config.ceiling_window.as_secs_f64();
         let fleet = self.replicas.fleet(service);
-        let (total, own) = (fleet.len() as f64, fleet.own() as f64);
+        let (total, own) = (fleet.len() as f64, fleet.own_count() as f64);
         let part = (all * own / f64::max(total, 1.0)).floor() as usize;
         part.max(usize::from(all >= 1.0))
     }
--- a/crates/croftrill-scheduler/src/placement/adapters.rs
+++ b/crates/croftrill-scheduler/src/placement/adapters.rs
@@ -47,7 +47,7 @@
                 .map(move |adapter| (held.model.clone(), adapter.clone()))
         });
         adapters
-            .filter(|adapter| !replica.is_fresh_adapter(adapter, self.now))
+            .filter(|adapter| !replica.is_adapter_recently_loaded(adapter, self.now))
             .min_by_key(|(model, adapter)| {
                 let key = ModelKey {
                     adapter: Some(adapter.clone()),
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -60,7 +60,7 @@
     /// Ready replicas with a reachable orderer, by the models whose weights they have copies of.
     copies: HashMap<ModelName, BTreeSet<ReplicaId>>,
     with_goal: BTreeSet<ReplicaId>,
-    own: usize,
+    own_count: usize,
     /// Number of changes to the current holders of any model.
     holder_changes: u64,
 }
@@ -87,8 +87,8 @@
     }
 
     /// Returns the number of replicas that this orderer sends orders to.
-    pub fn own(&self) -> usize {
-        self.own
+    pub fn own_count(&self) -> usize {
+        self.own_count
     }
 
     /// Iterates over the current holders of a model: the ready replicas that hold it and are
@@ -150,9 +150,9 @@
             Bound::Included((xxh3_64(model.as_bytes()), ReplicaId::from(""))),
             Bound::Unbounded,
         );
-        let around = self.ring.range(begin).chain(&self.ring).map(|(_, id)| id);
+        let sampled = self.ring.range(begin).chain(&self.ring).map(|(_, id)| id);
         let with_copy = self.with_copy(model).take(MAX_SAMPLED_CANDIDATES);
-        with_copy.chain(around.take(MAX_SAMPLED_CANDIDATES)).collect()
+        with_copy.chain(sampled.take(MAX_SAMPLED_CANDIDATES)).collect()
     }
 
     fn add(&mut self, id: &ReplicaId, indexed: &Indexed) {
@@ -170,7 +170,7 @@
         if indexed.goal.is_some() {
             self.with_goal.insert(id.clone());
         }
-        self.own += usize::from(indexed.is_own);
+        self.own_count += usize::from(indexed.is_own);
     }
 
     fn remove(&mut self, id: &ReplicaId, indexed: &Indexed) {
@@ -193,7 +193,7 @@
             }
         }
         self.with_goal.remove(id);
-        self.own -= usize::from(indexed.is_own);
+        self.own_count -= usize::from(indexed.is_own);
     }
 }
 
@@ -226,8 +226,8 @@
 
 impl Index {
     fn update(&mut self, id: &ReplicaId, replica: Option<&TrackedReplica>) {
-        let now = replica.map(Indexed::of);
-        if self.replicas.get(id) == now.as_ref() {
+        let current = replica.map(Indexed::of);
+        if self.replicas.get(id) == current.as_ref() {
             return;
         }
         let former = self.replicas.remove(id);
@@ -236,18 +236,18 @@
                 .map(|indexed| indexed.retained.clone())
                 .unwrap_or_default()
         };
-        let holders_changed = retained(former.as_ref()) != retained(now.as_ref());
+        let holders_changed = retained(former.as_ref()) != retained(current.as_ref());
         if let Some(former) = former {
             if let Some(fleet) = self.services.get_mut(&former.service) {
                 fleet.remove(id, &former);
                 fleet.holder_changes += u64::from(holders_changed);
             }
         }
-        if let Some(now) = now {
-            let fleet = self.services.entry(now.service.clone()).or_default();
-            fleet.add(id, &now);
+        if let Some(current) = current {
+            let fleet = self.services.entry(current.service.clone()).or_default();
+            fleet.add(id, &current);
             fleet.holder_changes += u64::from(holders_changed);
-            self.replicas.insert(id.clone(), now);
+            self.replicas.insert(id.clone(), current);
         }
     }
 }
--- a/crates/croftrill-scheduler/src/placement/target_selection.rs
+++ b/crates/croftrill-scheduler/src/placement/target_selection.rs
@@ -41,7 +41,7 @@
             .iter()
             .map(|held| &held.model)
             .filter(|model| replica.goal.as_ref() != Some(model))
-            .filter(|model| !replica.is_fresh(model, self.config.min_residence, self.now))
+            .filter(|model| !replica.is_recently_loaded(model, self.config.min_residence, self.now))
             .map(|model| (self.value_of_holder_at(model, id), model))
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, model)| model.clone())
@@ -60,7 +60,7 @@
         let mut free = self.engine.weights_mb - memory_used(self.engine, holdings);
         let held = holdings.models.iter().map(|held| &held.model);
         let (fresh, others): (Vec<_>, Vec<_>) =
-            held.partition(|model| replica.is_fresh(model, self.config.min_residence, self.now));
+            held.partition(|model| replica.is_recently_loaded(model, self.config.min_residence, self.now));
         let mut values: Vec<(f64, f64, &ModelName)> = others
             .into_iter()
             .map(|held| {
@@ -85,7 +85,7 @@
 
     /// Returns the requests per second for adapters on a replica; loads of weights there delay
     /// them.
-    fn adapter_requests(&self, replica: &TrackedReplica) -> f64 {
+    fn adapter_request_rate(&self, replica: &TrackedReplica) -> f64 {
         let held = replica.ledger.holdings().models.iter();
         let rates = held.map(|held| {
             let count = self.expected_holder_count(&held.model).max(1);
@@ -111,7 +111,7 @@
             let holdings = replica.ledger.holdings();
             let (evicted_value, _) = self.evictions_for(id, replica, model)?;
             let load = load_time(self.engine, holdings, model)?;
-            let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
+            let adapters = self.adapter_request_rate(replica) * self.config.adapter_block_share;
             let displacement = evicted_value * self.config.horizon.as_secs_f64();
             Some((displacement + adapters * load.as_secs_f64(), load))
         };
@@ -178,15 +178,15 @@
     ) -> Option<(f64, PlacementTarget)> {
         let (evicted_value, remaining) = self.evictions_for(id, replica, model)?;
         let load = load_time(self.engine, replica.ledger.holdings(), model)?;
-        let adapters = self.adapter_requests(replica) * self.config.adapter_block_share;
+        let adapters = self.adapter_request_rate(replica) * self.config.adapter_block_share;
         let late_rate_by_sharing = self.late_rate_by_sharing(model, replica, &remaining, work);
         let horizon_s = self.config.horizon.as_secs_f64();
         let missed_requests =
             (evicted_value + late_rate_by_sharing) * horizon_s + adapters * load.as_secs_f64();
         let on_time_gain = self.on_time_gain_at(model, replica, work);
-        let held_up = self.goal_time(replica);
-        let waits = (load + held_up).as_secs_f64() * (1.0 + rate);
-        let total = missed_requests + waits - on_time_gain * self.serving_seconds(load + held_up);
+        let wait_for_goal = self.goal_load_time(replica);
+        let waits = (load + wait_for_goal).as_secs_f64() * (1.0 + rate);
+        let total = missed_requests + waits - on_time_gain * self.serving_seconds(load + wait_for_goal);
         let target = PlacementTarget {
             replica: id.clone(),
             missed_requests,
@@ -197,7 +197,7 @@
     }
 
     /// Returns the load time of a replica's goal, or zero if it has none.
-    fn goal_time(&self, replica: &TrackedReplica) -> Duration {
+    fn goal_load_time(&self, replica: &TrackedReplica) -> Duration {
         let goal = replica.goal.as_ref();
         let load = goal.and_then(|goal| load_time(self.engine, replica.ledger.holdings(), goal));
         load.unwrap_or_default()
--- a/crates/croftrill-scheduler/src/placement/tracked_replica.rs
+++ b/crates/croftrill-scheduler/src/placement/tracked_replica.rs
@@ -69,7 +69,7 @@
 
 impl TrackedReplica {
     /// Returns true if the model was loaded less than `residence` ago.
-    pub(super) fn is_fresh(&self, model: &str, residence: Duration, now: Moment) -> bool {
+    pub(super) fn is_recently_loaded(&self, model: &str, residence: Duration, now: Moment) -> bool {
         self.loaded_at
             .get(model)
             .is_some_and(|loaded| now.since(*loaded) < residence)
@@ -77,7 +77,7 @@
 
     /// Returns true if the adapter was just loaded: the requests that wait for it may not
     /// have arrived yet.
-    pub(super) fn is_fresh_adapter(&self, adapter: &(ModelName, AdapterName), now: Moment) -> bool {
+    pub(super) fn is_adapter_recently_loaded(&self, adapter: &(ModelName, AdapterName), now: Moment) -> bool {
         self.adapters_loaded_at
             .get(adapter)
             .is_some_and(|loaded| now.since(*loaded) < MIN_ADAPTER_RESIDENCE)
