--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -55,7 +55,7 @@
     /// Share of requests that replicas of a speed class serve late despite free capacity.
     pub late_shares: LateShares,
     /// Cache of the work and the requests per second of models.
-    asked: RefCell<HashMap<ModelName, (f64, f64)>>,
+    work_and_rates: RefCell<HashMap<ModelName, (f64, f64)>>,
     /// Cache of the sum of the capacities of each model's holders.
     capacities: RefCell<HashMap<ModelName, f64>>,
     /// Cache of the holders of models.
@@ -110,9 +110,9 @@
 /// share are filled first.
 fn late_work(work: f64, mut capacities: Vec<HolderCapacity>) -> f64 {
     capacities.sort_by(|left, right| left.late_share.total_cmp(&right.late_share));
-    let beyond = expected_excess(work, capacities.iter().map(|capacity| capacity.work).sum());
-    let mut left = work - beyond;
-    let mut late = beyond;
+    let excess = expected_excess(work, capacities.iter().map(|capacity| capacity.work).sum());
+    let mut left = work - excess;
+    let mut late = excess;
     for capacity in capacities {
         let here = left.min(capacity.work);
         late += here * capacity.late_share;
@@ -142,21 +142,23 @@
 
     /// Returns the work for a model, and its requests per second.
     fn work_and_rate(&self, model: &ModelName, work: &ServiceWork) -> (f64, f64) {
-        if let Some(known) = work.asked.borrow().get(model) {
+        if let Some(known) = work.work_and_rates.borrow().get(model) {
             return *known;
         }
         let key = self.key(model);
         let tokens = self.demand.present_tokens_per_second(&key, self.now);
         let rate = self.demand.present_requests_per_second(&key, self.now);
-        let asked = (tokens * work.per_token_s, rate);
-        work.asked.borrow_mut().insert(model.clone(), asked);
-        asked
+        let work_and_rate = (tokens * work.per_token_s, rate);
+        work.work_and_rates
+            .borrow_mut()
+            .insert(model.clone(), work_and_rate);
+        work_and_rate
     }
 
     /// Returns the number of requests that a replica runs concurrently.
     fn slots(&self, replica: &TrackedReplica) -> u32 {
-        let told = replica.capacity.newest().and_then(|(load, _)| load.slots);
-        told.unwrap_or(replica.listed_slots).max(1)
+        let reported = replica.capacity.newest().and_then(|(load, _)| load.slots);
+        reported.unwrap_or(replica.listed_slots).max(1)
     }
 
     /// Returns the work that a replica can do while first events and pauses meet their
@@ -187,27 +189,27 @@
     fn capacity_for(&self, model: &ModelName, replica: &TrackedReplica, work: &ServiceWork) -> f64 {
         let capacity = self.usable_capacity(replica);
         // Work of a model that goes to this replica if it is distributed by capacity.
-        let part = |name: &ModelName, is_new: bool| {
-            let whole = self.holders_capacity(name, work) + if is_new { capacity } else { 0.0 };
-            self.work(name, work) * capacity / whole.max(capacity)
+        let local_work = |name: &ModelName, is_new: bool| {
+            let total = self.holders_capacity(name, work) + if is_new { capacity } else { 0.0 };
+            self.work(name, work) * capacity / total.max(capacity)
         };
-        let own = part(model, !replica.retains(model));
+        let own_work = local_work(model, !replica.retains(model));
         let held = replica.ledger.holdings().models.iter().map(|held| &held.model);
-        let beside: f64 = held
+        let others_work: f64 = held
             .filter(|held| *held != model && replica.retains(held))
-            .map(|held| part(held, false))
+            .map(|held| local_work(held, false))
             .sum();
-        let fair = if own + beside > 0.0 {
-            capacity * own / (own + beside)
+        let fair = if own_work + others_work > 0.0 {
+            capacity * own_work / (own_work + others_work)
         } else {
             capacity
         };
-        (capacity - beside).max(fair)
+        (capacity - others_work).max(fair)
     }
 
     /// Returns the requests per second of a model that are late with holders of the given
     /// capacities.
-    fn late_with(&self, model: &ModelName, capacities: Vec<HolderCapacity>, work: &ServiceWork) -> f64 {
+    fn late_rate(&self, model: &ModelName, capacities: Vec<HolderCapacity>, work: &ServiceWork) -> f64 {
         let (needed, rate) = self.work_and_rate(model, work);
         if needed <= 0.0 {
             return 0.0;
@@ -246,11 +248,11 @@
         current_holders.sort_by_key(|(capacity, ..)| Reverse(*capacity));
         let mut capacities = Vec::with_capacity(current_holders.len());
         let mut holders = Vec::with_capacity(current_holders.len());
-        let mut late = self.late_with(model, Vec::new(), work);
+        let mut late = self.late_rate(model, Vec::new(), work);
         for (index, (_, id, replica)) in current_holders.into_iter().enumerate() {
             let capacity = self.holder_capacity(model, replica, work);
             capacities.push(capacity);
-            let late_before = std::mem::replace(&mut late, self.late_with(model, capacities.clone(), work));
+            let late_before = std::mem::replace(&mut late, self.late_rate(model, capacities.clone(), work));
             let gain = (late_before - late).max(0.0);
             let value = match index {
                 0 => self.value_of_model(model) * (1.0 - capacity.late_share),
@@ -312,9 +314,9 @@
         more: HolderCapacity,
         work: &ServiceWork,
     ) -> f64 {
-        let late = self.late_with(model, capacities.clone(), work);
+        let late = self.late_rate(model, capacities.clone(), work);
         capacities.push(more);
-        late - self.late_with(model, capacities, work)
+        late - self.late_rate(model, capacities, work)
     }
 
     /// Returns a model's work and the capacity of its holders; `None` where holders do not
@@ -460,13 +462,13 @@
             / (self.holders_capacity(model, work) + capacity).max(f64::EPSILON);
         let late = |held: &&ModelName| {
             let present = self.current_capacities(held, work);
-            let whole: f64 = present.iter().map(|capacity| capacity.work).sum();
-            let left = 1.0 - (taken.min(capacity) / whole.max(f64::EPSILON)).min(1.0);
+            let total: f64 = present.iter().map(|capacity| capacity.work).sum();
+            let left = 1.0 - (taken.min(capacity) / total.max(f64::EPSILON)).min(1.0);
             let shared = present.iter().map(|capacity| HolderCapacity {
                 work: capacity.work * left,
                 ..*capacity
             });
-            self.late_with(held, shared.collect(), work) - self.late_with(held, present, work)
+            self.late_rate(held, shared.collect(), work) - self.late_rate(held, present, work)
         };
         stays.iter().map(late).sum()
     }
