--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -20,7 +20,7 @@
 const DISK_LOAD: Duration = Duration::from_millis(800);
 const OBJECTIVE: Duration = Duration::from_millis(2500);
 /// Batches, half a second apart, in which late requests are recorded.
-const LATE_OCCASIONS: u64 = 6;
+const LATE_BATCHES: u64 = 6;
 
 fn at(millis: u64) -> Moment {
     Moment::from_start(Duration::from_millis(1_000_000 + millis))
@@ -48,7 +48,7 @@
 }
 
 /// The replicas of one service and the demand for its models.
-struct Site {
+struct TestFleet {
     service: ServiceName,
     engine: EngineSpec,
     config: PlacementConfig,
@@ -56,13 +56,13 @@
     replicas: TrackedReplicas,
 }
 
-impl Site {
+impl TestFleet {
     fn new(held: &[&[&str]]) -> Self {
         let replicas = held.iter().enumerate().map(|(index, models)| {
             let id: ReplicaId = format!("r{index}").into();
-            (id, placed(models, &[]))
+            (id, test_replica(models, &[]))
         });
-        Site {
+        TestFleet {
             service: "llm".into(),
             engine: engine(),
             config: PlacementConfig::default(),
@@ -72,7 +72,7 @@
     }
 
     /// Records `per_second` requests per second over 10 s.
-    fn ask(&mut self, model: &str, per_second: u64) {
+    fn record_requests(&mut self, model: &str, per_second: u64) {
         let key = ModelKey {
             service: "llm".into(),
             model: model.into(),
@@ -104,7 +104,7 @@
     }
 
     /// Records that `late` requests for the model were served late over the last seconds.
-    fn serve_late(&mut self, model: &str, late: f64) {
+    fn record_late_requests(&mut self, model: &str, late: f64) {
         let key = ModelKey {
             service: "llm".into(),
             model: model.into(),
@@ -114,10 +114,10 @@
             requests: 0.0,
             tokens: 0.0,
             objective: OBJECTIVE,
-            late: late / LATE_OCCASIONS as f64,
+            late: late / LATE_BATCHES as f64,
         };
-        for occasion in 0..LATE_OCCASIONS {
-            self.demand.count(&key, &asked, at(10_000 + occasion * 500));
+        for batch in 0..LATE_BATCHES {
+            self.demand.count(&key, &asked, at(10_000 + batch * 500));
         }
     }
 
@@ -131,7 +131,7 @@
     }
 }
 
-fn placed(models: &[&str], on_disk: &[&str]) -> TrackedReplica {
+fn test_replica(models: &[&str], on_disk: &[&str]) -> TrackedReplica {
     let held = models.iter().map(|model| HeldModel {
         model: (*model).into(),
         adapters: Vec::new(),
@@ -164,63 +164,63 @@
 /// Guards against two orderers that both evict a model because each takes the holder of the
 /// other for the one that stays: the busiest model lost both of its holders within 10 ms.
 #[test]
-fn value_of_held_one_of_two_is_the_last() {
-    let mut site = Site::new(&[&["m1"], &["m1"]]);
-    site.ask("m1", 4);
-    let values = site.values("m1");
+fn value_of_holder_at_one_of_two_is_last() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m1"]]);
+    fleet.record_requests("m1", 4);
+    let values = fleet.values("m1");
     let most = values.iter().copied().fold(0.0, f64::max);
     let least = values.iter().copied().fold(f64::MAX, f64::min);
     assert!(most > 10.0 * least, "{values:?}");
-    assert!(most >= site.view().value_of_model(&"m1".into()));
+    assert!(most >= fleet.view().value_of_model(&"m1".into()));
 }
 
 /// Guards against a replica whose load still takes 6 s making both present holders look spare.
 #[test]
-fn value_of_held_ignores_holders_on_their_way() {
-    let mut site = Site::new(&[&["m1"], &[]]);
-    site.ask("m1", 4);
-    let alone = site.values("m1")[0];
-    site.replicas.get_mut("r1").expect("r1 exists").goal = Some("m1".into());
-    assert_eq!(site.values("m1")[0], alone);
+fn value_of_holder_at_ignores_replicas_still_loading() {
+    let mut fleet = TestFleet::new(&[&["m1"], &[]]);
+    fleet.record_requests("m1", 4);
+    let alone = fleet.values("m1")[0];
+    fleet.replicas.get_mut("r1").expect("r1 exists").goal = Some("m1".into());
+    assert_eq!(fleet.values("m1")[0], alone);
 }
 
 #[test]
-fn value_of_model_less_with_a_copy_on_a_disk() {
-    let mut site = Site::new(&[&["m1"], &["m2"]]);
-    site.ask("m1", 4);
-    let without = site.view().value_of_model(&"m1".into());
-    site.replicas.insert("r2".into(), placed(&[], &["m1"]));
-    let with = site.view().value_of_model(&"m1".into());
+fn value_of_model_lower_with_copy_on_disk() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m2"]]);
+    fleet.record_requests("m1", 4);
+    let without = fleet.view().value_of_model(&"m1".into());
+    fleet.replicas.insert("r2".into(), test_replica(&[], &["m1"]));
+    let with = fleet.view().value_of_model(&"m1".into());
     assert!(with < 0.5 * without, "without {without}, with {with}");
 }
 
 /// If a load takes longer than the objective, replacing a model by an equal one saves nothing.
 #[test]
-fn is_worth_no_swap_of_equals() {
-    let mut site = Site::new(&[&["m1"]]);
-    site.ask("m1", 1);
-    site.ask("m2", 1);
-    let view = site.view();
+fn is_worth_loading_not_for_equal_value() {
+    let mut fleet = TestFleet::new(&[&["m1"]]);
+    fleet.record_requests("m1", 1);
+    fleet.record_requests("m2", 1);
+    let view = fleet.view();
     let held = view.value_of_holder_at(&"m1".into(), &"r0".into());
     assert!(!view.is_worth_loading(&"m2".into(), STORE_LOAD, held));
     assert!(view.is_worth_loading(&"m2".into(), STORE_LOAD, 0.3 * held));
 }
 
 /// Returns the value of one more holder besides `holders` holders.
-fn value_of_next(site: &Site, model: &str, holders: usize) -> f64 {
-    site.view().value_of_nth_holder(&model.into(), holders + 1)
+fn value_of_next_holder(fleet: &TestFleet, model: &str, holders: usize) -> f64 {
+    fleet.view().value_of_nth_holder(&model.into(), holders + 1)
 }
 
 #[test]
-fn value_of_holder_rises_with_what_the_present_ones_serve_late() {
-    let mut site = Site::new(&[&["m1"], &["m1"], &["m1"]]);
-    site.ask("m1", 10);
-    let calm = value_of_next(&site, "m1", 3);
-    site.serve_late("m1", 10.0);
-    let late = value_of_next(&site, "m1", 3);
+fn value_of_nth_holder_rises_with_late_requests() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m1"], &["m1"]]);
+    fleet.record_requests("m1", 10);
+    let calm = value_of_next_holder(&fleet, "m1", 3);
+    fleet.record_late_requests("m1", 10.0);
+    let late = value_of_next_holder(&fleet, "m1", 3);
     assert!(late > 3.0 * calm, "{late} {calm}");
-    site.serve_late("m1", 80.0);
-    let crowded = value_of_next(&site, "m1", 3);
+    fleet.record_late_requests("m1", 80.0);
+    let crowded = value_of_next_holder(&fleet, "m1", 3);
     assert!(
         crowded >= late,
         "one more holder counts for less because all requests are late: {crowded} {late}"
@@ -228,11 +228,13 @@
 }
 
 #[test]
-fn value_of_holder_falls_with_each_one_more() {
-    let mut site = Site::new(&[&["m1"], &["m1"]]);
-    site.ask("m1", 10);
-    site.serve_late("m1", 15.0);
-    let values: Vec<f64> = (2..8).map(|count| value_of_next(&site, "m1", count)).collect();
+fn value_of_nth_holder_falls_with_holder_count() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m1"]]);
+    fleet.record_requests("m1", 10);
+    fleet.record_late_requests("m1", 15.0);
+    let values: Vec<f64> = (2..8)
+        .map(|count| value_of_next_holder(&fleet, "m1", count))
+        .collect();
     assert!(values.windows(2).all(|pair| pair[0] > pair[1]), "{values:?}");
 }
 
@@ -240,23 +242,23 @@
 /// evicted for additional holders of requested models: of 430 models evicted in a simulated day
 /// of 50 s, 287 were loaded again, half of them within 2 s.
 #[test]
-fn value_of_held_never_asked_for_is_above_a_spare_holder() {
-    let mut site = Site::new(&[&["m0"], &["m0"], &["m0", "m1"]]);
-    site.ask("m0", 4);
-    let unseen = site.values("m1")[2];
-    let spare = site.values("m0").into_iter().fold(f64::MAX, f64::min);
+fn value_of_holder_at_never_requested_is_above_spare() {
+    let mut fleet = TestFleet::new(&[&["m0"], &["m0"], &["m0", "m1"]]);
+    fleet.record_requests("m0", 4);
+    let unseen = fleet.values("m1")[2];
+    let spare = fleet.values("m0").into_iter().fold(f64::MAX, f64::min);
     assert!(unseen > spare, "{unseen} and {spare}");
 }
 
 /// Returns placement that follows the work, of which each cost token takes `per_token_s`.
-fn by_work(site: &Site, per_token_s: f64, late_shares: LateShares) -> ServicePlacement<'_> {
+fn placement_by_work(fleet: &TestFleet, per_token_s: f64, late_shares: LateShares) -> ServicePlacement<'_> {
     ServicePlacement {
         work: Some(Rc::new(ServiceWork::new(per_token_s, late_shares))),
-        ..site.view()
+        ..fleet.view()
     }
 }
 
-fn tell_work_time(site: &mut Site, id: &str, pct: u32) {
+fn report_work_time(fleet: &mut TestFleet, id: &str, pct: u32) {
     let load = ReplicaLoad {
         running: 3,
         waiting: 0,
@@ -264,20 +266,20 @@
         work_time_pct: Some(pct),
     };
     for ms in 0..5 {
-        site.replicas.record_load(id, load, at(9000 + ms));
+        fleet.replicas.record_load(id, load, at(9000 + ms));
     }
 }
 
 /// Guards against slow replicas staying in use beside fast ones with free capacity: ten slow
 /// replicas served most of the late requests.
 #[test]
-fn value_of_held_slow_holder_is_the_spare_one() {
-    let mut site = Site::new(&[&["m1"], &["m1"], &["m1"]]);
-    site.ask("m1", 10);
+fn value_of_holder_at_slow_replica_is_lowest() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m1"], &["m1"]]);
+    fleet.record_requests("m1", 10);
     for (id, pct) in [("r0", 160), ("r1", 60), ("r2", 100)] {
-        tell_work_time(&mut site, id, pct);
+        report_work_time(&mut fleet, id, pct);
     }
-    let view = by_work(&site, 0.01, LateShares::default());
+    let view = placement_by_work(&fleet, 0.01, LateShares::default());
     let value = |id: &str| view.value_of_holder_at(&"m1".into(), &id.into());
     assert!(value("r1") > value("r2"), "{} {}", value("r1"), value("r2"));
     assert!(value("r2") > value("r0"), "{} {}", value("r2"), value("r0"));
@@ -285,36 +287,36 @@
 
 /// The demand alone exceeds the capacity of the holder: no request was late yet.
 #[test]
-fn kept_by_next_rises_with_work_beyond_the_room() {
-    let mut site = Site::new(&[&["m1", "m2"]]);
-    site.ask("m1", 20);
-    site.ask("m2", 1);
-    let kept = |per_token_s: f64| {
-        let view = by_work(&site, per_token_s, LateShares::default());
+fn on_time_gain_of_next_holder_rises_with_excess_work() {
+    let mut fleet = TestFleet::new(&[&["m1", "m2"]]);
+    fleet.record_requests("m1", 20);
+    fleet.record_requests("m2", 1);
+    let gain = |per_token_s: f64| {
+        let view = placement_by_work(&fleet, per_token_s, LateShares::default());
         view.on_time_gain_of_next_holder(&"m1".into(), 24)
             .expect("follows work")
     };
     // With 100 tokens per request, 2 and 20 requests run concurrently; a replica can serve 12 on
     // time.
-    assert!(kept(0.001) < 1.0, "{}", kept(0.001));
-    assert!(kept(0.01) > 5.0, "{}", kept(0.01));
+    assert!(gain(0.001) < 1.0, "{}", gain(0.001));
+    assert!(gain(0.01) > 5.0, "{}", gain(0.01));
 }
 
 /// Guards against loading a model at slow replicas, which were late with a third of all streams
 /// despite free capacity.
 #[test]
-fn best_place_of_a_waiting_model_not_where_streams_are_late() {
-    let mut site = Site::new(&[&["m1"], &["m2"]]);
+fn best_target_avoids_replicas_with_late_streams() {
+    let mut fleet = TestFleet::new(&[&["m1"], &["m2"]]);
     for model in ["m1", "m2", "m3"] {
-        site.ask(model, 1);
+        fleet.record_requests(model, 1);
     }
-    tell_work_time(&mut site, "r0", 160);
-    tell_work_time(&mut site, "r1", 100);
+    report_work_time(&mut fleet, "r0", 160);
+    report_work_time(&mut fleet, "r1", 100);
     let mut late_shares = LateShares::default();
-    let class = |id: &str| site.replicas.get(id).expect("it exists").capacity.speed_class();
+    let class = |id: &str| fleet.replicas.get(id).expect("it exists").capacity.speed_class();
     late_shares.count(class("r0"), 100.0, 35.0);
     late_shares.count(class("r1"), 100.0, 1.0);
-    let view = by_work(&site, 0.01, late_shares);
+    let view = placement_by_work(&fleet, 0.01, late_shares);
     let target = view
         .best_target(&"m3".into(), true, CandidateScope::All)
         .expect("a replica");
