--- a/crates/croftrill-scheduler/tests/shares_and_plans.rs
+++ b/crates/croftrill-scheduler/tests/shares_and_plans.rs
@@ -10,7 +10,7 @@
 use croftrill_scheduler::replica_table::ReplicaTable;
 
 #[test]
-fn groups_get_places_by_their_shares() {
+fn try_start_serves_groups_by_share() {
     let (large, small): (Arc<str>, Arc<str>) = ("large".into(), "small".into());
     let mut queue = FairQueue::new(1);
     let mut waiting = Vec::new();
@@ -20,18 +20,18 @@
     }
     let mut served_large = 0;
     for _ in 0..40 {
-        let place = waiting
+        let position = waiting
             .iter()
             .position(|(number, _)| queue.try_start(*number))
             .expect("one request can start");
-        served_large += usize::from(waiting.remove(place).1);
+        served_large += usize::from(waiting.remove(position).1);
         queue.release();
     }
     assert!((28..=32).contains(&served_large), "{served_large} of 40");
 }
 
 #[test]
-fn an_idle_group_neither_saves_up_nor_loses() {
+fn try_start_idle_group_neither_gains_nor_loses_share() {
     let (busy, idle): (Arc<str>, Arc<str>) = ("busy".into(), "idle".into());
     let mut queue = FairQueue::new(1);
     for _ in 0..10 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn no_more_start_than_there_are_places_and_a_leaver_blocks_nobody() {
+fn try_start_limited_to_slots_and_not_blocked_by_leaver() {
     let group: Arc<str> = "g".into();
     let mut queue = FairQueue::new(2);
     let numbers: Vec<u64> = (0..4).map(|_| queue.enter(&group, 1, 1)).collect();
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn a_plan_names_what_changes_and_nothing_else() {
-    let present = configuration(&[("kept", 50.0), ("changed", 50.0), ("gone", 50.0)]);
-    let wished = configuration(&[("kept", 50.0), ("changed", 60.0), ("new", 50.0)]);
+fn plan_lists_exactly_the_changes() {
+    let current = configuration(&[("unchanged", 50.0), ("changed", 50.0), ("removed", 50.0)]);
+    let desired = configuration(&[("unchanged", 50.0), ("changed", 60.0), ("new", 50.0)]);
     let mut replicas = ReplicaTable::new();
     replicas.apply_listing(ReplicaListing {
         id: "r1".into(),
@@ -108,13 +108,13 @@
         holdings: Holdings {
             sequence: 0,
             models: vec![HeldModel {
-                model: "gone".into(),
+                model: "removed".into(),
                 adapters: Vec::new(),
             }],
             copies: Default::default(),
         },
     });
-    let steps = plan(&present, &wished, &replicas);
+    let steps = plan(&current, &desired, &replicas);
     let service: Arc<str> = "llm".into();
     let expected = [
         PlannedStep::AddModel {
@@ -123,7 +123,7 @@
         },
         PlannedStep::RemoveModel {
             service: service.clone(),
-            model: "gone".into(),
+            model: "removed".into(),
         },
         PlannedStep::ChangeModel {
             service,
@@ -131,9 +131,9 @@
         },
         PlannedStep::StopReplica {
             replica: "r1".into(),
-            model: "gone".into(),
+            model: "removed".into(),
         },
     ];
     assert_eq!(steps, expected);
-    assert!(plan(&present, &present, &replicas).is_empty());
+    assert!(plan(&current, &current, &replicas).is_empty());
 }
