--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -82,8 +82,8 @@
     /// Returns the requests expected to be saved by loading a model that no replica holds
     /// and that a request waits for.
     pub fn saved_by_load(&self, model: &ModelName, load: Duration) -> f64 {
-        let in_time = load + LOAD_OVERHEAD <= self.objective(model);
-        let waiting = if in_time { 1.0 } else { LATE_CREDIT };
+        let on_time = load + LOAD_OVERHEAD <= self.objective(model);
+        let waiting = if on_time { 1.0 } else { LATE_CREDIT };
         let value = if self.work.is_some() {
             self.value_of_waiting(model)
         } else {
@@ -108,8 +108,8 @@
     fn on_time_gain_of_nth_holder(&self, model: &ModelName, holders: usize) -> f64 {
         let present = self.fleet().current_holder_count(model).max(1) as f64;
         let late_share = self.demand.late_share(&self.key(model), self.now);
-        let late_with = |count: usize| (late_share * present / count as f64).min(1.0);
-        self.lasting_rate(model) * (late_with(holders - 1) - late_with(holders))
+        let late_share_with = |count: usize| (late_share * present / count as f64).min(1.0);
+        self.lasting_rate(model) * (late_share_with(holders - 1) - late_share_with(holders))
     }
 
     /// Returns the requests per second that depend on the holder at a replica.
--- a/crates/croftrill-scheduler/src/placement/work.rs
+++ b/crates/croftrill-scheduler/src/placement/work.rs
@@ -21,7 +21,7 @@
 
 /// Requests that are assumed to have been on time besides the counted ones, so that a few
 /// requests do not determine the share.
-const ASSUMED_IN_TIME: f64 = 20.0;
+const ASSUMED_ON_TIME_REQUESTS: f64 = 20.0;
 
 /// Share of requests that replicas serve late although they have free capacity, by speed class:
 /// a slow replica can be too slow for the pauses between events that a route allows.
@@ -42,7 +42,9 @@
     /// Returns the share of late requests at replicas of a speed class.
     pub fn of(&self, class: SpeedClass) -> f64 {
         let counted = self.counted.get(&class);
-        counted.map_or(0.0, |(requests, late)| late / (requests + ASSUMED_IN_TIME))
+        counted.map_or(0.0, |(requests, late)| {
+            late / (requests + ASSUMED_ON_TIME_REQUESTS)
+        })
     }
 }
 
@@ -406,8 +408,8 @@
             }
             self.on_time_gain_of_next_holder(model, slots).unwrap_or(0.0)
         };
-        let most = self.engine.model_order.iter().map(gain).fold(0.0, f64::max);
-        most * self.serving_seconds(load) > saved
+        let max_gain = self.engine.model_order.iter().map(gain).fold(0.0, f64::max);
+        max_gain * self.serving_seconds(load) > saved
     }
 
     /// Returns true if a holder of a model at a replica saves more requests than the eviction of
@@ -454,22 +456,22 @@
         &self,
         model: &ModelName,
         replica: &TrackedReplica,
-        stays: &[&ModelName],
+        remaining: &[&ModelName],
         work: &ServiceWork,
     ) -> f64 {
         let capacity = self.usable_capacity(replica);
-        let taken = self.work(model, work) * capacity
+        let added_work = self.work(model, work) * capacity
             / (self.holders_capacity(model, work) + capacity).max(f64::EPSILON);
         let late = |held: &&ModelName| {
             let present = self.current_capacities(held, work);
             let total: f64 = present.iter().map(|capacity| capacity.work).sum();
-            let left = 1.0 - (taken.min(capacity) / total.max(f64::EPSILON)).min(1.0);
+            let left = 1.0 - (added_work.min(capacity) / total.max(f64::EPSILON)).min(1.0);
             let shared = present.iter().map(|capacity| HolderCapacity {
                 work: capacity.work * left,
                 ..*capacity
             });
             self.late_rate(held, shared.collect(), work) - self.late_rate(held, present, work)
         };
-        stays.iter().map(late).sum()
+        remaining.iter().map(late).sum()
     }
 }
