--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -111,7 +111,7 @@
                 busy: false,
                 waiting: 0,
                 running: 0,
-                born_ms: None,
+                started_ms: None,
             };
             (id.clone(), report)
         })
--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -11,7 +11,8 @@
 use croftrill_scheduler::orderer::{Orderer, OrdererAction, OrdererConfig};
 use croftrill_scheduler::placement::PlacementConfig;
 use croftrill_scheduler::replica::{
-    BornMs, HeldModel, Holdings, Order, OrderOutcome, ReplicaId, ReplicaListing, ReplicaReport, ReplicaState,
+    HeldModel, Holdings, Order, OrderOutcome, ReplicaId, ReplicaListing, ReplicaReport, ReplicaState,
+    StartedMs,
 };
 use croftrill_scheduler::replica_ledger::LedgerConfig;
 use croftrill_scheduler::shard::OrderScope;
@@ -94,7 +95,7 @@
     /// What it holds.
     pub holdings: Holdings,
     /// When it started, as it reports.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     running: Vec<Running>,
     late: Vec<(Moment, Order, u64)>,
     history: VecDeque<(Moment, ReplicaReport)>,
@@ -116,7 +117,7 @@
                 models: held.collect(),
                 copies: Default::default(),
             },
-            born_ms: Some(1),
+            started_ms: Some(1),
             running: Vec::new(),
             late: Vec::new(),
             history: VecDeque::new(),
@@ -127,9 +128,9 @@
 
     /// Starts again under its identity: it holds nothing, and counts orders anew.
     pub fn start_again(&mut self) {
-        let born_ms = self.born_ms.map(|born_ms| born_ms + 1);
+        let started_ms = self.started_ms.map(|started_ms| started_ms + 1);
         *self = SimulatedReplica {
-            born_ms,
+            started_ms,
             ..SimulatedReplica::new(&[])
         };
     }
@@ -240,7 +241,7 @@
             busy: self.is_busy(),
             waiting: 0,
             running: 0,
-            born_ms: self.born_ms,
+            started_ms: self.started_ms,
         };
         self.history.push_back((now, report));
         while self.history.len() > 2 && self.history[1].0 + REPORT_LAG <= now {
@@ -424,7 +425,7 @@
         slots: 8,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: holdings.clone(),
     }
 }
--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -162,7 +162,7 @@
         slots: 64,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: Some(1_790_000_000_000),
+        started_ms: Some(1_790_000_000_000),
         holdings: Holdings::default(),
     }
 }
@@ -174,7 +174,7 @@
     });
     Placement {
         replica: format!("i-{index:010x}").into(),
-        born_ms: Some(1_790_000_000_000),
+        started_ms: Some(1_790_000_000_000),
         usable: Holdings {
             sequence: 2,
             models: held.collect(),
--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -199,7 +199,7 @@
         slots: SLOTS as u32,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: Holdings {
             models: models.collect(),
             ..Holdings::default()
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -149,7 +149,7 @@
     let tell = |table: &mut ReplicaTable, arriving: Vec<Arrival>| {
         table.apply_placement(Placement {
             replica: other.as_str().into(),
-            born_ms: None,
+            started_ms: None,
             usable: Holdings::default(),
             arriving,
             tells_copies: false,
@@ -436,9 +436,9 @@
         is_leaving: true,
         ..ReplicaWord::default()
     };
-    let born_ms = table.get("r0").and_then(|entry| entry.listing.born_ms);
+    let started_ms = table.get("r0").and_then(|entry| entry.listing.started_ms);
     let call = AnsweredCall {
-        born_ms,
+        started_ms,
         sent_at: world.now,
         answered_at: world.now,
     };
@@ -461,7 +461,7 @@
         let id: ReplicaId = (*id).into();
         table.apply_listing(listing(&id, &world.replicas[&id].holdings));
         let call = AnsweredCall {
-            born_ms: None,
+            started_ms: None,
             sent_at: world.now,
             answered_at: world.now,
         };
@@ -545,7 +545,7 @@
     let id: std::sync::Arc<str> = "r0".into();
     world.replicas.get_mut(&id).expect("it is there").start_again();
     world.run(4000);
-    assert_eq!(world.orderer.born_ms("r0"), Some(2));
+    assert_eq!(world.orderer.started_ms("r0"), Some(2));
     let before = format!("{:?}", world.orderer.all_placements(world.now));
     world
         .orderer
--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -82,7 +82,7 @@
         busy: wire.busy,
         waiting: wire.waiting,
         running: wire.running,
-        born_ms: None,
+        started_ms: None,
     })
 }
 
--- a/crates/croftrill-http/src/records.rs
+++ b/crates/croftrill-http/src/records.rs
@@ -31,7 +31,7 @@
             ReplicaState::Ready
         },
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: wire.holdings.into(),
     })
 }
--- a/crates/croftrill-node/src/crash_watch.rs
+++ b/crates/croftrill-node/src/crash_watch.rs
@@ -42,7 +42,7 @@
         return;
     };
     // By the time of the verdict it may be listed as started again.
-    let incarnation = EndedReplica::of(replica, listing.born_ms);
+    let incarnation = EndedReplica::of(replica, listing.started_ms);
     if state.broken_requests.add(replica, request) {
         spawn_local(judge(node.clone(), replica.clone(), incarnation, address));
     }
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -152,7 +152,7 @@
         WireChange::Replica(listing) => {
             let state = node.state.borrow();
             let is_same = |known: &&ReplicaEntry| {
-                Incarnation::of(listing.born_ms, known.listing.born_ms) == Incarnation::Same
+                Incarnation::of(listing.started_ms, known.listing.started_ms) == Incarnation::Same
             };
             let known = state.replicas.get(&listing.id).filter(is_same);
             let holdings = known.map(|entry| entry.listing.holdings.clone());
--- a/crates/croftrill-node/src/load_news.rs
+++ b/crates/croftrill-node/src/load_news.rs
@@ -19,7 +19,7 @@
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
 use croftrill_scheduler::load_news::{HeardLoads, Hearing, LoadAccount, LoadKey, LoadKeys};
-use croftrill_scheduler::replica::{BornMs, Incarnation, ReplicaId};
+use croftrill_scheduler::replica::{Incarnation, ReplicaId, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
@@ -141,12 +141,12 @@
     Metrics::count_many(&node.metrics.load_news, kind, "left out", count as u64);
 }
 
-/// An answer told the load of a replica, of the incarnation that started at `born_ms`.
+/// An answer told the load of a replica, of the incarnation that started at `started_ms`.
 /// `is_sure`: false if the answer may be another replica's, of which others are not told.
 pub(crate) fn hear_answer<P: Platform>(
     node: &Node<P>,
     id: &ReplicaId,
-    born_ms: Option<BornMs>,
+    started_ms: Option<StartedMs>,
     load: ReplicaLoad,
     is_sure: bool,
 ) {
@@ -155,8 +155,8 @@
     let Some(entry) = state.replicas.get(id) else {
         return;
     };
-    let present = entry.listing.born_ms;
-    if Incarnation::of(born_ms, present) == Incarnation::Earlier {
+    let present = entry.listing.started_ms;
+    if Incarnation::of(started_ms, present) == Incarnation::Earlier {
         return;
     }
     state.replicas.told_load(id, load, now);
--- a/crates/croftrill-node/src/orderer_task/mod.rs
+++ b/crates/croftrill-node/src/orderer_task/mod.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::lease::Record;
 use croftrill_scheduler::load_news::LoadAccount;
-use croftrill_scheduler::replica::{BornMs, OrderOutcome, ReplicaId, ReplicaReport};
+use croftrill_scheduler::replica::{OrderOutcome, ReplicaId, ReplicaReport, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
 use tokio::sync::{broadcast, mpsc, oneshot};
@@ -47,7 +47,7 @@
         /// The replica.
         replica: ReplicaId,
         /// When the incarnation that was meant started, if it tells.
-        born_ms: Option<BornMs>,
+        started_ms: Option<StartedMs>,
         /// Its answer.
         outcome: OrderOutcome,
     },
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -311,7 +311,7 @@
             fencing_token,
             expected_sequence,
         };
-        let born_ms = self.orderer.born_ms(&replica);
+        let started_ms = self.orderer.started_ms(&replica);
         let (node, shard) = (self.node.clone(), self.shard);
         while self.orders.try_join_next().is_some() {}
         self.orders.spawn_local(async move {
@@ -328,7 +328,7 @@
             };
             let outcome = answered.answer;
             let call = AnsweredCall {
-                born_ms,
+                started_ms,
                 sent_at,
                 answered_at: node.clock.now(),
             };
@@ -342,7 +342,7 @@
             );
             let input = OrdererInput::OrderAnswered {
                 replica: target.replica,
-                born_ms,
+                started_ms,
                 outcome,
             };
             let _ = node.orderer_inbox(shard).send(input).await;
@@ -355,7 +355,7 @@
             self.orderer.reported(&replica, None, asked_at, asked_at);
             return;
         };
-        let born_ms = self.orderer.born_ms(&replica);
+        let started_ms = self.orderer.started_ms(&replica);
         let (node, shard) = (self.node.clone(), self.shard);
         tokio::task::spawn_local(async move {
             let turn = take_turn(&node, &replica, "report", LONGEST_REPORT_DELAY, is_awaited).await;
@@ -368,7 +368,7 @@
                 ControlTurn::Refused => EngineAnswer::without_word(None),
             };
             let call = AnsweredCall {
-                born_ms,
+                started_ms,
                 sent_at,
                 answered_at: node.clock.now(),
             };
@@ -411,14 +411,14 @@
             }
             OrdererInput::OrderAnswered {
                 replica,
-                born_ms,
+                started_ms,
                 outcome,
             } => {
                 if outcome == OrderOutcome::Fenced {
                     tracing::warn!(target: "orderer", event = "a newer token was seen", replica = &*replica);
                     self.lease.clear();
                 }
-                self.orderer.order_answered_by(&replica, born_ms, outcome, now);
+                self.orderer.order_answered_by(&replica, started_ms, outcome, now);
             }
             OrdererInput::Reported {
                 replica,
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -165,7 +165,7 @@
     /// The replica.
     pub replica: String,
     /// When the incarnation that is meant started, in Unix milliseconds.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Orders that it has taken.
     pub sequence: u64,
     /// What requests may rely on.
@@ -414,7 +414,7 @@
         });
         WirePlacement {
             replica: placement.replica.to_string(),
-            born_ms: placement.born_ms,
+            started_ms: placement.started_ms,
             sequence: placement.usable.sequence,
             models: models.collect(),
             arriving: arriving.collect(),
@@ -451,7 +451,7 @@
         };
         Placement {
             replica: self.replica.as_str().into(),
-            born_ms: self.born_ms,
+            started_ms: self.started_ms,
             usable,
             arriving: arriving.collect(),
             tells_copies,
--- a/crates/croftrill-node/src/peer/news.rs
+++ b/crates/croftrill-node/src/peer/news.rs
@@ -38,7 +38,7 @@
     /// Time it has left, if it is taken away at short notice, in milliseconds.
     pub leaves_in_ms: Option<u64>,
     /// When it started, in Unix milliseconds.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// What became of one key of the store, on the wire.
@@ -231,7 +231,7 @@
             slots: listing.slots,
             is_draining: listing.state == ReplicaState::Draining,
             leaves_in_ms: listing.leaves_in.map(|left| left.as_millis() as u64),
-            born_ms: listing.born_ms,
+            started_ms: listing.started_ms,
         }
     }
 
@@ -254,7 +254,7 @@
             slots: self.slots,
             state,
             leaves_in: self.leaves_in_ms.map(Duration::from_millis),
-            born_ms: self.born_ms,
+            started_ms: self.started_ms,
             holdings,
         }
     }
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -7,7 +7,7 @@
 use croftrill_scheduler::quota::keeper::Ruling;
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LimitWant, NamedLimit};
-use croftrill_scheduler::replica::BornMs;
+use croftrill_scheduler::replica::StartedMs;
 use croftrill_scheduler::time::Moment;
 use rand::Rng;
 
@@ -25,7 +25,7 @@
     /// The replica.
     pub replica: &'a Arc<str>,
     /// When the incarnation started that named it.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     /// The limit as this node heard it.
     pub limit: NamedLimit,
     /// What the call wants.
@@ -60,7 +60,7 @@
         ToKeeper::AskLimit(WireLimitAsk {
             id,
             replica: self.replica.to_string(),
-            born_ms: self.born_ms,
+            started_ms: self.started_ms,
             limit_millis_per_s: self.limit.rate.millis_per_s(),
             heard_ms_ago: now.since(self.limit.heard_at).as_millis() as u64,
             patience_ms: self.want.patience.as_millis() as u32,
@@ -72,7 +72,7 @@
         let PartKeeper::Limits(keeper) = keeper else {
             return None;
         };
-        Some(keeper.ask(self.replica, self.born_ms, self.limit, self.want, now))
+        Some(keeper.ask(self.replica, self.started_ms, self.limit, self.want, now))
     }
 }
 
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -345,7 +345,7 @@
         rate: RequestRate::from_millis_per_s(ask.limit_millis_per_s),
         heard_at: now - Duration::from_millis(ask.heard_ms_ago),
     };
-    keeper.ask(&ask.replica.as_str().into(), ask.born_ms, limit, want, now)
+    keeper.ask(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
 }
 
 /// Counts a node as a listener of this one's keeper while it lives.
--- a/crates/croftrill-node/src/quota/wire.rs
+++ b/crates/croftrill-node/src/quota/wire.rs
@@ -37,7 +37,7 @@
     /// The replica.
     pub replica: String,
     /// When the incarnation started that named the limit, in Unix milliseconds.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The limit as the asking node heard it, in thousandths of a request a second.
     pub limit_millis_per_s: u64,
     /// How long ago it heard that, in milliseconds.
--- a/crates/croftrill-node/src/replica_turn.rs
+++ b/crates/croftrill-node/src/replica_turn.rs
@@ -26,10 +26,10 @@
         let state = node.state.borrow();
         (state.replicas.limit_of(replica), state.members.node_count())
     };
-    let (limit, born_ms) = known?;
+    let (limit, started_ms) = known?;
     let ask = LimitAsk {
         replica,
-        born_ms,
+        started_ms,
         limit,
         want,
         nodes,
--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -5,7 +5,7 @@
 
 use croftrill_scheduler::catalog::Configuration;
 use croftrill_scheduler::health::SendOutcome;
-use croftrill_scheduler::replica::{BornMs, ReplicaId};
+use croftrill_scheduler::replica::{ReplicaId, StartedMs};
 use croftrill_scheduler::time::Moment;
 use croftrill_scheduler::work::RequestWork;
 
@@ -88,7 +88,7 @@
     pub(super) node: Rc<Node<P>>,
     pub(super) replica: ReplicaId,
     /// When the incarnation that it goes to started, if it told.
-    pub(super) born_ms: Option<BornMs>,
+    pub(super) started_ms: Option<StartedMs>,
     /// Before anything of it is sent.
     pub(super) begun_at: Moment,
     pub(super) work: RequestWork,
@@ -102,15 +102,15 @@
         let begun_at = node.clock.now();
         let mut state = node.state.borrow_mut();
         state.replicas.begin_send(replica, work, begun_at);
-        let born_ms = state
+        let started_ms = state
             .replicas
             .get(replica)
-            .and_then(|entry| entry.listing.born_ms);
+            .and_then(|entry| entry.listing.started_ms);
         drop(state);
         Send {
             node: node.clone(),
             replica: replica.clone(),
-            born_ms,
+            started_ms,
             begun_at,
             work,
             reading: true,
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -219,14 +219,14 @@
     fn take_load(&self, send: &Send<P>, facts: &AnswerFacts) {
         if let Some(load) = facts.load {
             let is_sure = facts.is_ours && !facts.is_misdirected;
-            load_news::hear_answer(&self.node, &send.replica, send.born_ms, load, is_sure);
+            load_news::hear_answer(&self.node, &send.replica, send.started_ms, load, is_sure);
         }
     }
 
     /// Takes in what the replica says of itself.
     fn hear_replica(&self, send: &Send<P>, facts: &AnswerFacts) {
         let call = AnsweredCall {
-            born_ms: send.born_ms,
+            started_ms: send.started_ms,
             sent_at: send.begun_at,
             answered_at: self.now(),
         };
--- a/crates/croftrill-node/tests/news_parts.rs
+++ b/crates/croftrill-node/tests/news_parts.rs
@@ -19,7 +19,7 @@
         slots: 64,
         is_draining: false,
         leaves_in_ms: None,
-        born_ms: Some(1_790_000_000_000),
+        started_ms: Some(1_790_000_000_000),
     })
 }
 
--- a/crates/croftrill-node/tests/parts.rs
+++ b/crates/croftrill-node/tests/parts.rs
@@ -98,7 +98,7 @@
     assert!(batch.take().is_none());
     let placement = Placement {
         replica: "r".into(),
-        born_ms: None,
+        started_ms: None,
         usable: Holdings {
             sequence: 4,
             models: vec![HeldModel {
--- a/crates/croftrill-node/tests/wire.rs
+++ b/crates/croftrill-node/tests/wire.rs
@@ -25,7 +25,7 @@
     };
     let placement = Placement {
         replica: "r1".into(),
-        born_ms: Some(7),
+        started_ms: Some(7),
         usable: Holdings {
             models: vec![held],
             ..Holdings::default()
--- a/crates/croftrill-scheduler/src/crash_ledger.rs
+++ b/crates/croftrill-scheduler/src/crash_ledger.rs
@@ -17,7 +17,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::replica::BornMs;
+use crate::replica::StartedMs;
 use crate::time::Moment;
 
 /// Hash that identifies a request by its content: path, caller and body.
@@ -44,8 +44,8 @@
 
 impl EndedReplica {
     /// Returns the key of the incarnation with this ID and start time.
-    pub fn of(id: &str, born_ms: Option<BornMs>) -> Self {
-        EndedReplica(xxh3_64_with_seed(id.as_bytes(), born_ms.unwrap_or(0)))
+    pub fn of(id: &str, started_ms: Option<StartedMs>) -> Self {
+        EndedReplica(xxh3_64_with_seed(id.as_bytes(), started_ms.unwrap_or(0)))
     }
 }
 
--- a/crates/croftrill-scheduler/src/load_news/keys.rs
+++ b/crates/croftrill-scheduler/src/load_news/keys.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::replica::{BornMs, ReplicaId};
+use crate::replica::{ReplicaId, StartedMs};
 use crate::replica_table::{ChangedReplicas, ReplicaTable, TableVersion};
 
 /// Identifies one incarnation of a replica: part of a hash of the replica's identity and of its
@@ -14,10 +14,10 @@
 pub struct LoadKey(pub u32);
 
 impl LoadKey {
-    /// Returns the key of the incarnation that started at `born_ms`, or of a replica whose start
+    /// Returns the key of the incarnation that started at `started_ms`, or of a replica whose start
     /// time is unknown.
-    pub fn of(id: &str, born_ms: Option<BornMs>) -> Self {
-        LoadKey(xxh3_64_with_seed(id.as_bytes(), born_ms.unwrap_or(0)) as u32)
+    pub fn of(id: &str, started_ms: Option<StartedMs>) -> Self {
+        LoadKey(xxh3_64_with_seed(id.as_bytes(), started_ms.unwrap_or(0)) as u32)
     }
 }
 
@@ -42,14 +42,14 @@
                 self.replicas.clear();
                 self.keys.clear();
                 for entry in table.iter() {
-                    self.add(&entry.listing.id, entry.listing.born_ms);
+                    self.add(&entry.listing.id, entry.listing.started_ms);
                 }
             }
             ChangedReplicas::These(ids) => {
                 for id in ids {
                     self.take_out(&id);
                     if let Some(entry) = table.get(&id) {
-                        self.add(&id, entry.listing.born_ms);
+                        self.add(&id, entry.listing.started_ms);
                     }
                 }
             }
@@ -69,8 +69,8 @@
         self.keys.get(id).copied()
     }
 
-    fn add(&mut self, id: &ReplicaId, born_ms: Option<BornMs>) {
-        let key = LoadKey::of(id, born_ms);
+    fn add(&mut self, id: &ReplicaId, started_ms: Option<StartedMs>) {
+        let key = LoadKey::of(id, started_ms);
         self.replicas.entry(key).or_default().push(id.clone());
         self.keys.insert(id.clone(), key);
     }
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity::Capacity;
 use crate::placement::{ControlCalls, TrackedReplica};
-use crate::replica::{BornMs, Incarnation, OrderOutcome, ReplicaReport};
+use crate::replica::{Incarnation, OrderOutcome, ReplicaReport, StartedMs};
 use crate::replica_ledger::ReplicaLedger;
 use crate::time::Moment;
 
@@ -10,14 +10,14 @@
 
 impl Orderer {
     /// What an account of a replica is to what is known of it.
-    pub(super) fn incarnation(&self, id: &str, told: Option<BornMs>) -> Incarnation {
+    pub(super) fn incarnation(&self, id: &str, told: Option<StartedMs>) -> Incarnation {
         let known = self.replicas.get(id);
-        known.map_or(Incarnation::Same, |known| Incarnation::of(told, known.born_ms))
+        known.map_or(Incarnation::Same, |known| Incarnation::of(told, known.started_ms))
     }
 
     /// A replica started again under its identity: it holds nothing that was known of
     /// it, no order to it counts, and its count of orders began anew.
-    fn started_again(&mut self, id: &str, born_ms: Option<BornMs>, now: Moment) {
+    fn started_again(&mut self, id: &str, started_ms: Option<StartedMs>, now: Moment) {
         let Some((id, former)) = self.replicas.remove(id) else {
             return;
         };
@@ -27,7 +27,7 @@
         let anew = TrackedReplica {
             state: former.state,
             service: former.service,
-            born_ms,
+            started_ms,
             ledger: ReplicaLedger::new(self.config.ledger, Default::default(), now),
             goal: None,
             withdrawn: None,
@@ -47,11 +47,11 @@
     pub fn order_answered_by(
         &mut self,
         id: &str,
-        born_ms: Option<BornMs>,
+        started_ms: Option<StartedMs>,
         outcome: OrderOutcome,
         now: Moment,
     ) {
-        if self.incarnation(id, born_ms) == Incarnation::Same {
+        if self.incarnation(id, started_ms) == Incarnation::Same {
             self.order_answered(id, outcome, now);
         } else {
             let is_answered = outcome != OrderOutcome::Unknown;
@@ -60,18 +60,18 @@
     }
 
     /// When the present incarnation of a replica started, if it tells.
-    pub fn born_ms(&self, id: &str) -> Option<BornMs> {
-        self.replicas.get(id).and_then(|replica| replica.born_ms)
+    pub fn started_ms(&self, id: &str) -> Option<StartedMs> {
+        self.replicas.get(id).and_then(|replica| replica.started_ms)
     }
 
     /// A replica reported, or did not.
     pub fn reported(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
-        let told = report.and_then(|report| report.born_ms);
+        let told = report.and_then(|report| report.started_ms);
         match self.incarnation(id, told) {
             Incarnation::Same => {
                 // Its listing may not tell.
                 if let Some(replica) = self.replicas.get_mut(id) {
-                    replica.born_ms = replica.born_ms.or(told);
+                    replica.started_ms = replica.started_ms.or(told);
                 }
             }
             Incarnation::Earlier => return self.take_report(id, None, asked_at, now),
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -316,7 +316,7 @@
         if !is_engine {
             return;
         }
-        match self.incarnation(&listing.id, listing.born_ms) {
+        match self.incarnation(&listing.id, listing.started_ms) {
             Incarnation::Same => {}
             // An entry that was written late.
             Incarnation::Earlier => return,
@@ -330,7 +330,7 @@
             let anew = TrackedReplica {
                 state: listing.state,
                 service: listing.service.clone(),
-                born_ms: listing.born_ms,
+                started_ms: listing.started_ms,
                 ledger: ReplicaLedger::new(ledger_config, listing.holdings.clone(), now),
                 goal: None,
                 withdrawn: None,
@@ -348,7 +348,7 @@
             return;
         };
         replica.state = listing.state;
-        replica.born_ms = replica.born_ms.or(listing.born_ms);
+        replica.started_ms = replica.started_ms.or(listing.started_ms);
         if listing.state == ReplicaState::Draining {
             replica.goal = None;
         }
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -59,7 +59,7 @@
         }
         Some(Placement {
             replica: id.clone(),
-            born_ms: replica.born_ms,
+            started_ms: replica.started_ms,
             usable,
             arriving,
             tells_copies: false,
--- a/crates/croftrill-scheduler/src/placement/tracked_replica.rs
+++ b/crates/croftrill-scheduler/src/placement/tracked_replica.rs
@@ -6,7 +6,7 @@
 use super::target_selection::CandidateScope;
 use crate::capacity::Capacity;
 use crate::catalog::{AdapterName, EngineSpec, ModelName, ServiceName};
-use crate::replica::{BornMs, Holdings, ReplicaState};
+use crate::replica::{Holdings, ReplicaState, StartedMs};
 use crate::replica_ledger::ReplicaLedger;
 use crate::time::Moment;
 
@@ -44,7 +44,7 @@
     /// The service it belongs to.
     pub service: ServiceName,
     /// Start time of the incarnation that the other fields describe, if it reports one.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     /// Its holdings and the order under way.
     pub ledger: ReplicaLedger,
     /// The model that it should load next.
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use super::ruling::Ruling;
-use crate::replica::{BornMs, Incarnation, RequestRate};
+use crate::replica::{Incarnation, RequestRate, StartedMs};
 use crate::time::Moment;
 
 /// Minimum rate regardless of the reported limit, in requests per second over all nodes. Only an
@@ -110,7 +110,7 @@
 /// The balance of one replica's limit.
 #[derive(Debug, Clone)]
 struct Account {
-    born_ms: Option<BornMs>,
+    started_ms: Option<StartedMs>,
     limit: NamedLimit,
     usual: Lane,
     urgent: Lane,
@@ -122,9 +122,9 @@
 
 impl Account {
     /// Creates an account without a balance, as a former keeper may just have used it.
-    fn new(born_ms: Option<BornMs>, limit: NamedLimit, now: Moment) -> Self {
+    fn new(started_ms: Option<StartedMs>, limit: NamedLimit, now: Moment) -> Self {
         Account {
-            born_ms,
+            started_ms,
             limit,
             usual: Lane::default(),
             urgent: Lane::default(),
@@ -135,15 +135,15 @@
     }
 
     /// Applies a limit received by a node if it is newer than the known one.
-    fn learn(&mut self, born_ms: Option<BornMs>, limit: NamedLimit) {
-        let is_newer = match Incarnation::of(born_ms, self.born_ms) {
+    fn learn(&mut self, started_ms: Option<StartedMs>, limit: NamedLimit) {
+        let is_newer = match Incarnation::of(started_ms, self.started_ms) {
             Incarnation::Earlier => false,
             Incarnation::Later => true,
             Incarnation::Same => limit.heard_at > self.limit.heard_at,
         };
         if is_newer {
             self.limit = limit;
-            self.born_ms = born_ms.or(self.born_ms);
+            self.started_ms = started_ms.or(self.started_ms);
         }
     }
 
@@ -244,11 +244,11 @@
     }
 
     /// Decides on a call to a replica. `limit` is the limit that the calling node received from
-    /// the incarnation started at `born_ms`.
+    /// the incarnation started at `started_ms`.
     pub fn ask(
         &mut self,
         replica: &Arc<str>,
-        born_ms: Option<BornMs>,
+        started_ms: Option<StartedMs>,
         limit: NamedLimit,
         want: LimitWant,
         now: Moment,
@@ -258,9 +258,9 @@
                 .retain(|_, account| now.since(account.asked_at) < ACCOUNT_MEMORY);
         }
         let account = self.accounts.entry(replica.clone());
-        let account = account.or_insert_with(|| Account::new(born_ms, limit, now));
+        let account = account.or_insert_with(|| Account::new(started_ms, limit, now));
         account.settle(self.standing, now);
-        account.learn(born_ms, limit);
+        account.learn(started_ms, limit);
         account.ask(want, self.standing, now)
     }
 
--- a/crates/croftrill-scheduler/src/replica.rs
+++ b/crates/croftrill-scheduler/src/replica.rs
@@ -5,12 +5,12 @@
 
 use crate::catalog::{AdapterName, ModelName, ServiceName};
 
-/// Identity of a replica. A restarted replica may keep it; [`BornMs`] then distinguishes its
+/// Identity of a replica. A restarted replica may keep it; [`StartedMs`] then distinguishes its
 /// incarnations.
 pub type ReplicaId = Arc<str>;
 
 /// Start time of a replica's incarnation by its own clock, in Unix milliseconds.
-pub type BornMs = u64;
+pub type StartedMs = u64;
 
 /// How the incarnation that a message is about relates to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,10 +25,10 @@
 
 impl Incarnation {
     /// Compares the start time that a message reports with the known one.
-    pub fn of(told: Option<BornMs>, known: Option<BornMs>) -> Self {
-        match (told, known) {
-            (Some(told), Some(known)) if told < known => Incarnation::Earlier,
-            (Some(told), Some(known)) if told > known => Incarnation::Later,
+    pub fn of(reported: Option<StartedMs>, known: Option<StartedMs>) -> Self {
+        match (reported, known) {
+            (Some(reported), Some(known)) if reported < known => Incarnation::Earlier,
+            (Some(reported), Some(known)) if reported > known => Incarnation::Later,
             _ => Incarnation::Same,
         }
     }
@@ -169,7 +169,7 @@
     /// Time until it is removed, if that is announced at short notice.
     pub leaves_in: Option<Duration>,
     /// When it started, if known.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     /// What it holds; empty for services without models.
     pub holdings: Holdings,
 }
@@ -186,7 +186,7 @@
     /// Number of running requests.
     pub running: u32,
     /// When it started, if known.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
 }
 
 /// An order to a replica.
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -57,7 +57,7 @@
             own_sends: self.own_sends,
             own_tokens: self.own_tokens,
             own_begun: self.own_begun.clone(),
-            own_word: self.own_word.of_incarnation(listing.born_ms),
+            own_word: self.own_word.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
         }
     }
@@ -66,7 +66,7 @@
     pub fn placement(&self) -> Placement {
         Placement {
             replica: self.listing.id.clone(),
-            born_ms: self.listing.born_ms,
+            started_ms: self.listing.started_ms,
             usable: self.listing.holdings.clone(),
             arriving: self.arriving.clone(),
             tells_copies: false,
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -28,7 +28,9 @@
 use crate::health::SendOutcome;
 use crate::placement::{weight_source, WeightSource};
 use crate::quota::limits::NamedLimit;
-use crate::replica::{BornMs, Holdings, Incarnation, ReplicaId, ReplicaListing, ReplicaWord, WeightCopies};
+use crate::replica::{
+    Holdings, Incarnation, ReplicaId, ReplicaListing, ReplicaWord, StartedMs, WeightCopies,
+};
 use crate::shard::Shard;
 use crate::time::Moment;
 use crate::work::{RequestWork, UsualRun};
@@ -48,7 +50,7 @@
     /// The replica.
     pub replica: ReplicaId,
     /// When the incarnation that is meant started, if known.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     /// Models and copies that requests may rely on: present, and not about to be unloaded.
     pub usable: Holdings,
     /// Models that are being loaded or are about to be.
@@ -142,7 +144,7 @@
     fn newly_listed(&mut self, listing: ReplicaListing) -> ReplicaEntry {
         let told = self.unlisted_words.take(&listing.id).unwrap_or_default();
         ReplicaEntry {
-            own_word: told.of_incarnation(listing.born_ms),
+            own_word: told.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
         }
     }
@@ -158,7 +160,7 @@
             }
             return news;
         };
-        if Incarnation::of(call.born_ms, entry.listing.born_ms) == Incarnation::Earlier {
+        if Incarnation::of(call.started_ms, entry.listing.started_ms) == Incarnation::Earlier {
             return WordNews::default();
         }
         let news = entry.own_word.hear(call, word);
@@ -170,12 +172,12 @@
 
     /// Returns the request limit that a replica reported to this node, and when the incarnation
     /// that reported it started, if known.
-    pub fn limit_of(&self, id: &str) -> Option<(NamedLimit, Option<BornMs>)> {
+    pub fn limit_of(&self, id: &str) -> Option<(NamedLimit, Option<StartedMs>)> {
         let told = match self.replicas.get(id) {
             Some(entry) => entry.own_word,
             None => *self.unlisted_words.get(id)?,
         };
-        told.limit().map(|limit| (limit, told.born_ms()))
+        told.limit().map(|limit| (limit, told.started_ms()))
     }
 
     /// Returns whether the replica has asked this node not to send it requests, for now or for
@@ -192,7 +194,7 @@
     /// placements for it. Returns its new placement if anything changed.
     pub fn apply_listed_holdings(&mut self, listing: ReplicaListing) -> Option<Placement> {
         let known = self.replicas.get(&listing.id)?;
-        let is_same = Incarnation::of(listing.born_ms, known.listing.born_ms) == Incarnation::Same;
+        let is_same = Incarnation::of(listing.started_ms, known.listing.started_ms) == Incarnation::Same;
         let is_news = known.listing.holdings != listing.holdings || !known.absent.is_empty();
         if known.from_orderer || !is_same || !is_news {
             return None;
@@ -216,7 +218,7 @@
         let id = listing.id.clone();
         let known = self.replicas.get(&id);
         let is_new = known.is_none_or(|known| {
-            Incarnation::of(listing.born_ms, known.listing.born_ms) == Incarnation::Later
+            Incarnation::of(listing.started_ms, known.listing.started_ms) == Incarnation::Later
         });
         let knew_copies = known.is_none_or(|known| known.knows_copies);
         self.apply_listing(listing);
@@ -312,7 +314,7 @@
             self.unlisted.keep(placement.replica.clone(), placement);
             return false;
         };
-        match Incarnation::of(placement.born_ms, known.listing.born_ms) {
+        match Incarnation::of(placement.started_ms, known.listing.started_ms) {
             Incarnation::Same => {}
             Incarnation::Earlier => return false,
             Incarnation::Later => {
@@ -597,7 +599,7 @@
 /// Returns the entry of a known replica after a new listing, or `None` if the listing is of an
 /// earlier incarnation than the known one and therefore out of date.
 fn relisted(known: &ReplicaEntry, listing: ReplicaListing) -> Option<ReplicaEntry> {
-    match Incarnation::of(listing.born_ms, known.listing.born_ms) {
+    match Incarnation::of(listing.started_ms, known.listing.started_ms) {
         Incarnation::Same => {}
         Incarnation::Earlier => return None,
         Incarnation::Later => return Some(known.started_again(listing)),
--- a/crates/croftrill-scheduler/src/replica_table/own_word.rs
+++ b/crates/croftrill-scheduler/src/replica_table/own_word.rs
@@ -6,14 +6,14 @@
 //! override them.
 
 use crate::quota::limits::NamedLimit;
-use crate::replica::{BornMs, Incarnation, LimitWord, ReplicaWord};
+use crate::replica::{Incarnation, LimitWord, ReplicaWord, StartedMs};
 use crate::time::Moment;
 
 /// A call to a replica that was answered, as the calling node observed it.
 #[derive(Debug, Clone, Copy)]
 pub struct AnsweredCall {
     /// When the called incarnation started, if known.
-    pub born_ms: Option<BornMs>,
+    pub started_ms: Option<StartedMs>,
     /// When it was sent.
     pub sent_at: Moment,
     /// When its answer arrived.
@@ -34,7 +34,7 @@
 pub(super) struct OwnWord {
     /// When the incarnation that sent the signals started, if known. Stored beside the listing's
     /// start, as the listing may be of an earlier incarnation and written late.
-    born_ms: Option<BornMs>,
+    started_ms: Option<StartedMs>,
     /// The replica is leaving. A replica that is leaving is back only after a restart.
     is_leaving: bool,
     /// Until then it wants no requests from this node.
@@ -47,11 +47,11 @@
     /// Applies the signals of an answer. A later answer may ask for a shorter cooldown than is
     /// left of an earlier one, which remains in force.
     pub(super) fn hear(&mut self, call: AnsweredCall, word: ReplicaWord) -> WordNews {
-        if Incarnation::of(call.born_ms, self.born_ms) == Incarnation::Earlier {
+        if Incarnation::of(call.started_ms, self.started_ms) == Incarnation::Earlier {
             return WordNews::default();
         }
-        *self = self.of_incarnation(call.born_ms);
-        self.born_ms = call.born_ms.or(self.born_ms);
+        *self = self.of_incarnation(call.started_ms);
+        self.started_ms = call.started_ms.or(self.started_ms);
         let rests_until = word.rest.map(|rest| call.answered_at + rest);
         self.rests_until = self.rests_until.max(rests_until);
         let leaves = word.is_leaving && !self.is_leaving;
@@ -79,9 +79,9 @@
         self.limit.map(|limit| limit.rate) != known.map(|known| known.rate)
     }
 
-    /// Returns the signals that are valid for the incarnation that started at `born_ms`.
-    pub(super) fn of_incarnation(self, born_ms: Option<BornMs>) -> Self {
-        match Incarnation::of(born_ms, self.born_ms) {
+    /// Returns the signals that are valid for the incarnation that started at `started_ms`.
+    pub(super) fn of_incarnation(self, started_ms: Option<StartedMs>) -> Self {
+        match Incarnation::of(started_ms, self.started_ms) {
             Incarnation::Later => OwnWord::default(),
             Incarnation::Same | Incarnation::Earlier => self,
         }
@@ -101,8 +101,8 @@
     }
 
     /// Returns when the incarnation that sent the signals started, if known.
-    pub(super) fn born_ms(&self) -> Option<BornMs> {
-        self.born_ms
+    pub(super) fn started_ms(&self) -> Option<StartedMs> {
+        self.started_ms
     }
 
     pub(super) fn is_empty(&self) -> bool {
--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -22,7 +22,7 @@
             ReplicaState::Draining
         },
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: Holdings::default(),
     }
 }
@@ -34,7 +34,7 @@
     });
     Placement {
         replica: format!("r{index}").into(),
-        born_ms: None,
+        started_ms: None,
         usable: Holdings {
             models: held.collect(),
             ..Holdings::default()
--- a/crates/croftrill-scheduler/tests/load_news.rs
+++ b/crates/croftrill-scheduler/tests/load_news.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn listing(id: &str, born_ms: Option<u64>) -> ReplicaListing {
+fn listing(id: &str, started_ms: Option<u64>) -> ReplicaListing {
     ReplicaListing {
         id: id.into(),
         service: "llm".into(),
@@ -48,7 +48,7 @@
         slots: 24,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms,
+        started_ms,
         holdings: Holdings::default(),
     }
 }
--- a/crates/croftrill-scheduler/tests/load_summary.rs
+++ b/crates/croftrill-scheduler/tests/load_summary.rs
@@ -24,7 +24,7 @@
             slots: 12,
             state: ReplicaState::Ready,
             leaves_in: None,
-            born_ms: None,
+            started_ms: None,
             holdings: Holdings::default(),
         });
     }
--- a/crates/croftrill-scheduler/tests/own_word.rs
+++ b/crates/croftrill-scheduler/tests/own_word.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::replica::{
-    BornMs, HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord,
+    HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord, StartedMs,
 };
 use croftrill_scheduler::replica_table::{AnsweredCall, ReplicaTable};
 use croftrill_scheduler::routing::{choose, ModelNeed, RoutingRequest};
@@ -11,7 +11,7 @@
 use croftrill_scheduler::work::RequestWork;
 use proptest::prelude::*;
 
-fn listing(id: &str, born_ms: BornMs) -> ReplicaListing {
+fn listing(id: &str, started_ms: StartedMs) -> ReplicaListing {
     let held = HeldModel {
         model: "m1".into(),
         adapters: Vec::new(),
@@ -24,7 +24,7 @@
         slots: 8,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: Some(born_ms),
+        started_ms: Some(started_ms),
         holdings: Holdings {
             models: vec![held],
             ..Holdings::default()
@@ -54,12 +54,12 @@
 fn hear(
     table: &mut ReplicaTable,
     id: &ReplicaId,
-    born_ms: Option<BornMs>,
+    started_ms: Option<StartedMs>,
     word: ReplicaWord,
     now: Moment,
 ) -> bool {
     let call = AnsweredCall {
-        born_ms,
+        started_ms,
         sent_at: now,
         answered_at: now,
     };
@@ -92,27 +92,27 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// Its directory entry, of this incarnation, is read.
-    Listed(BornMs),
+    Listed(StartedMs),
     /// Its directory entry lapses.
     Lapses,
     /// The node receives no more updates about it.
     Forgotten,
     /// It signals that it is leaving, in the answer to a call to this incarnation.
-    Leaves(BornMs),
+    Leaves(StartedMs),
     /// It asks for a cooldown of so many milliseconds.
-    Rests(BornMs, u64),
+    Rests(StartedMs, u64),
     /// Time passes, in milliseconds.
     Waits(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let born = 1u64..4;
+    let started = 1u64..4;
     prop_oneof![
-        3 => born.clone().prop_map(Step::Listed),
+        3 => started.clone().prop_map(Step::Listed),
         1 => Just(Step::Lapses),
         1 => Just(Step::Forgotten),
-        1 => born.clone().prop_map(Step::Leaves),
-        3 => (born, 0u64..3000).prop_map(|(born, millis)| Step::Rests(born, millis)),
+        1 => started.clone().prop_map(Step::Leaves),
+        3 => (started, 0u64..3000).prop_map(|(started, millis)| Step::Rests(started, millis)),
         2 => (0u64..1500).prop_map(Step::Waits),
     ]
 }
@@ -125,39 +125,39 @@
         let mut table = ReplicaTable::new();
         let id: ReplicaId = "r1".into();
         let (mut now_ms, mut newest) = (0u64, 0);
-        let mut left: Option<BornMs> = None;
-        let mut rests: Vec<(BornMs, u64)> = Vec::new();
+        let mut left: Option<StartedMs> = None;
+        let mut rests: Vec<(StartedMs, u64)> = Vec::new();
         for step in steps {
             match step {
-                Step::Listed(born) => {
-                    table.apply_listing(listing("r1", born));
-                    newest = newest.max(born);
+                Step::Listed(started) => {
+                    table.apply_listing(listing("r1", started));
+                    newest = newest.max(started);
                 }
                 Step::Lapses => table.remove("r1"),
                 Step::Forgotten => table.forget("r1"),
-                Step::Leaves(born) if born == newest => {
-                    hear(&mut table, &id, Some(born), leaving(), at(now_ms));
-                    left = Some(born);
+                Step::Leaves(started) if started == newest => {
+                    hear(&mut table, &id, Some(started), leaving(), at(now_ms));
+                    left = Some(started);
                 }
-                Step::Rests(born, millis) if born == newest => {
-                    hear(&mut table, &id, Some(born), rest(millis), at(now_ms));
-                    rests.push((born, now_ms + millis));
+                Step::Rests(started, millis) if started == newest => {
+                    hear(&mut table, &id, Some(started), rest(millis), at(now_ms));
+                    rests.push((started, now_ms + millis));
                 }
                 // An answer from an earlier incarnation than the known one is ignored. An incarnation
                 // that was never listed was sent nothing.
-                Step::Leaves(born) | Step::Rests(born, _) if born < newest && table.get("r1").is_some() => {
-                    let listed = table.get("r1").and_then(|entry| entry.listing.born_ms);
-                    if listed > Some(born) {
-                        hear(&mut table, &id, Some(born), leaving(), at(now_ms));
+                Step::Leaves(started) | Step::Rests(started, _) if started < newest && table.get("r1").is_some() => {
+                    let listed = table.get("r1").and_then(|entry| entry.listing.started_ms);
+                    if listed > Some(started) {
+                        hear(&mut table, &id, Some(started), leaving(), at(now_ms));
                     }
                 }
                 Step::Leaves(_) | Step::Rests(..) => {}
                 Step::Waits(millis) => now_ms += millis,
             }
             let now = at(now_ms);
-            let in_rest = rests.iter().any(|(born, until)| *born == newest && now_ms < *until);
+            let in_rest = rests.iter().any(|(started, until)| *started == newest && now_ms < *until);
             let bars = left == Some(newest) || in_rest;
-            let listed = table.get("r1").map(|entry| entry.listing.born_ms);
+            let listed = table.get("r1").map(|entry| entry.listing.started_ms);
             if listed == Some(Some(newest)) {
                 prop_assert_eq!(table.is_turned_away("r1", now), bars);
                 prop_assert_eq!(chosen(&table, 1, now).is_none(), bars);
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -147,7 +147,7 @@
     TrackedReplica {
         state: ReplicaState::Ready,
         service: "llm".into(),
-        born_ms: None,
+        started_ms: None,
         ledger: ReplicaLedger::new(LedgerConfig::default(), holdings, at(0)),
         goal: None,
         withdrawn: None,
--- a/crates/croftrill-scheduler/tests/replica_ledger.rs
+++ b/crates/croftrill-scheduler/tests/replica_ledger.rs
@@ -37,7 +37,7 @@
         busy,
         waiting: 0,
         running: 0,
-        born_ms: None,
+        started_ms: None,
     }
 }
 
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -6,7 +6,7 @@
 use croftrill_scheduler::quota::keeper::Ruling;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::{
-    BornMs, Holdings, LimitWord, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord, RequestRate,
+    Holdings, LimitWord, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord, RequestRate, StartedMs,
 };
 use croftrill_scheduler::replica_table::{AnsweredCall, ReplicaTable};
 use croftrill_scheduler::time::Moment;
@@ -24,7 +24,7 @@
     "r1".into()
 }
 
-fn listing(born_ms: BornMs) -> ReplicaListing {
+fn listing(started_ms: StartedMs) -> ReplicaListing {
     ReplicaListing {
         id: replica(),
         service: "llm".into(),
@@ -33,15 +33,21 @@
         slots: 8,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: Some(born_ms),
+        started_ms: Some(started_ms),
         holdings: Holdings::default(),
     }
 }
 
 /// Applies the answer to a call with these times.
-fn hear(table: &mut ReplicaTable, born_ms: BornMs, limit: LimitWord, sent_ms: u64, answered_ms: u64) -> bool {
+fn hear(
+    table: &mut ReplicaTable,
+    started_ms: StartedMs,
+    limit: LimitWord,
+    sent_ms: u64,
+    answered_ms: u64,
+) -> bool {
     let call = AnsweredCall {
-        born_ms: Some(born_ms),
+        started_ms: Some(started_ms),
         sent_at: at(sent_ms),
         answered_at: at(answered_ms),
     };
--- a/crates/croftrill-scheduler/tests/replica_table.rs
+++ b/crates/croftrill-scheduler/tests/replica_table.rs
@@ -22,7 +22,7 @@
         slots: 8,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: Holdings::default(),
     }
 }
@@ -34,7 +34,7 @@
     };
     Placement {
         replica: id.into(),
-        born_ms: None,
+        started_ms: None,
         usable: Holdings {
             models: vec![held],
             ..Holdings::default()
@@ -201,9 +201,9 @@
 #[test]
 fn apply_listing_of_a_later_start_forgets_what_was_known() {
     let mut table = ReplicaTable::new();
-    table.apply_listing(born("r1", 1000));
+    table.apply_listing(listing_started_at("r1", 1000));
     table.apply_placement(Placement {
-        born_ms: Some(1000),
+        started_ms: Some(1000),
         ..told("r1", "m1")
     });
     for _ in 0..3 {
@@ -214,7 +214,7 @@
         output_tokens: 0,
     };
     table.begin_send("r1", work, NOW);
-    table.apply_listing(born("r1", 2000));
+    table.apply_listing(listing_started_at("r1", 2000));
     assert_eq!(table.holders("llm", "m1"), 0);
     let entry = table.get("r1").expect("the replica is listed");
     assert!(!entry.is_told() && !entry.health.is_unreachable(NOW));
@@ -224,10 +224,10 @@
 #[test]
 fn apply_listing_of_an_earlier_start_changes_nothing() {
     let mut table = ReplicaTable::new();
-    table.apply_listing(born("r1", 2000));
+    table.apply_listing(listing_started_at("r1", 2000));
     table.apply_listing(ReplicaListing {
         state: ReplicaState::Draining,
-        ..born("r1", 1000)
+        ..listing_started_at("r1", 1000)
     });
     assert!(table.get("r1").is_some_and(|entry| entry.is_ready()));
 }
@@ -235,16 +235,16 @@
 #[test]
 fn apply_placement_of_another_start_waits_or_is_over() {
     let mut table = ReplicaTable::new();
-    table.apply_listing(born("r1", 2000));
-    let of = |born_ms| Placement {
-        born_ms: Some(born_ms),
+    table.apply_listing(listing_started_at("r1", 2000));
+    let of = |started_ms| Placement {
+        started_ms: Some(started_ms),
         ..told("r1", "m1")
     };
     assert!(!table.apply_placement(of(1000)));
     assert_eq!(table.holders("llm", "m1"), 0);
     assert!(!table.apply_placement(of(3000)));
     assert_eq!(table.holders("llm", "m1"), 0);
-    table.apply_relayed_listing(born("r1", 3000));
+    table.apply_relayed_listing(listing_started_at("r1", 3000));
     assert_eq!(table.holders("llm", "m1"), 1);
 }
 
@@ -292,9 +292,9 @@
     assert_eq!(table.changed_since(version), ChangedReplicas::Everything);
 }
 
-fn born(id: &str, born_ms: u64) -> ReplicaListing {
+fn listing_started_at(id: &str, started_ms: u64) -> ReplicaListing {
     ReplicaListing {
-        born_ms: Some(born_ms),
+        started_ms: Some(started_ms),
         ..listing(id)
     }
 }
@@ -305,14 +305,14 @@
     #[test]
     fn with_model_finds_what_a_walk_finds(steps in prop::collection::vec((0u8..6, 0u8..5, 0u8..3, 0u64..3), 1..80)) {
         let mut table = ReplicaTable::new();
-        for (step, replica, model, born_ms) in steps {
+        for (step, replica, model, started_ms) in steps {
             let id = format!("r{replica}");
             let placement = Placement {
-                born_ms: Some(born_ms),
+                started_ms: Some(started_ms),
                 ..told(&id, &format!("m{model}"))
             };
             match step {
-                0 | 1 => table.apply_listing(born(&id, born_ms)),
+                0 | 1 => table.apply_listing(listing_started_at(&id, started_ms)),
                 2 | 3 => {
                     table.apply_placement(placement);
                 }
@@ -334,15 +334,15 @@
 #[test]
 fn awaits_word_of_a_replica_listed_without_what_it_holds() {
     let mut table = ReplicaTable::new();
-    table.apply_relayed_listing(born("r1", 1000));
+    table.apply_relayed_listing(listing_started_at("r1", 1000));
     assert!(table.awaits_word("llm", |_| true));
     assert!(!table.awaits_word("llm", |_| false), "its orderer is not linked");
     table.apply_placement(Placement {
-        born_ms: Some(1000),
+        started_ms: Some(1000),
         ..told("r1", "m1")
     });
     assert!(!table.awaits_word("llm", |_| true));
-    table.apply_relayed_listing(born("r1", 2000));
+    table.apply_relayed_listing(listing_started_at("r1", 2000));
     assert!(table.awaits_word("llm", |_| true), "the replica restarted");
 }
 
@@ -386,10 +386,10 @@
 fn apply_listed_holdings_of_an_unknown_replica_or_another_start_is_no_news() {
     let mut table = ReplicaTable::new();
     assert_eq!(table.apply_listed_holdings(listed_with("r1", "m1")), None);
-    table.apply_listing(born("r2", 2));
-    for born_ms in [1, 3] {
+    table.apply_listing(listing_started_at("r2", 2));
+    for started_ms in [1, 3] {
         let read = ReplicaListing {
-            born_ms: Some(born_ms),
+            started_ms: Some(started_ms),
             ..listed_with("r2", "m1")
         };
         assert_eq!(table.apply_listed_holdings(read), None);
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -28,7 +28,7 @@
         slots: 8,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: Holdings {
             sequence: 0,
             models: models.collect(),
@@ -162,7 +162,7 @@
     };
     table.apply_placement(Placement {
         replica: "r0".into(),
-        born_ms: None,
+        started_ms: None,
         usable,
         arriving: Vec::new(),
         tells_copies: false,
--- a/crates/croftrill-scheduler/tests/shares_and_plans.rs
+++ b/crates/croftrill-scheduler/tests/shares_and_plans.rs
@@ -104,7 +104,7 @@
         slots: 1,
         state: ReplicaState::Ready,
         leaves_in: None,
-        born_ms: None,
+        started_ms: None,
         holdings: Holdings {
             sequence: 0,
             models: vec![HeldModel {
