--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -8,7 +8,7 @@
 use croftrill_scheduler::demand::{Asked, ModelKey};
 use croftrill_scheduler::orderer::{Decision, OrdererConfig};
 use croftrill_scheduler::replica::{
-    Holdings, LimitWord, Order, OrderOutcome, ReplicaId, ReplicaWord, RequestRate,
+    Holdings, LimitSignal, Order, OrderOutcome, ReplicaId, ReplicaSignals, RequestRate,
 };
 use croftrill_scheduler::replica_table::{AnsweredCall, Arrival, Placement, ReplicaTable};
 use croftrill_scheduler::shard::{OrderScope, Shard};
@@ -432,9 +432,9 @@
     let id: ReplicaId = "r0".into();
     let mut table = ReplicaTable::new();
     table.apply_listing(listing(&id, &world.replicas["r0"].holdings));
-    let leaving = ReplicaWord {
+    let leaving = ReplicaSignals {
         is_leaving: true,
-        ..ReplicaWord::default()
+        ..ReplicaSignals::default()
     };
     let started_ms = table.get("r0").and_then(|entry| entry.listing.started_ms);
     let call = AnsweredCall {
@@ -442,7 +442,7 @@
         sent_at: world.now,
         answered_at: world.now,
     };
-    assert!(table.hear(&id, call, leaving).leaves);
+    assert!(table.apply_signals(&id, call, leaving).leaving);
     let entry = table.get("r0").expect("it is listed").clone();
     world.orderer.known(&entry, world.now);
     world.orderer.mark_waiting(&key("m4", None), world.now);
@@ -465,11 +465,11 @@
             sent_at: world.now,
             answered_at: world.now,
         };
-        let word = ReplicaWord {
-            limit: LimitWord::Limited(RequestRate::from_millis_per_s(1000)),
-            ..ReplicaWord::default()
+        let word = ReplicaSignals {
+            limit: LimitSignal::Limited(RequestRate::from_millis_per_s(1000)),
+            ..ReplicaSignals::default()
         };
-        assert!(table.hear(&id, call, word).limit);
+        assert!(table.apply_signals(&id, call, word).limit);
         let entry = table.get(&id).expect("it is listed").clone();
         world.orderer.known(&entry, world.now);
     }
--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -2,7 +2,7 @@
 
 use croftrill_node::limit_header::limit_named;
 use croftrill_node::rest_header::rest_asked;
-use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaWord, WeightCopies};
+use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaSignals, WeightCopies};
 use http::{HeaderMap, HeaderName, StatusCode};
 use serde::{Deserialize, Serialize};
 
@@ -25,9 +25,9 @@
 pub const LIMIT_HEADER: HeaderName = HeaderName::from_static("croftrill-limit");
 
 /// What a replica says of itself in an answer.
-pub fn replica_word(status: StatusCode, headers: &HeaderMap) -> ReplicaWord {
+pub fn replica_word(status: StatusCode, headers: &HeaderMap) -> ReplicaSignals {
     let value = headers.get(LEAVING_HEADER).and_then(|value| value.to_str().ok());
-    ReplicaWord {
+    ReplicaSignals {
         is_leaving: value.map(str::trim) == Some(LEAVING_VALUE),
         rest: rest_asked(status, headers),
         limit: limit_named(headers, &LIMIT_HEADER),
--- a/crates/croftrill-node/src/limit_header.rs
+++ b/crates/croftrill-node/src/limit_header.rs
@@ -1,17 +1,17 @@
 //! The limit on requests that a replica names in its answers.
 
-use croftrill_scheduler::replica::{LimitWord, RequestRate};
+use croftrill_scheduler::replica::{LimitSignal, RequestRate};
 use http::header::{HeaderMap, HeaderName};
 
 /// The limit that an answer names: a decimal number of requests a second, the least of
 /// several. What is no such number says nothing: it neither sets a limit nor ends one.
-pub fn limit_named(headers: &HeaderMap, name: &HeaderName) -> LimitWord {
+pub fn limit_named(headers: &HeaderMap, name: &HeaderName) -> LimitSignal {
     if !headers.contains_key(name) {
-        return LimitWord::Unlimited;
+        return LimitSignal::Unlimited;
     }
     let rates = headers.get_all(name).iter().filter_map(|value| {
         let per_s: f64 = value.to_str().ok()?.trim().parse().ok()?;
         RequestRate::from_per_s(per_s)
     });
-    rates.min().map_or(LimitWord::Unsaid, LimitWord::Limited)
+    rates.min().map_or(LimitSignal::Unspecified, LimitSignal::Limited)
 }
--- a/crates/croftrill-node/src/own_word.rs
+++ b/crates/croftrill-node/src/own_word.rs
@@ -1,7 +1,7 @@
 //! Takes in what replicas say of themselves in their answers.
 
-use croftrill_scheduler::replica::{ReplicaId, ReplicaWord};
-use croftrill_scheduler::replica_table::{AnsweredCall, WordNews};
+use croftrill_scheduler::replica::{ReplicaId, ReplicaSignals};
+use croftrill_scheduler::replica_table::{AnsweredCall, SignalChanges};
 
 use crate::metrics::Metrics;
 use crate::node::Node;
@@ -14,12 +14,12 @@
     node: &Node<P>,
     replica: &ReplicaId,
     call: AnsweredCall,
-    word: ReplicaWord,
+    word: ReplicaSignals,
     answer_to: &str,
 ) {
     let mut state = node.state.borrow_mut();
     let listed = state.replicas.get(replica).map(|entry| entry.listing.state);
-    let news = state.replicas.hear(replica, call, word);
+    let news = state.replicas.apply_signals(replica, call, word);
     let limit = state.replicas.limit_of(replica);
     drop(state);
     if let Some(rest) = word.rest {
@@ -37,11 +37,11 @@
         Metrics::count(&node.metrics.replica_words, "limit", "heard");
         tracing::info!(target: "replica", event, replica = &**replica, answer_to, limit_per_s);
     }
-    if news.leaves {
+    if news.leaving {
         Metrics::count(&node.metrics.replica_words, "leaving", "heard");
         tracing::info!(target: "replica", event = "leaves, by its own word", replica = &**replica, answer_to, ?listed);
     }
-    if news != WordNews::default() {
+    if news != SignalChanges::default() {
         node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
     }
 }
--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -13,7 +13,7 @@
 use croftrill_scheduler::catalog::{AdapterName, Configuration, ModelName};
 use croftrill_scheduler::relay_log::retain_last_writes;
 use croftrill_scheduler::replica::{
-    Order, OrderOutcome, ReplicaId, ReplicaListing, ReplicaReport, ReplicaWord,
+    Order, OrderOutcome, ReplicaId, ReplicaListing, ReplicaReport, ReplicaSignals,
 };
 use http::{request, response, HeaderMap};
 
@@ -304,7 +304,7 @@
     /// The answer, or that none came.
     pub answer: T,
     /// Nothing, if none came.
-    pub word: ReplicaWord,
+    pub word: ReplicaSignals,
 }
 
 impl<T> EngineAnswer<T> {
@@ -312,7 +312,7 @@
     pub fn without_word(answer: T) -> Self {
         EngineAnswer {
             answer,
-            word: ReplicaWord::default(),
+            word: ReplicaSignals::default(),
         }
     }
 }
@@ -411,7 +411,7 @@
     /// Its load, if told.
     pub load: Option<ReplicaLoad>,
     /// What else the replica says of itself.
-    pub word: ReplicaWord,
+    pub word: ReplicaSignals,
 }
 
 /// How requests and answers are written on the wire.
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -254,7 +254,7 @@
         }
         if state
             .replicas
-            .awaits_word(&self.service, |shard| state.linked[shard.index()])
+            .awaits_placement(&self.service, |shard| state.linked[shard.index()])
         {
             return Some(WORD_IN);
         }
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -72,7 +72,7 @@
         let now = self.now();
         let state = self.node.state.borrow();
         let Some(entry) = state.replicas.get(replica) else {
-            return (!state.replicas.is_turned_away(replica, now)).then_some(SAME_REPLICA_PAUSE);
+            return (!state.replicas.rejects_requests(replica, now)).then_some(SAME_REPLICA_PAUSE);
         };
         if !entry.is_ready() {
             return None;
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::catalog::RouteKind;
 use croftrill_scheduler::health::SendOutcome;
-use croftrill_scheduler::replica::{LimitWord, ReplicaId};
+use croftrill_scheduler::replica::{LimitSignal, ReplicaId};
 use croftrill_scheduler::replica_table::AnsweredCall;
 use croftrill_scheduler::time::Moment;
 use http::{header, response, Request, Response};
@@ -231,9 +231,9 @@
             answered_at: self.now(),
         };
         let mut word = facts.word;
-        if word.limit == LimitWord::Unlimited && (facts.is_misdirected || !facts.is_ours) {
+        if word.limit == LimitSignal::Unlimited && (facts.is_misdirected || !facts.is_ours) {
             // It may be the answer of another replica, or to another request.
-            word.limit = LimitWord::Unsaid;
+            word.limit = LimitSignal::Unspecified;
         }
         own_word::hear(&self.node, &send.replica, call, word, &self.facts.id);
     }
@@ -241,7 +241,7 @@
     /// True if the replica told this node not to send it anything (for now).
     pub(super) fn is_turned_away_by(&self, replica: &ReplicaId) -> bool {
         let now = self.now();
-        self.node.state.borrow().replicas.is_turned_away(replica, now)
+        self.node.state.borrow().replicas.rejects_requests(replica, now)
     }
 
     pub(super) fn not_executed(
--- a/crates/croftrill-node/tests/limit_header.rs
+++ b/crates/croftrill-node/tests/limit_header.rs
@@ -1,12 +1,12 @@
 //! The header by which a replica names a limit, whatever it holds.
 
 use croftrill_node::limit_header::limit_named;
-use croftrill_scheduler::replica::{LimitWord, RequestRate};
+use croftrill_scheduler::replica::{LimitSignal, RequestRate};
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 
 const NAME: HeaderName = HeaderName::from_static("limit");
 
-fn named(values: &[&'static str]) -> LimitWord {
+fn named(values: &[&'static str]) -> LimitSignal {
     let mut headers = HeaderMap::new();
     for value in values {
         headers.append(NAME, HeaderValue::from_static(value));
@@ -14,8 +14,8 @@
     limit_named(&headers, &NAME)
 }
 
-fn limited(per_s: f64) -> LimitWord {
-    LimitWord::Limited(RequestRate::from_per_s(per_s).expect("a rate"))
+fn limited(per_s: f64) -> LimitSignal {
+    LimitSignal::Limited(RequestRate::from_per_s(per_s).expect("a rate"))
 }
 
 #[test]
@@ -30,9 +30,9 @@
 #[test]
 fn limit_named_of_no_number_says_nothing_and_of_none_that_there_is_none() {
     for value in ["", "-1", "NaN", "inf", "-inf", "soon", "1,5", "1 2"] {
-        assert_eq!(named(&[value]), LimitWord::Unsaid, "{value}");
+        assert_eq!(named(&[value]), LimitSignal::Unspecified, "{value}");
     }
-    assert_eq!(named(&[]), LimitWord::Unlimited);
+    assert_eq!(named(&[]), LimitSignal::Unlimited);
 }
 
 #[test]
--- a/crates/croftrill-scheduler/src/replica.rs
+++ b/crates/croftrill-scheduler/src/replica.rs
@@ -74,10 +74,10 @@
 
 /// What an answer of a replica says about a limit on its requests from all nodes together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum LimitWord {
+pub enum LimitSignal {
     /// Nothing: no answer arrived, or it is unreadable.
     #[default]
-    Unsaid,
+    Unspecified,
     /// The replica sets no limit.
     Unlimited,
     /// The replica accepts at most this rate, until a later answer changes it.
@@ -86,16 +86,16 @@
 
 /// Signals that a replica sends in an answer to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ReplicaWord {
+pub struct ReplicaSignals {
     /// The replica is about to leave.
     pub is_leaving: bool,
     /// Time for which the replica wants no more requests from that node.
     pub rest: Option<Duration>,
     /// Limit on requests from all nodes together.
-    pub limit: LimitWord,
+    pub limit: LimitSignal,
 }
 
-impl ReplicaWord {
+impl ReplicaSignals {
     /// Returns whether the answer signals neither leaving nor a cooldown.
     pub fn is_empty(&self) -> bool {
         !self.is_leaving && self.rest.is_none()
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -1,7 +1,7 @@
 //! A replica as a node's table stores it.
 
 use super::own_begun::OwnBegun;
-use super::own_word::OwnWord;
+use super::own_word::KnownSignals;
 use super::{Arrival, Placement};
 use crate::capacity::Capacity;
 use crate::catalog::{AdapterName, ModelName};
@@ -19,7 +19,7 @@
     /// Health, as observed in responses.
     pub health: ReplicaHealth,
     /// Signals that it sent to this node.
-    pub(super) own_word: OwnWord,
+    pub(super) signals: KnownSignals,
     pub(super) from_orderer: bool,
     pub(super) absent: Vec<(ModelName, Option<AdapterName>)>,
     pub(super) own_sends: u32,
@@ -38,7 +38,7 @@
             listing,
             arriving: Vec::new(),
             health: ReplicaHealth::default(),
-            own_word: OwnWord::default(),
+            signals: KnownSignals::default(),
             from_orderer: false,
             absent: Vec::new(),
             own_sends: 0,
@@ -57,7 +57,7 @@
             own_sends: self.own_sends,
             own_tokens: self.own_tokens,
             own_begun: self.own_begun.clone(),
-            own_word: self.own_word.of_incarnation(listing.started_ms),
+            signals: self.signals.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
         }
     }
@@ -85,7 +85,7 @@
 
     /// Returns the replica's state by its listing and its own signals.
     pub fn state(&self) -> ReplicaState {
-        if self.own_word.is_leaving() {
+        if self.signals.is_leaving() {
             ReplicaState::Draining
         } else {
             self.listing.state
@@ -99,12 +99,12 @@
 
     /// Returns when the replica's cooldown for this node ends, if one is active.
     pub fn rests_until(&self, now: Moment) -> Option<Moment> {
-        self.own_word.rests_until(now)
+        self.signals.rests_until(now)
     }
 
     /// Returns whether it limits the requests that it accepts from all nodes together.
     pub fn is_limited(&self) -> bool {
-        self.own_word.limit().is_some()
+        self.signals.limit().is_some()
     }
 
     /// Returns whether it accepts new requests from this node now.
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -20,8 +20,8 @@
 pub use self::change_log::{ChangedReplicas, TableVersion};
 pub use self::entry::ReplicaEntry;
 use self::index::ServiceIndex;
-use self::own_word::OwnWord;
-pub use self::own_word::{AnsweredCall, WordNews};
+use self::own_word::KnownSignals;
+pub use self::own_word::{AnsweredCall, SignalChanges};
 use self::unlisted::Unlisted;
 use crate::capacity::ReplicaLoad;
 use crate::catalog::{AdapterName, ModelName, ModelSpec, ServiceName};
@@ -29,7 +29,7 @@
 use crate::placement::{weight_source, WeightSource};
 use crate::quota::limits::NamedLimit;
 use crate::replica::{
-    Holdings, Incarnation, ReplicaId, ReplicaListing, ReplicaWord, StartedMs, WeightCopies,
+    Holdings, Incarnation, ReplicaId, ReplicaListing, ReplicaSignals, StartedMs, WeightCopies,
 };
 use crate::shard::Shard;
 use crate::time::Moment;
@@ -88,11 +88,11 @@
     /// Replicas with recorded outcomes of requests.
     judged: BTreeSet<ReplicaId>,
     /// Replicas that were listed before their orderer published a placement for them.
-    awaiting_word: BTreeSet<ReplicaId>,
+    awaiting_placement: BTreeSet<ReplicaId>,
     /// Placements of replicas that are not listed.
     unlisted: Unlisted<Placement>,
     /// Signals of replicas that are not listed.
-    unlisted_words: Unlisted<OwnWord>,
+    unlisted_signals: Unlisted<KnownSignals>,
     changes: ChangeLog,
     /// Shortest times to load a model, received from nodes that know all replicas.
     told_reloads: HashMap<(ServiceName, ModelName), Duration>,
@@ -142,52 +142,57 @@
     /// Returns the entry of a replica that was not listed. Its earlier signals remain valid, as
     /// its directory entry may have lapsed while it kept running.
     fn newly_listed(&mut self, listing: ReplicaListing) -> ReplicaEntry {
-        let told = self.unlisted_words.take(&listing.id).unwrap_or_default();
+        let signals = self.unlisted_signals.take(&listing.id).unwrap_or_default();
         ReplicaEntry {
-            own_word: told.of_incarnation(listing.started_ms),
+            signals: signals.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
         }
     }
 
     /// Applies the signals that a replica sent in its response to `call`, and returns what
     /// changed.
-    pub fn hear(&mut self, id: &ReplicaId, call: AnsweredCall, word: ReplicaWord) -> WordNews {
+    pub fn apply_signals(
+        &mut self,
+        id: &ReplicaId,
+        call: AnsweredCall,
+        signals: ReplicaSignals,
+    ) -> SignalChanges {
         let Some(entry) = self.replicas.get_mut(id) else {
-            let mut told = self.unlisted_words.take(id).unwrap_or_default();
-            let news = told.hear(call, word);
-            if !told.is_empty() {
-                self.unlisted_words.keep(id.clone(), told);
+            let mut known = self.unlisted_signals.take(id).unwrap_or_default();
+            let changes = known.apply(call, signals);
+            if !known.is_empty() {
+                self.unlisted_signals.keep(id.clone(), known);
             }
-            return news;
+            return changes;
         };
         if Incarnation::of(call.started_ms, entry.listing.started_ms) == Incarnation::Earlier {
-            return WordNews::default();
+            return SignalChanges::default();
         }
-        let news = entry.own_word.hear(call, word);
-        if news != WordNews::default() {
+        let changes = entry.signals.apply(call, signals);
+        if changes != SignalChanges::default() {
             self.changes.note(id, self.replicas.len());
         }
-        news
+        changes
     }
 
     /// Returns the request limit that a replica reported to this node, and when the incarnation
     /// that reported it started, if known.
     pub fn limit_of(&self, id: &str) -> Option<(NamedLimit, Option<StartedMs>)> {
-        let told = match self.replicas.get(id) {
-            Some(entry) => entry.own_word,
-            None => *self.unlisted_words.get(id)?,
+        let signals = match self.replicas.get(id) {
+            Some(entry) => entry.signals,
+            None => *self.unlisted_signals.get(id)?,
         };
-        told.limit().map(|limit| (limit, told.started_ms()))
+        signals.limit().map(|limit| (limit, signals.started_ms()))
     }
 
     /// Returns whether the replica has asked this node not to send it requests, for now or for
     /// good.
-    pub fn is_turned_away(&self, id: &str, now: Moment) -> bool {
-        let told = match self.replicas.get(id) {
-            Some(entry) => entry.own_word,
-            None => self.unlisted_words.get(id).copied().unwrap_or_default(),
+    pub fn rejects_requests(&self, id: &str, now: Moment) -> bool {
+        let signals = match self.replicas.get(id) {
+            Some(entry) => entry.signals,
+            None => self.unlisted_signals.get(id).copied().unwrap_or_default(),
         };
-        told.is_leaving() || told.rests_until(now).is_some()
+        signals.is_leaving() || signals.rests_until(now).is_some()
     }
 
     /// Applies the holdings in a listing of a known replica, unless an orderer publishes
@@ -228,7 +233,7 @@
         if let Some(told) = told {
             self.apply_placement(told);
         } else if is_new {
-            self.awaiting_word.insert(id);
+            self.awaiting_placement.insert(id);
         }
     }
 
@@ -247,8 +252,11 @@
 
     /// Returns whether a ready replica of the service was listed but its placement has not
     /// arrived yet, although the orderer of its shard is linked.
-    pub fn awaits_word(&self, service: &str, is_linked: impl Fn(Shard) -> bool) -> bool {
-        let awaiting = self.awaiting_word.iter().filter_map(|id| self.replicas.get(id));
+    pub fn awaits_placement(&self, service: &str, is_linked: impl Fn(Shard) -> bool) -> bool {
+        let awaiting = self
+            .awaiting_placement
+            .iter()
+            .filter_map(|id| self.replicas.get(id));
         let mut awaiting = awaiting.filter(|entry| &*entry.listing.service == service && entry.is_ready());
         awaiting.any(|entry| is_linked(Shard::of_replica(&entry.listing.id)))
     }
@@ -263,7 +271,7 @@
             .add(&entry);
         self.replicas.insert(id.clone(), entry);
         self.unlisted.note_listed(self.replicas.len());
-        self.unlisted_words.note_listed(self.replicas.len());
+        self.unlisted_signals.note_listed(self.replicas.len());
         self.changes.note(&id, self.replicas.len());
     }
 
@@ -282,10 +290,11 @@
             return;
         };
         self.judged.remove(id);
-        self.awaiting_word.remove(id);
+        self.awaiting_placement.remove(id);
         self.changes.note(&entry.listing.id, self.replicas.len());
-        if !entry.own_word.is_empty() {
-            self.unlisted_words.keep(entry.listing.id.clone(), entry.own_word);
+        if !entry.signals.is_empty() {
+            self.unlisted_signals
+                .keep(entry.listing.id.clone(), entry.signals);
         }
         if entry.from_orderer {
             self.unlisted.keep(entry.listing.id.clone(), entry.placement());
@@ -325,7 +334,7 @@
         }
         let mut entry = known.clone();
         entry.from_orderer = true;
-        self.awaiting_word.remove(&placement.replica);
+        self.awaiting_placement.remove(&placement.replica);
         entry.absent.clear();
         let former = std::mem::replace(&mut entry.listing.holdings, placement.usable);
         if placement.tells_copies {
--- a/crates/croftrill-scheduler/src/replica_table/own_word.rs
+++ b/crates/croftrill-scheduler/src/replica_table/own_word.rs
@@ -6,7 +6,7 @@
 //! override them.
 
 use crate::quota::limits::NamedLimit;
-use crate::replica::{Incarnation, LimitWord, ReplicaWord, StartedMs};
+use crate::replica::{Incarnation, LimitSignal, ReplicaSignals, StartedMs};
 use crate::time::Moment;
 
 /// A call to a replica that was answered, as the calling node observed it.
@@ -22,16 +22,16 @@
 
 /// What an answer changed in the known signals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct WordNews {
+pub struct SignalChanges {
     /// The replica was not known to be leaving before.
-    pub leaves: bool,
+    pub leaving: bool,
     /// It set or changed its limit, or removed it.
     pub limit: bool,
 }
 
 /// The known signals of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(super) struct OwnWord {
+pub(super) struct KnownSignals {
     /// When the incarnation that sent the signals started, if known. Stored beside the listing's
     /// start, as the listing may be of an earlier incarnation and written late.
     started_ms: Option<StartedMs>,
@@ -43,33 +43,33 @@
     limit: Option<NamedLimit>,
 }
 
-impl OwnWord {
+impl KnownSignals {
     /// Applies the signals of an answer. A later answer may ask for a shorter cooldown than is
     /// left of an earlier one, which remains in force.
-    pub(super) fn hear(&mut self, call: AnsweredCall, word: ReplicaWord) -> WordNews {
+    pub(super) fn apply(&mut self, call: AnsweredCall, signals: ReplicaSignals) -> SignalChanges {
         if Incarnation::of(call.started_ms, self.started_ms) == Incarnation::Earlier {
-            return WordNews::default();
+            return SignalChanges::default();
         }
         *self = self.of_incarnation(call.started_ms);
         self.started_ms = call.started_ms.or(self.started_ms);
-        let rests_until = word.rest.map(|rest| call.answered_at + rest);
+        let rests_until = signals.rest.map(|rest| call.answered_at + rest);
         self.rests_until = self.rests_until.max(rests_until);
-        let leaves = word.is_leaving && !self.is_leaving;
-        self.is_leaving |= word.is_leaving;
-        let limit = self.hear_limit(call, word.limit);
-        WordNews { leaves, limit }
+        let leaving = signals.is_leaving && !self.is_leaving;
+        self.is_leaving |= signals.is_leaving;
+        let limit = self.apply_limit(call, signals.limit);
+        SignalChanges { leaving, limit }
     }
 
     /// Updates the limit, and returns whether it changed. Answers may arrive out of order: an
     /// answer is certainly newer than the known limit only if its call was sent after that limit
     /// arrived. Any other answer can only lower the limit.
-    fn hear_limit(&mut self, call: AnsweredCall, word: LimitWord) -> bool {
+    fn apply_limit(&mut self, call: AnsweredCall, signal: LimitSignal) -> bool {
         let known = self.limit;
         let is_later = known.is_none_or(|known| call.sent_at >= known.heard_at);
-        match word {
-            LimitWord::Unsaid => {}
-            LimitWord::Unlimited => self.limit = known.filter(|_| !is_later),
-            LimitWord::Limited(rate) => {
+        match signal {
+            LimitSignal::Unspecified => {}
+            LimitSignal::Unlimited => self.limit = known.filter(|_| !is_later),
+            LimitSignal::Limited(rate) => {
                 if is_later || known.is_some_and(|known| rate <= known.rate) {
                     let heard_at = call.answered_at;
                     self.limit = Some(NamedLimit { rate, heard_at });
@@ -82,7 +82,7 @@
     /// Returns the signals that are valid for the incarnation that started at `started_ms`.
     pub(super) fn of_incarnation(self, started_ms: Option<StartedMs>) -> Self {
         match Incarnation::of(started_ms, self.started_ms) {
-            Incarnation::Later => OwnWord::default(),
+            Incarnation::Later => KnownSignals::default(),
             Incarnation::Same | Incarnation::Earlier => self,
         }
     }
--- a/crates/croftrill-scheduler/tests/own_word.rs
+++ b/crates/croftrill-scheduler/tests/own_word.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::replica::{
-    HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord, StartedMs,
+    HeldModel, Holdings, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, StartedMs,
 };
 use croftrill_scheduler::replica_table::{AnsweredCall, ReplicaTable};
 use croftrill_scheduler::routing::{choose, ModelNeed, RoutingRequest};
@@ -36,17 +36,17 @@
     Moment::from_start(Duration::from_millis(1_000_000 + millis))
 }
 
-fn leaving() -> ReplicaWord {
-    ReplicaWord {
+fn leaving() -> ReplicaSignals {
+    ReplicaSignals {
         is_leaving: true,
-        ..ReplicaWord::default()
+        ..ReplicaSignals::default()
     }
 }
 
-fn rest(millis: u64) -> ReplicaWord {
-    ReplicaWord {
+fn rest(millis: u64) -> ReplicaSignals {
+    ReplicaSignals {
         rest: Some(Duration::from_millis(millis)),
-        ..ReplicaWord::default()
+        ..ReplicaSignals::default()
     }
 }
 
@@ -55,7 +55,7 @@
     table: &mut ReplicaTable,
     id: &ReplicaId,
     started_ms: Option<StartedMs>,
-    word: ReplicaWord,
+    word: ReplicaSignals,
     now: Moment,
 ) -> bool {
     let call = AnsweredCall {
@@ -63,7 +63,7 @@
         sent_at: now,
         answered_at: now,
     };
-    table.hear(id, call, word).leaves
+    table.apply_signals(id, call, word).leaving
 }
 
 fn chosen(table: &ReplicaTable, salt: u64, now: Moment) -> Option<ReplicaId> {
@@ -159,7 +159,7 @@
             let bars = left == Some(newest) || in_rest;
             let listed = table.get("r1").map(|entry| entry.listing.started_ms);
             if listed == Some(Some(newest)) {
-                prop_assert_eq!(table.is_turned_away("r1", now), bars);
+                prop_assert_eq!(table.rejects_requests("r1", now), bars);
                 prop_assert_eq!(chosen(&table, 1, now).is_none(), bars);
             }
         }
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -6,7 +6,7 @@
 use croftrill_scheduler::quota::keeper::Ruling;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::{
-    Holdings, LimitWord, ReplicaId, ReplicaListing, ReplicaState, ReplicaWord, RequestRate, StartedMs,
+    Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
 };
 use croftrill_scheduler::replica_table::{AnsweredCall, ReplicaTable};
 use croftrill_scheduler::time::Moment;
@@ -42,7 +42,7 @@
 fn hear(
     table: &mut ReplicaTable,
     started_ms: StartedMs,
-    limit: LimitWord,
+    limit: LimitSignal,
     sent_ms: u64,
     answered_ms: u64,
 ) -> bool {
@@ -51,11 +51,11 @@
         sent_at: at(sent_ms),
         answered_at: at(answered_ms),
     };
-    let word = ReplicaWord {
+    let word = ReplicaSignals {
         limit,
-        ..ReplicaWord::default()
+        ..ReplicaSignals::default()
     };
-    table.hear(&replica(), call, word).limit
+    table.apply_signals(&replica(), call, word).limit
 }
 
 fn known(table: &ReplicaTable) -> Option<RequestRate> {
@@ -71,32 +71,32 @@
 #[test]
 fn hear_a_limit_holds_until_an_answer_to_a_later_call_names_none() {
     let mut table = listed();
-    assert!(hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 0, 10));
+    assert!(hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10));
     // It was answered before the limit was reported, and arrived later.
-    assert!(!hear(&mut table, 1, LimitWord::Unlimited, 5, 400));
+    assert!(!hear(&mut table, 1, LimitSignal::Unlimited, 5, 400));
     assert_eq!(known(&table), Some(rate(2.0)));
     // An answer without a limit signal changes nothing.
-    assert!(!hear(&mut table, 1, LimitWord::Unsaid, 50, 60));
-    assert!(hear(&mut table, 1, LimitWord::Unlimited, 50, 70));
+    assert!(!hear(&mut table, 1, LimitSignal::Unspecified, 50, 60));
+    assert!(hear(&mut table, 1, LimitSignal::Unlimited, 50, 70));
     assert_eq!(known(&table), None);
 }
 
 #[test]
 fn hear_of_answers_that_overtake_each_other_keeps_the_lower_limit() {
     let mut table = listed();
-    hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 0, 10);
-    hear(&mut table, 1, LimitWord::Limited(rate(9.0)), 5, 20);
+    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
+    hear(&mut table, 1, LimitSignal::Limited(rate(9.0)), 5, 20);
     assert_eq!(known(&table), Some(rate(2.0)));
-    hear(&mut table, 1, LimitWord::Limited(rate(1.0)), 5, 30);
+    hear(&mut table, 1, LimitSignal::Limited(rate(1.0)), 5, 30);
     assert_eq!(known(&table), Some(rate(1.0)));
-    hear(&mut table, 1, LimitWord::Limited(rate(9.0)), 40, 50);
+    hear(&mut table, 1, LimitSignal::Limited(rate(9.0)), 40, 50);
     assert_eq!(known(&table), Some(rate(9.0)));
 }
 
 #[test]
 fn hear_a_limit_outlives_a_lapse_of_the_entry_and_ends_with_a_new_start() {
     let mut table = listed();
-    hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 0, 10);
+    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
     table.remove("r1");
     assert_eq!(known(&table), Some(rate(2.0)));
     table.apply_listing(listing(1));
@@ -104,7 +104,7 @@
     table.apply_listing(listing(2));
     assert_eq!(known(&table), None);
     // An answer of the former incarnation arrives late.
-    hear(&mut table, 1, LimitWord::Limited(rate(2.0)), 20, 30);
+    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 20, 30);
     assert_eq!(known(&table), None);
 }
 
@@ -137,7 +137,7 @@
         let mut ended = false;
         for answer in &answers {
             let in_need = NEED_MS.contains(&answer.taken_ms);
-            let word = if in_need { LimitWord::Limited(rate(1.0)) } else { LimitWord::Unlimited };
+            let word = if in_need { LimitSignal::Limited(rate(1.0)) } else { LimitSignal::Unlimited };
             hear(&mut table, 1, word, answer.sent_ms, answer.answered_ms);
             if in_need {
                 told_ms = Some(answer.answered_ms);
--- a/crates/croftrill-scheduler/tests/replica_table.rs
+++ b/crates/croftrill-scheduler/tests/replica_table.rs
@@ -335,15 +335,18 @@
 fn awaits_word_of_a_replica_listed_without_what_it_holds() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing_started_at("r1", 1000));
-    assert!(table.awaits_word("llm", |_| true));
-    assert!(!table.awaits_word("llm", |_| false), "its orderer is not linked");
+    assert!(table.awaits_placement("llm", |_| true));
+    assert!(
+        !table.awaits_placement("llm", |_| false),
+        "its orderer is not linked"
+    );
     table.apply_placement(Placement {
         started_ms: Some(1000),
         ..told("r1", "m1")
     });
-    assert!(!table.awaits_word("llm", |_| true));
+    assert!(!table.awaits_placement("llm", |_| true));
     table.apply_relayed_listing(listing_started_at("r1", 2000));
-    assert!(table.awaits_word("llm", |_| true), "the replica restarted");
+    assert!(table.awaits_placement("llm", |_| true), "the replica restarted");
 }
 
 fn listed_with(id: &str, model: &str) -> ReplicaListing {
