--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -29,7 +29,7 @@
     let value = headers.get(LEAVING_HEADER).and_then(|value| value.to_str().ok());
     ReplicaSignals {
         is_leaving: value.map(str::trim) == Some(LEAVING_VALUE),
-        rest: rest_asked(status, headers),
+        cooldown: rest_asked(status, headers),
         limit: limit_named(headers, &LIMIT_HEADER),
     }
 }
--- a/crates/croftrill-node/src/own_word.rs
+++ b/crates/croftrill-node/src/own_word.rs
@@ -22,7 +22,7 @@
     let news = state.replicas.apply_signals(replica, call, word);
     let limit = state.replicas.limit_of(replica);
     drop(state);
-    if let Some(rest) = word.rest {
+    if let Some(rest) = word.cooldown {
         Metrics::count(&node.metrics.replica_words, "rest", "heard");
         tracing::info!(target: "replica", event = "wants rest", replica = &**replica, answer_to, ?listed,
             rest_ms = rest.as_millis() as u64);
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -248,7 +248,9 @@
             return Some(ADAPTER_READY_IN);
         }
         let arrival = state.replicas.arrival(&self.service, &key.model);
-        let rest_ends = state.replicas.holder_rests_until(&self.service, &key.model, now);
+        let rest_ends = state
+            .replicas
+            .earliest_holder_cooldown_end(&self.service, &key.model, now);
         if let Some(ready_at) = arrival.into_iter().chain(rest_ends).min() {
             return Some(ready_at.since(now).max(Duration::from_millis(20)));
         }
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -39,14 +39,14 @@
             let others = replicas.of_service(&self.service);
             let any_takes = others.filter(|entry| entry.takes_requests(now)).count() > 0;
             return replicas
-                .service_rests_until(&self.service, now)
+                .earliest_service_cooldown_end(&self.service, now)
                 .filter(|_| !any_takes);
         };
         if replicas.reachable_holders(&self.service, &key.model, now) > 0 {
             return None;
         }
         let arrival = replicas.arrival(&self.service, &key.model);
-        let rest_ends = replicas.holder_rests_until(&self.service, &key.model, now)?;
+        let rest_ends = replicas.earliest_holder_cooldown_end(&self.service, &key.model, now)?;
         arrival
             .is_none_or(|arrival| rest_ends <= arrival)
             .then_some(rest_ends)
@@ -78,7 +78,7 @@
             return None;
         }
         let rest = entry
-            .rests_until(now)
+            .cooldown_until(now)
             .map(|until| until.since(now) + RANK_STEP * u32::from(self.rank()));
         Some(rest.unwrap_or(SAME_REPLICA_PAUSE))
     }
--- a/crates/croftrill-scheduler/src/replica.rs
+++ b/crates/croftrill-scheduler/src/replica.rs
@@ -90,7 +90,7 @@
     /// The replica is about to leave.
     pub is_leaving: bool,
     /// Time for which the replica wants no more requests from that node.
-    pub rest: Option<Duration>,
+    pub cooldown: Option<Duration>,
     /// Limit on requests from all nodes together.
     pub limit: LimitSignal,
 }
@@ -98,7 +98,7 @@
 impl ReplicaSignals {
     /// Returns whether the answer signals neither leaving nor a cooldown.
     pub fn is_empty(&self) -> bool {
-        !self.is_leaving && self.rest.is_none()
+        !self.is_leaving && self.cooldown.is_none()
     }
 }
 
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -98,8 +98,8 @@
     }
 
     /// Returns when the replica's cooldown for this node ends, if one is active.
-    pub fn rests_until(&self, now: Moment) -> Option<Moment> {
-        self.signals.rests_until(now)
+    pub fn cooldown_until(&self, now: Moment) -> Option<Moment> {
+        self.signals.cooldown_until(now)
     }
 
     /// Returns whether it limits the requests that it accepts from all nodes together.
@@ -109,7 +109,7 @@
 
     /// Returns whether it accepts new requests from this node now.
     pub fn takes_requests(&self, now: Moment) -> bool {
-        self.is_ready() && self.rests_until(now).is_none()
+        self.is_ready() && self.cooldown_until(now).is_none()
     }
 
     /// Returns whether the model and adapter are usable there, as far as is known.
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -192,7 +192,7 @@
             Some(entry) => entry.signals,
             None => self.unlisted_signals.get(id).copied().unwrap_or_default(),
         };
-        signals.is_leaving() || signals.rests_until(now).is_some()
+        signals.is_leaving() || signals.cooldown_until(now).is_some()
     }
 
     /// Applies the holdings in a listing of a known replica, unless an orderer publishes
@@ -579,14 +579,14 @@
     }
 
     /// Returns the earliest end of a cooldown among the model's ready holders.
-    pub fn holder_rests_until(&self, service: &str, model: &str, now: Moment) -> Option<Moment> {
+    pub fn earliest_holder_cooldown_end(&self, service: &str, model: &str, now: Moment) -> Option<Moment> {
         let holders = self.with_model(service, model);
-        first_rest_end(holders.filter(|entry| entry.serves(model, None)), now)
+        earliest_cooldown_end(holders.filter(|entry| entry.serves(model, None)), now)
     }
 
     /// Returns the earliest end of a cooldown among the service's ready replicas.
-    pub fn service_rests_until(&self, service: &str, now: Moment) -> Option<Moment> {
-        first_rest_end(self.of_service(service), now)
+    pub fn earliest_service_cooldown_end(&self, service: &str, now: Moment) -> Option<Moment> {
+        earliest_cooldown_end(self.of_service(service), now)
     }
 
     /// Returns the number of replicas.
@@ -600,9 +600,9 @@
     }
 }
 
-fn first_rest_end<'a>(entries: impl Iterator<Item = &'a ReplicaEntry>, now: Moment) -> Option<Moment> {
+fn earliest_cooldown_end<'a>(entries: impl Iterator<Item = &'a ReplicaEntry>, now: Moment) -> Option<Moment> {
     let ready = entries.filter(|entry| entry.is_ready());
-    ready.filter_map(|entry| entry.rests_until(now)).min()
+    ready.filter_map(|entry| entry.cooldown_until(now)).min()
 }
 
 /// Returns the entry of a known replica after a new listing, or `None` if the listing is of an
--- a/crates/croftrill-scheduler/src/replica_table/own_word.rs
+++ b/crates/croftrill-scheduler/src/replica_table/own_word.rs
@@ -38,7 +38,7 @@
     /// The replica is leaving. A replica that is leaving is back only after a restart.
     is_leaving: bool,
     /// Until then it wants no requests from this node.
-    rests_until: Option<Moment>,
+    cooldown_until: Option<Moment>,
     /// Requests that it accepts from all nodes together.
     limit: Option<NamedLimit>,
 }
@@ -52,8 +52,8 @@
         }
         *self = self.of_incarnation(call.started_ms);
         self.started_ms = call.started_ms.or(self.started_ms);
-        let rests_until = signals.rest.map(|rest| call.answered_at + rest);
-        self.rests_until = self.rests_until.max(rests_until);
+        let cooldown_until = signals.cooldown.map(|cooldown| call.answered_at + cooldown);
+        self.cooldown_until = self.cooldown_until.max(cooldown_until);
         let leaving = signals.is_leaving && !self.is_leaving;
         self.is_leaving |= signals.is_leaving;
         let limit = self.apply_limit(call, signals.limit);
@@ -92,8 +92,8 @@
     }
 
     /// Returns when the cooldown ends, if it is active.
-    pub(super) fn rests_until(&self, now: Moment) -> Option<Moment> {
-        self.rests_until.filter(|until| now < *until)
+    pub(super) fn cooldown_until(&self, now: Moment) -> Option<Moment> {
+        self.cooldown_until.filter(|until| now < *until)
     }
 
     pub(super) fn limit(&self) -> Option<NamedLimit> {
--- a/crates/croftrill-scheduler/tests/own_word.rs
+++ b/crates/croftrill-scheduler/tests/own_word.rs
@@ -43,9 +43,9 @@
     }
 }
 
-fn rest(millis: u64) -> ReplicaSignals {
+fn cooldown(millis: u64) -> ReplicaSignals {
     ReplicaSignals {
-        rest: Some(Duration::from_millis(millis)),
+        cooldown: Some(Duration::from_millis(millis)),
         ..ReplicaSignals::default()
     }
 }
@@ -140,7 +140,7 @@
                     left = Some(started);
                 }
                 Step::Rests(started, millis) if started == newest => {
-                    hear(&mut table, &id, Some(started), rest(millis), at(now_ms));
+                    hear(&mut table, &id, Some(started), cooldown(millis), at(now_ms));
                     rests.push((started, now_ms + millis));
                 }
                 // An answer from an earlier incarnation than the known one is ignored. An incarnation
@@ -172,7 +172,7 @@
     table.apply_listing(listing("r1", 1));
     let version = table.version();
     let id: ReplicaId = "r1".into();
-    assert!(!hear(&mut table, &id, Some(1), rest(500), at(0)));
+    assert!(!hear(&mut table, &id, Some(1), cooldown(500), at(0)));
     assert!(hear(&mut table, &id, Some(1), leaving(), at(0)));
     assert!(!hear(&mut table, &id, Some(1), leaving(), at(10)));
     assert_ne!(table.version(), version);
@@ -196,15 +196,21 @@
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1", 1));
     table.apply_listing(listing("r2", 1));
-    hear(&mut table, &"r1".into(), Some(1), rest(900), at(0));
-    hear(&mut table, &"r1".into(), Some(1), rest(100), at(0));
-    hear(&mut table, &"r2".into(), Some(1), rest(700), at(0));
-    assert_eq!(table.holder_rests_until("llm", "m1", at(10)), Some(at(700)));
+    hear(&mut table, &"r1".into(), Some(1), cooldown(900), at(0));
+    hear(&mut table, &"r1".into(), Some(1), cooldown(100), at(0));
+    hear(&mut table, &"r2".into(), Some(1), cooldown(700), at(0));
+    assert_eq!(
+        table.earliest_holder_cooldown_end("llm", "m1", at(10)),
+        Some(at(700))
+    );
     assert_eq!(table.reachable_holders("llm", "m1", at(10)), 0);
     assert_eq!(table.reachable_holders("llm", "m1", at(700)), 1);
-    assert_eq!(table.holder_rests_until("llm", "m1", at(700)), Some(at(900)));
+    assert_eq!(
+        table.earliest_holder_cooldown_end("llm", "m1", at(700)),
+        Some(at(900))
+    );
     hear(&mut table, &"r1".into(), Some(1), leaving(), at(710));
-    assert_eq!(table.service_rests_until("llm", at(720)), None);
+    assert_eq!(table.earliest_service_cooldown_end("llm", at(720)), None);
 }
 
 /// While the home of a prompt is in cooldown, all of the prompt's requests go to one other
@@ -216,7 +222,7 @@
         table.apply_listing(listing(id, 1));
     }
     let home = chosen(&table, 1, at(0)).expect("a holder");
-    hear(&mut table, &home, Some(1), rest(1000), at(0));
+    hear(&mut table, &home, Some(1), cooldown(1000), at(0));
     let others: Vec<_> = (0..20).filter_map(|salt| chosen(&table, salt, at(10))).collect();
     assert!(others.iter().all(|other| *other != home && *other == others[0]));
     assert_eq!(others.len(), 20);
