--- a/crates/croftrill-node/src/load_news.rs
+++ b/crates/croftrill-node/src/load_news.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{HeardLoads, Hearing, LoadAccount, LoadKey, LoadKeys};
+use croftrill_scheduler::load_news::{LoadBuffer, LoadKey, LoadKeys, LoadSample, SampleOutcome};
 use croftrill_scheduler::replica::{Incarnation, ReplicaId, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
@@ -53,9 +53,9 @@
     on_until: Cell<Moment>,
     keys: RefCell<LoadKeys>,
     /// For the orderers, from this node's answers and its followers.
-    to_orderers: RefCell<HeardLoads>,
+    to_orderers: RefCell<LoadBuffer>,
     /// For the followers, from the orderers.
-    to_followers: RefCell<HeardLoads>,
+    to_followers: RefCell<LoadBuffer>,
     /// When the orderers were last told that this node listens.
     said_hello_at: Cell<Moment>,
     followers: broadcast::Sender<Rc<ToldLoads>>,
@@ -89,13 +89,13 @@
 /// Accounts for followers, encoded once for those that know all replicas.
 #[derive(Debug)]
 pub struct ToldLoads {
-    accounts: Vec<(ReplicaId, LoadAccount)>,
+    accounts: Vec<(ReplicaId, LoadSample)>,
     told_at: Moment,
     message: Bytes,
 }
 
 impl ToldLoads {
-    fn new(accounts: Vec<(ReplicaId, LoadAccount)>, told_at: Moment) -> Self {
+    fn new(accounts: Vec<(ReplicaId, LoadSample)>, told_at: Moment) -> Self {
         let message = encode(accounts.iter().map(|(_, account)| account), told_at);
         ToldLoads {
             accounts,
@@ -112,12 +112,12 @@
     /// The message about some replicas; `None` if there is nothing about them.
     pub fn message_about(&self, knows: impl Fn(&str) -> bool) -> Option<Bytes> {
         let known = self.accounts.iter().filter(|(id, _)| knows(id));
-        let known: Vec<&LoadAccount> = known.map(|(_, account)| account).collect();
+        let known: Vec<&LoadSample> = known.map(|(_, account)| account).collect();
         (!known.is_empty()).then(|| encode(known, self.told_at))
     }
 }
 
-fn encode<'a>(accounts: impl IntoIterator<Item = &'a LoadAccount>, now: Moment) -> Bytes {
+fn encode<'a>(accounts: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Bytes {
     FromOrderer::Loads(WireLoads::from_accounts(accounts, now)).encode()
 }
 
@@ -166,7 +166,7 @@
     if !is_sure || !is_on(node) {
         return;
     }
-    let account = LoadAccount {
+    let account = LoadSample {
         key: LoadKey::of(id, present),
         load,
         at: now,
@@ -174,13 +174,13 @@
     keep_for_orderers(node, account, "answer");
 }
 
-fn keep_for_orderers<P: Platform>(node: &Node<P>, account: LoadAccount, kind: &'static str) {
+fn keep_for_orderers<P: Platform>(node: &Node<P>, account: LoadSample, kind: &'static str) {
     let news = &node.load_news;
-    let hearing = news.to_orderers.borrow_mut().hear(account, node.clock.now());
+    let hearing = news.to_orderers.borrow_mut().record(account, node.clock.now());
     let outcome = match hearing {
-        Hearing::Kept => "heard",
-        Hearing::Old => "old",
-        Hearing::LeftOut => "left out",
+        SampleOutcome::Stored => "heard",
+        SampleOutcome::Outdated => "old",
+        SampleOutcome::Dropped => "left out",
     };
     count(node, kind, outcome);
     news.wanted.notify_one();
@@ -190,9 +190,9 @@
 /// replicas that it knows.
 pub(crate) fn take_in<P: Platform>(
     node: &Node<P>,
-    accounts: &[LoadAccount],
+    accounts: &[LoadSample],
     kind: &'static str,
-) -> Vec<(ReplicaId, LoadAccount)> {
+) -> Vec<(ReplicaId, LoadSample)> {
     let mut state = node.state.borrow_mut();
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&state.replicas);
@@ -203,7 +203,7 @@
             continue;
         };
         let newest = state.replicas.get(id).and_then(|entry| entry.capacity.newest());
-        if account.is_news(newest) {
+        if account.is_update_to(newest) {
             state.replicas.told_load(id, account.load, account.at);
             note_work_time(node, account.load);
             count(node, kind, "heard");
@@ -230,7 +230,7 @@
 /// Accounts for this node's followers.
 pub(crate) fn pass_on<'a, P: Platform>(
     node: &Node<P>,
-    accounts: impl IntoIterator<Item = &'a LoadAccount>,
+    accounts: impl IntoIterator<Item = &'a LoadSample>,
     now: Moment,
 ) {
     let news = &node.load_news;
@@ -239,13 +239,13 @@
     }
     let mut to_followers = news.to_followers.borrow_mut();
     for account in accounts {
-        to_followers.hear(*account, now);
+        to_followers.record(*account, now);
     }
     news.wanted.notify_one();
 }
 
 /// The accounts of a message from this node to its own orderer.
-pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, told: &WireLoads) -> Vec<LoadAccount> {
+pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, told: &WireLoads) -> Vec<LoadSample> {
     let now = node.clock.now();
     let mut delay = LinkDelay::default();
     // The queue between them is a link whose least delay is zero.
@@ -309,22 +309,22 @@
 }
 
 /// Each orderer is told of the replicas of its shard.
-fn tell_each_orderer<P: Platform>(node: &Node<P>, accounts: &[LoadAccount], is_hello: bool, now: Moment) {
+fn tell_each_orderer<P: Platform>(node: &Node<P>, accounts: &[LoadSample], is_hello: bool, now: Moment) {
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&node.state.borrow().replicas);
     for shard in Shard::all() {
-        let is_of_shard = |account: &&LoadAccount| {
+        let is_of_shard = |account: &&LoadSample| {
             keys.replica(account.key)
                 .is_some_and(|id| Shard::of_replica(id) == shard)
         };
-        let of_shard: Vec<LoadAccount> = accounts.iter().filter(is_of_shard).copied().collect();
+        let of_shard: Vec<LoadSample> = accounts.iter().filter(is_of_shard).copied().collect();
         if is_hello || !of_shard.is_empty() {
             node.tell_orderer(shard, message_up(&of_shard, now));
         }
     }
 }
 
-fn message_up(accounts: &[LoadAccount], now: Moment) -> ToOrderer {
+fn message_up(accounts: &[LoadSample], now: Moment) -> ToOrderer {
     ToOrderer::Loads(WireLoads::from_accounts(accounts, now))
 }
 
@@ -359,7 +359,7 @@
         told: &WireLoads,
         source: &broadcast::Sender<Bytes>,
         now: Moment,
-    ) -> Vec<LoadAccount> {
+    ) -> Vec<LoadSample> {
         self.news.get_or_insert_with(|| source.subscribe());
         told.to_accounts(&mut self.delay, now)
     }
@@ -410,7 +410,7 @@
 }
 
 /// Notes how old accounts are as they come, for the log.
-fn note_arrivals<P: Platform>(node: &Node<P>, accounts: &[LoadAccount], now: Moment) {
+fn note_arrivals<P: Platform>(node: &Node<P>, accounts: &[LoadSample], now: Moment) {
     let mut arrivals = node.load_news.arrivals.borrow_mut();
     let room = MOST_AGES.saturating_sub(arrivals.ages_ms.len());
     let ages = accounts.iter().take(room);
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::load_news::{Hearing, LoadAccount, LoadTelling, TellingConfig};
+use croftrill_scheduler::load_news::{LoadPublisher, LoadSample, PublisherConfig, SampleOutcome};
 use croftrill_scheduler::orderer::Orderer;
 use croftrill_scheduler::shard::{Shard, SHARD_COUNT};
 use croftrill_scheduler::time::Moment;
@@ -27,7 +27,7 @@
 
 /// The loads of a shard's replicas, and who is told of them.
 pub(super) struct ShardLoads {
-    telling: LoadTelling,
+    telling: LoadPublisher,
     listeners: broadcast::Sender<Bytes>,
     told_at: Moment,
     /// What was told since the last line of the log.
@@ -43,12 +43,12 @@
 
 impl ShardLoads {
     pub(super) fn new(now: Moment) -> Self {
-        let config = TellingConfig {
+        let config = PublisherConfig {
             bytes_per_s: BYTES_PER_S / SHARD_COUNT as u32,
-            account_bytes: WIRE_LOAD_BYTES,
+            sample_bytes: WIRE_LOAD_BYTES,
         };
         ShardLoads {
-            telling: LoadTelling::new(config, now),
+            telling: LoadPublisher::new(config, now),
             listeners: broadcast::channel(BACKLOG).0,
             told_at: now,
             told: ToldCounts::default(),
@@ -66,7 +66,7 @@
         node: &Node<P>,
         shard: Shard,
         orderer: &mut Orderer,
-        accounts: &[LoadAccount],
+        accounts: &[LoadSample],
     ) {
         let now = node.clock.now();
         for (id, account) in load_news::take_in(node, accounts, "node") {
@@ -74,7 +74,7 @@
                 continue;
             }
             orderer.told_load(&id, account.load, account.at);
-            if self.telling.hear(account, now) == Hearing::LeftOut {
+            if self.telling.record(account, now) == SampleOutcome::Dropped {
                 load_news::note_left_out(node, "node", 1);
             }
         }
@@ -90,14 +90,14 @@
         let count = |outcome, count: usize| {
             Metrics::count_many(&node.metrics.load_news, "orderer", outcome, count as u64);
         };
-        count("told", due.accounts.len());
-        count("left out", due.left_out);
-        self.told.add(due.accounts.len(), due.left_out, now);
-        if due.accounts.is_empty() {
+        count("told", due.samples.len());
+        count("left out", due.deferred);
+        self.told.add(due.samples.len(), due.deferred, now);
+        if due.samples.is_empty() {
             return;
         }
-        load_news::pass_on(node, &due.accounts, now);
-        let message = FromOrderer::Loads(WireLoads::from_accounts(&due.accounts, now)).encode();
+        load_news::pass_on(node, &due.samples, now);
+        let message = FromOrderer::Loads(WireLoads::from_accounts(&due.samples, now)).encode();
         // It fails only while nobody listens.
         let _ = self.listeners.send(message);
     }
--- a/crates/croftrill-node/src/orderer_task/mod.rs
+++ b/crates/croftrill-node/src/orderer_task/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::lease::Record;
-use croftrill_scheduler::load_news::LoadAccount;
+use croftrill_scheduler::load_news::LoadSample;
 use croftrill_scheduler::replica::{OrderOutcome, ReplicaId, ReplicaReport, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
@@ -35,7 +35,7 @@
     /// A node's message.
     FromNode(ToOrderer),
     /// Replicas' loads, as nodes heard of them.
-    Loads(Vec<LoadAccount>),
+    Loads(Vec<LoadSample>),
     /// The list of replicas or the configuration changed.
     DirectoryChanged,
     /// The watch of the store was answered.
--- a/crates/croftrill-node/src/peer/loads.rs
+++ b/crates/croftrill-node/src/peer/loads.rs
@@ -4,7 +4,7 @@
 
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{LoadAccount, LoadKey};
+use croftrill_scheduler::load_news::{LoadKey, LoadSample};
 use croftrill_scheduler::time::Moment;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
@@ -76,7 +76,7 @@
 pub(crate) const WIRE_LOAD_BYTES: u32 = 10;
 
 impl WireLoad {
-    fn from_account(account: &LoadAccount, now: Moment) -> Self {
+    fn from_account(account: &LoadSample, now: Moment) -> Self {
         let count = |number: u32| WireCount::of(u128::from(number));
         let option = |number: Option<u32>| count(number.map_or(0, |number| number.saturating_add(1)));
         let age_ms = now.since(account.at).as_millis();
@@ -91,10 +91,10 @@
     }
 
     /// The account; `sent_at`: when it was as old as it says, by the reader's clock.
-    fn to_account(self, sent_at: Moment) -> LoadAccount {
+    fn to_account(self, sent_at: Moment) -> LoadSample {
         let option = |told: WireCount| u32::from(told.0).checked_sub(1);
         let age = Duration::from_millis(u64::from(self.age.0) * AGE_UNIT_MS as u64);
-        LoadAccount {
+        LoadSample {
             key: LoadKey(self.key),
             load: ReplicaLoad {
                 running: u32::from(self.running.0),
@@ -119,7 +119,7 @@
 
 impl WireLoads {
     /// The message form of accounts that are sent now.
-    pub fn from_accounts<'a>(accounts: impl IntoIterator<Item = &'a LoadAccount>, now: Moment) -> Self {
+    pub fn from_accounts<'a>(accounts: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Self {
         let loads = accounts.into_iter();
         WireLoads {
             sent_at_ms: now.since(Moment::default()).as_millis() as u64,
@@ -130,7 +130,7 @@
     }
 
     /// The accounts as they are when they come in over a link of `delay`.
-    pub fn to_accounts(&self, delay: &mut LinkDelay, now: Moment) -> Vec<LoadAccount> {
+    pub fn to_accounts(&self, delay: &mut LinkDelay, now: Moment) -> Vec<LoadSample> {
         let late = delay.excess(Duration::from_millis(self.sent_at_ms), now);
         let accounts = self.loads.iter().map(|load| load.to_account(now - late));
         accounts.collect()
--- a/crates/croftrill-node/tests/load_news.rs
+++ b/crates/croftrill-node/tests/load_news.rs
@@ -6,7 +6,7 @@
 use croftrill_node::wire::decode;
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{LoadAccount, LoadKey};
+use croftrill_scheduler::load_news::{LoadKey, LoadSample};
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
 
@@ -14,8 +14,8 @@
     Moment::from_start(Duration::from_millis(ms))
 }
 
-fn account(at: Moment) -> LoadAccount {
-    LoadAccount {
+fn account(at: Moment) -> LoadSample {
+    LoadSample {
         key: LoadKey(0x0102_0304),
         load: ReplicaLoad {
             running: 24,
@@ -32,7 +32,7 @@
     let mut delay = LinkDelay::default();
     let told = WireLoads::from_accounts(&[account(at(900))], at(1000));
     assert_eq!(told.to_accounts(&mut delay, at(77_000)), [account(at(76_900))]);
-    let untold = LoadAccount {
+    let untold = LoadSample {
         load: ReplicaLoad {
             slots: None,
             work_time_pct: None,
@@ -66,7 +66,7 @@
         slots: Some(u32::MAX),
         work_time_pct: Some(u32::MAX),
     };
-    let account = LoadAccount {
+    let account = LoadSample {
         load: most,
         ..account(at(0))
     };
--- a/crates/croftrill-scheduler/src/load_news/heard.rs
+++ b/crates/croftrill-scheduler/src/load_news/heard.rs
@@ -2,50 +2,50 @@
 
 use std::collections::HashMap;
 
-use super::{LoadAccount, LoadKey, LONGEST_AGE, MOST_REPLICAS};
+use super::{LoadKey, LoadSample, MAX_SAMPLED_REPLICAS, MAX_SAMPLE_AGE};
 use crate::time::Moment;
 
 /// Outcome of recording a load sample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum SampleOutcome {
     /// The sample is the newest of its replica and was stored.
-    Kept,
+    Stored,
     /// The sample is too old, or not newer than the known one.
-    Old,
+    Outdated,
     /// Samples of too many replicas are stored already.
-    LeftOut,
+    Dropped,
 }
 
 /// The newest load sample of each replica since the buffer was last drained.
 #[derive(Debug, Default)]
-pub struct HeardLoads(HashMap<LoadKey, LoadAccount>);
+pub struct LoadBuffer(HashMap<LoadKey, LoadSample>);
 
-impl HeardLoads {
+impl LoadBuffer {
     /// Records a sample.
-    pub fn hear(&mut self, account: LoadAccount, now: Moment) -> Hearing {
-        if now.since(account.at) >= LONGEST_AGE {
-            return Hearing::Old;
+    pub fn record(&mut self, sample: LoadSample, now: Moment) -> SampleOutcome {
+        if now.since(sample.at) >= MAX_SAMPLE_AGE {
+            return SampleOutcome::Outdated;
         }
-        let is_full = self.0.len() >= MOST_REPLICAS;
-        match self.0.get_mut(&account.key) {
-            Some(known) if known.at >= account.at => Hearing::Old,
+        let is_full = self.0.len() >= MAX_SAMPLED_REPLICAS;
+        match self.0.get_mut(&sample.key) {
+            Some(known) if known.at >= sample.at => SampleOutcome::Outdated,
             Some(known) => {
-                *known = account;
-                Hearing::Kept
+                *known = sample;
+                SampleOutcome::Stored
             }
-            None if is_full => Hearing::LeftOut,
+            None if is_full => SampleOutcome::Dropped,
             None => {
-                self.0.insert(account.key, account);
-                Hearing::Kept
+                self.0.insert(sample.key, sample);
+                SampleOutcome::Stored
             }
         }
     }
 
     /// Removes all samples and returns those that are recent enough to be forwarded.
-    pub fn take(&mut self, now: Moment) -> Vec<LoadAccount> {
-        let accounts = self.0.drain().map(|(_, account)| account);
-        accounts
-            .filter(|account| now.since(account.at) < LONGEST_AGE)
+    pub fn take(&mut self, now: Moment) -> Vec<LoadSample> {
+        let samples = self.0.drain().map(|(_, sample)| sample);
+        samples
+            .filter(|sample| now.since(sample.at) < MAX_SAMPLE_AGE)
             .collect()
     }
 
--- a/crates/croftrill-scheduler/src/load_news/telling.rs
+++ b/crates/croftrill-scheduler/src/load_news/telling.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{Hearing, LoadAccount, LoadKey, LONGEST_AGE, MOST_REPLICAS};
+use super::{LoadKey, LoadSample, SampleOutcome, MAX_SAMPLED_REPLICAS, MAX_SAMPLE_AGE};
 use crate::capacity::ReplicaLoad;
 use crate::time::Moment;
 
@@ -23,24 +23,24 @@
 
 /// Limits on published samples.
 #[derive(Debug, Clone, Copy)]
-pub struct TellingConfig {
+pub struct PublisherConfig {
     /// Bytes of samples per second, for each receiver.
     pub bytes_per_s: u32,
     /// Maximum size of an encoded sample.
-    pub account_bytes: u32,
+    pub sample_bytes: u32,
 }
 
 /// The newest sample of a replica and the last published one.
 #[derive(Debug, Clone, Copy)]
 struct Known {
-    newest: LoadAccount,
+    newest: LoadSample,
     /// The last published sample, and when it was published.
-    told: Option<(LoadAccount, Moment)>,
+    told: Option<(LoadSample, Moment)>,
 }
 
 impl Known {
     fn is_due(&self, now: Moment) -> bool {
-        if now.since(self.newest.at) >= LONGEST_AGE {
+        if now.since(self.newest.at) >= MAX_SAMPLE_AGE {
             return false;
         }
         let Some((told, told_at)) = self.told else {
@@ -71,8 +71,8 @@
 
 /// Newest and published samples of replicas.
 #[derive(Debug)]
-pub struct LoadTelling {
-    config: TellingConfig,
+pub struct LoadPublisher {
+    config: PublisherConfig,
     replicas: HashMap<LoadKey, Known>,
     /// Bytes that may be published now.
     allowance: f64,
@@ -83,15 +83,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Due {
     /// Samples to publish.
-    pub accounts: Vec<LoadAccount>,
+    pub samples: Vec<LoadSample>,
     /// Number of samples that have to wait.
-    pub left_out: usize,
+    pub deferred: usize,
 }
 
-impl LoadTelling {
+impl LoadPublisher {
     /// Creates a publisher without samples.
-    pub fn new(config: TellingConfig, now: Moment) -> Self {
-        LoadTelling {
+    pub fn new(config: PublisherConfig, now: Moment) -> Self {
+        LoadPublisher {
             config,
             replicas: HashMap::new(),
             allowance: 0.0,
@@ -100,25 +100,25 @@
     }
 
     /// Records a sample.
-    pub fn hear(&mut self, account: LoadAccount, now: Moment) -> Hearing {
-        if now.since(account.at) >= LONGEST_AGE {
-            return Hearing::Old;
+    pub fn record(&mut self, sample: LoadSample, now: Moment) -> SampleOutcome {
+        if now.since(sample.at) >= MAX_SAMPLE_AGE {
+            return SampleOutcome::Outdated;
         }
-        let is_full = self.replicas.len() >= MOST_REPLICAS;
-        match self.replicas.get_mut(&account.key) {
-            Some(known) if known.newest.at >= account.at => Hearing::Old,
+        let is_full = self.replicas.len() >= MAX_SAMPLED_REPLICAS;
+        match self.replicas.get_mut(&sample.key) {
+            Some(known) if known.newest.at >= sample.at => SampleOutcome::Outdated,
             Some(known) => {
-                known.newest = account;
-                Hearing::Kept
+                known.newest = sample;
+                SampleOutcome::Stored
             }
-            None if is_full => Hearing::LeftOut,
+            None if is_full => SampleOutcome::Dropped,
             None => {
                 let known = Known {
-                    newest: account,
+                    newest: sample,
                     told: None,
                 };
-                self.replicas.insert(account.key, known);
-                Hearing::Kept
+                self.replicas.insert(sample.key, known);
+                SampleOutcome::Stored
             }
         }
     }
@@ -137,21 +137,21 @@
     pub fn take_due(&mut self, now: Moment) -> Due {
         self.earn(now);
         self.replicas
-            .retain(|_, known| now.since(known.newest.at) < LONGEST_AGE);
+            .retain(|_, known| now.since(known.newest.at) < MAX_SAMPLE_AGE);
         let due = self.replicas.values_mut().filter(|known| known.is_due(now));
         let mut due: Vec<&mut Known> = due.collect();
         due.sort_by_key(|known| (known.told.map(|(_, at)| at), known.newest.key));
-        let account_bytes = f64::from(self.config.account_bytes);
-        let room = (self.allowance / account_bytes) as usize;
+        let sample_bytes = f64::from(self.config.sample_bytes);
+        let room = (self.allowance / sample_bytes) as usize;
         let told = room.min(due.len());
-        self.allowance -= told as f64 * account_bytes;
-        let accounts = due.iter_mut().take(told).map(|known| {
+        self.allowance -= told as f64 * sample_bytes;
+        let samples = due.iter_mut().take(told).map(|known| {
             known.told = Some((known.newest, now));
             known.newest
         });
         Due {
-            accounts: accounts.collect(),
-            left_out: due.len() - told,
+            samples: samples.collect(),
+            deferred: due.len() - told,
         }
     }
 
--- a/crates/croftrill-scheduler/src/load_summary.rs
+++ b/crates/croftrill-scheduler/src/load_summary.rs
@@ -4,7 +4,7 @@
 
 use crate::capacity::ReplicaLoad;
 use crate::catalog::ServiceName;
-use crate::load_news::LONGEST_AGE;
+use crate::load_news::MAX_SAMPLE_AGE;
 use crate::replica_table::{ReplicaEntry, ReplicaTable};
 use crate::time::Moment;
 
@@ -101,7 +101,7 @@
         let Some(judged) = JudgedLoad::of(entry, now) else {
             continue;
         };
-        if now.since(judged.at) < LONGEST_AGE {
+        if now.since(judged.at) < MAX_SAMPLE_AGE {
             let service = entry.listing.service.clone();
             services.entry(service).or_default().add(&judged);
         }
--- a/crates/croftrill-scheduler/tests/load_news.rs
+++ b/crates/croftrill-scheduler/tests/load_news.rs
@@ -5,17 +5,17 @@
 
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::load_news::{
-    HeardLoads, Hearing, LoadAccount, LoadKey, LoadKeys, LoadTelling, TellingConfig, LONGEST_AGE,
-    MOST_REPLICAS,
+    LoadBuffer, LoadKey, LoadKeys, LoadPublisher, LoadSample, PublisherConfig, SampleOutcome,
+    MAX_SAMPLED_REPLICAS, MAX_SAMPLE_AGE,
 };
 use croftrill_scheduler::replica::{Holdings, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_table::ReplicaTable;
 use croftrill_scheduler::time::Moment;
 use proptest::prelude::*;
 
-const CONFIG: TellingConfig = TellingConfig {
+const CONFIG: PublisherConfig = PublisherConfig {
     bytes_per_s: 500,
-    account_bytes: 10,
+    sample_bytes: 10,
 };
 
 fn at(ms: u64) -> Moment {
@@ -31,8 +31,8 @@
     }
 }
 
-fn account(key: u32, load: ReplicaLoad, ms: u64) -> LoadAccount {
-    LoadAccount {
+fn sample(key: u32, load: ReplicaLoad, ms: u64) -> LoadSample {
+    LoadSample {
         key: LoadKey(key),
         load,
         at: at(ms),
@@ -54,87 +54,109 @@
 }
 
 /// Publishes what is due and returns the keys.
-fn told(telling: &mut LoadTelling, ms: u64) -> Vec<u32> {
+fn told(telling: &mut LoadPublisher, ms: u64) -> Vec<u32> {
     let due = telling.take_due(at(ms));
-    due.accounts.iter().map(|account| account.key.0).collect()
+    due.samples.iter().map(|sample| sample.key.0).collect()
 }
 
 #[test]
 fn heard_keeps_the_newest_account_of_each_replica() {
-    let mut heard = HeardLoads::default();
-    assert_eq!(heard.hear(account(1, load(3, 100), 100), at(110)), Hearing::Kept);
-    assert_eq!(heard.hear(account(1, load(9, 100), 90), at(110)), Hearing::Old);
-    assert_eq!(heard.hear(account(1, load(4, 100), 120), at(130)), Hearing::Kept);
-    assert_eq!(heard.take(at(140)), [account(1, load(4, 100), 120)]);
+    let mut heard = LoadBuffer::default();
+    assert_eq!(
+        heard.record(sample(1, load(3, 100), 100), at(110)),
+        SampleOutcome::Stored
+    );
+    assert_eq!(
+        heard.record(sample(1, load(9, 100), 90), at(110)),
+        SampleOutcome::Outdated
+    );
+    assert_eq!(
+        heard.record(sample(1, load(4, 100), 120), at(130)),
+        SampleOutcome::Stored
+    );
+    assert_eq!(heard.take(at(140)), [sample(1, load(4, 100), 120)]);
     assert!(heard.is_empty());
 }
 
 #[test]
 fn heard_of_what_was_told_long_ago_is_passed_over() {
-    let mut heard = HeardLoads::default();
-    let now = at(100) + LONGEST_AGE;
-    assert_eq!(heard.hear(account(1, load(3, 100), 100), now), Hearing::Old);
-    assert_eq!(heard.hear(account(2, load(3, 100), 101), now), Hearing::Kept);
+    let mut heard = LoadBuffer::default();
+    let now = at(100) + MAX_SAMPLE_AGE;
+    assert_eq!(
+        heard.record(sample(1, load(3, 100), 100), now),
+        SampleOutcome::Outdated
+    );
+    assert_eq!(
+        heard.record(sample(2, load(3, 100), 101), now),
+        SampleOutcome::Stored
+    );
     assert!(
-        heard.take(now + LONGEST_AGE).is_empty(),
+        heard.take(now + MAX_SAMPLE_AGE).is_empty(),
         "it was outdated by then"
     );
 }
 
 #[test]
 fn heard_and_telling_keep_a_bounded_number_of_replicas() {
-    let (mut heard, mut telling) = (HeardLoads::default(), LoadTelling::new(CONFIG, at(0)));
-    for key in 0..MOST_REPLICAS as u32 + 100 {
-        let is_kept = key < MOST_REPLICAS as u32;
-        let expected = if is_kept { Hearing::Kept } else { Hearing::LeftOut };
-        assert_eq!(heard.hear(account(key, load(1, 100), 1), at(1)), expected);
-        assert_eq!(telling.hear(account(key, load(1, 100), 1), at(1)), expected);
+    let (mut heard, mut telling) = (LoadBuffer::default(), LoadPublisher::new(CONFIG, at(0)));
+    for key in 0..MAX_SAMPLED_REPLICAS as u32 + 100 {
+        let is_kept = key < MAX_SAMPLED_REPLICAS as u32;
+        let expected = if is_kept {
+            SampleOutcome::Stored
+        } else {
+            SampleOutcome::Dropped
+        };
+        assert_eq!(heard.record(sample(key, load(1, 100), 1), at(1)), expected);
+        assert_eq!(telling.record(sample(key, load(1, 100), 1), at(1)), expected);
     }
-    assert_eq!(heard.len(), MOST_REPLICAS);
-    assert_eq!(telling.len(), MOST_REPLICAS);
-    assert_eq!(heard.hear(account(0, load(2, 100), 2), at(2)), Hearing::Kept);
+    assert_eq!(heard.len(), MAX_SAMPLED_REPLICAS);
+    assert_eq!(telling.len(), MAX_SAMPLED_REPLICAS);
+    assert_eq!(
+        heard.record(sample(0, load(2, 100), 2), at(2)),
+        SampleOutcome::Stored
+    );
 }
 
 #[test]
 fn telling_passes_over_a_change_that_changes_no_decision() {
-    let mut telling = LoadTelling::new(CONFIG, at(0));
-    telling.hear(account(1, load(10, 100), 500), at(500));
+    let mut telling = LoadPublisher::new(CONFIG, at(0));
+    telling.record(sample(1, load(10, 100), 500), at(500));
     assert_eq!(told(&mut telling, 500), [1]);
-    telling.hear(account(1, load(12, 110), 600), at(600));
+    telling.record(sample(1, load(12, 110), 600), at(600));
     assert!(told(&mut telling, 600).is_empty(), "two of 24 slots");
-    telling.hear(account(1, load(13, 110), 700), at(700));
+    telling.record(sample(1, load(13, 110), 700), at(700));
     assert_eq!(told(&mut telling, 700), [1], "three of 24 slots");
     let of_few = |running: u32| ReplicaLoad {
         slots: Some(12),
         ..load(running, 100)
     };
-    telling.hear(account(2, of_few(5), 700), at(700));
+    telling.record(sample(2, of_few(5), 700), at(700));
     assert_eq!(told(&mut telling, 700), [2]);
-    telling.hear(account(2, of_few(6), 710), at(710));
+    telling.record(sample(2, of_few(6), 710), at(710));
     assert!(told(&mut telling, 710).is_empty());
-    telling.hear(account(2, of_few(7), 720), at(720));
+    telling.record(sample(2, of_few(7), 720), at(720));
     assert_eq!(told(&mut telling, 720), [2], "two of twelve slots");
-    telling.hear(account(1, load(13, 135), 800), at(800));
+    telling.record(sample(1, load(13, 135), 800), at(800));
     assert_eq!(
         told(&mut telling, 800),
         [1],
         "work takes more than a fifth longer"
     );
-    telling.hear(account(1, load(23, 135), 900), at(900));
+    telling.record(sample(1, load(23, 135), 900), at(900));
     assert_eq!(told(&mut telling, 900), [1]);
-    telling.hear(account(1, load(24, 135), 1000), at(1000));
+    telling.record(sample(1, load(24, 135), 1000), at(1000));
     assert_eq!(told(&mut telling, 1000), [1], "the replica is full");
 }
 
 #[test]
 fn telling_tells_of_a_replica_at_work_again_though_nothing_changed() {
-    let mut telling = LoadTelling::new(CONFIG, at(0));
+    let mut telling = LoadPublisher::new(CONFIG, at(0));
     for (key, running) in [(1, 5), (2, 0)] {
-        telling.hear(account(key, load(running, 100), 500), at(500));
+        telling.record(sample(key, load(running, 100), 500), at(500));
     }
     assert_eq!(told(&mut telling, 500), [1, 2]);
     for (key, running) in [(1, 5), (2, 0)] {
-        telling.hear(account(key, load(running, 100), 900), at(900));
+        telling.record(sample(key, load(running, 100), 900), at(900));
     }
     assert!(told(&mut telling, 950).is_empty());
     assert_eq!(told(&mut telling, 1000), [1], "the other replica is idle");
@@ -143,21 +165,21 @@
 
 #[test]
 fn telling_goes_to_what_was_told_longest_ago_where_bytes_are_short() {
-    let config = TellingConfig {
+    let config = PublisherConfig {
         bytes_per_s: 100,
-        account_bytes: 10,
+        sample_bytes: 10,
     };
-    let mut telling = LoadTelling::new(config, at(0));
-    let hear = |telling: &mut LoadTelling, keys: std::ops::Range<u32>, running: u32, ms: u64| {
+    let mut telling = LoadPublisher::new(config, at(0));
+    let hear = |telling: &mut LoadPublisher, keys: std::ops::Range<u32>, running: u32, ms: u64| {
         for key in keys {
-            telling.hear(account(key, load(running, 100), ms), at(ms));
+            telling.record(sample(key, load(running, 100), ms), at(ms));
         }
     };
     hear(&mut telling, 0..8, 5, 1000);
     assert_eq!(told(&mut telling, 1000), [0, 1, 2, 3, 4]);
     hear(&mut telling, 0..8, 15, 1200);
     assert_eq!(told(&mut telling, 1200), [5, 6]);
-    assert_eq!(telling.take_due(at(1200)).left_out, 6);
+    assert_eq!(telling.take_due(at(1200)).deferred, 6);
     assert_eq!(told(&mut telling, 1500), [7, 0, 1]);
 }
 
@@ -203,12 +225,12 @@
 fn is_news_of_what_came_on_two_ways_is_said_once() {
     let known = Some((load(3, 100), at(500)));
     assert!(
-        !account(1, load(3, 100), 520).is_news(known),
+        !sample(1, load(3, 100), 520).is_update_to(known),
         "its age was rounded"
     );
-    assert!(!account(1, load(9, 100), 490).is_news(known));
-    assert!(account(1, load(4, 100), 520).is_news(known));
-    assert!(account(1, load(3, 100), 700).is_news(known));
+    assert!(!sample(1, load(9, 100), 490).is_update_to(known));
+    assert!(sample(1, load(4, 100), 520).is_update_to(known));
+    assert!(sample(1, load(3, 100), 700).is_update_to(known));
 }
 
 #[derive(Debug, Clone)]
@@ -244,34 +266,34 @@
     /// newest known of their replica, are never outdated and never repeat.
     #[test]
     fn telling_is_bounded_and_tells_only_news(steps in steps()) {
-        let mut telling = LoadTelling::new(CONFIG, at(0));
-        let mut heard = HeardLoads::default();
-        let mut newest: HashMap<LoadKey, LoadAccount> = HashMap::new();
+        let mut telling = LoadPublisher::new(CONFIG, at(0));
+        let mut heard = LoadBuffer::default();
+        let mut newest: HashMap<LoadKey, LoadSample> = HashMap::new();
         let mut told: HashMap<LoadKey, Moment> = HashMap::new();
         let (mut ms, mut bytes) = (0, 0.0);
         for (pause_ms, step) in steps {
             ms += pause_ms;
             match step {
                 Step::Hear { key, load, age_ms } => {
-                    let account = LoadAccount { key: LoadKey(key), load, at: at(ms) - Duration::from_millis(age_ms) };
-                    let is_kept = telling.hear(account, at(ms)) == Hearing::Kept;
-                    heard.hear(account, at(ms));
+                    let sample = LoadSample { key: LoadKey(key), load, at: at(ms) - Duration::from_millis(age_ms) };
+                    let is_kept = telling.record(sample, at(ms)) == SampleOutcome::Stored;
+                    heard.record(sample, at(ms));
                     if is_kept {
-                        newest.insert(account.key, account);
+                        newest.insert(sample.key, sample);
                     }
                 }
                 Step::Tell => {
-                    for account in telling.take_due(at(ms)).accounts {
-                        prop_assert_eq!(Some(&account), newest.get(&account.key));
-                        prop_assert!(at(ms).since(account.at) < LONGEST_AGE);
-                        let former = told.insert(account.key, account.at);
-                        prop_assert!(former.is_none_or(|former| former < account.at));
-                        bytes += f64::from(CONFIG.account_bytes);
+                    for sample in telling.take_due(at(ms)).samples {
+                        prop_assert_eq!(Some(&sample), newest.get(&sample.key));
+                        prop_assert!(at(ms).since(sample.at) < MAX_SAMPLE_AGE);
+                        let former = told.insert(sample.key, sample.at);
+                        prop_assert!(former.is_none_or(|former| former < sample.at));
+                        bytes += f64::from(CONFIG.sample_bytes);
                     }
                     let most = f64::from(CONFIG.bytes_per_s) * (ms as f64 / 1000.0 + 0.5);
                     prop_assert!(bytes <= most + 1e-6, "{bytes} of {most} in {ms} ms");
-                    for account in heard.take(at(ms)) {
-                        prop_assert!(at(ms).since(account.at) < LONGEST_AGE);
+                    for sample in heard.take(at(ms)) {
+                        prop_assert!(at(ms).since(sample.at) < MAX_SAMPLE_AGE);
                     }
                 }
             }
