--- a/crates/croftrill-scheduler/src/load_news/telling.rs
+++ b/crates/croftrill-scheduler/src/load_news/telling.rs
@@ -9,17 +9,17 @@
 use crate::time::Moment;
 
 /// Smallest change of a replica's number of requests that is published.
-const LEAST_REQUESTS: u32 = 2;
+const MIN_REQUEST_CHANGE: u32 = 2;
 /// The change must also exceed the replica's slots divided by this.
-const SLOT_PARTS: u32 = 10;
+const SLOT_DIVISOR: u32 = 10;
 /// A change of work time is published if it exceeds the published work time divided by this.
-const WORK_TIME_PARTS: u32 = 5;
+const WORK_TIME_DIVISOR: u32 = 5;
 /// Time after which the load of a replica with requests is published again, changed or not.
 /// Shorter than the time in which a sample fades, as the replica would otherwise be assumed to
 /// have fewer requests than it has.
-const TOLD_AGAIN: Duration = Duration::from_millis(500);
+const REPUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which unused bytes accumulate.
-const BURST: Duration = Duration::from_millis(500);
+const BURST_DURATION: Duration = Duration::from_millis(500);
 
 /// Limits on published samples.
 #[derive(Debug, Clone, Copy)]
@@ -32,37 +32,37 @@
 
 /// The newest sample of a replica and the last published one.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct ReplicaSamples {
     newest: LoadSample,
     /// The last published sample, and when it was published.
-    told: Option<(LoadSample, Moment)>,
+    published: Option<(LoadSample, Moment)>,
 }
 
-impl Known {
+impl ReplicaSamples {
     fn is_due(&self, now: Moment) -> bool {
         if now.since(self.newest.at) >= MAX_SAMPLE_AGE {
             return false;
         }
-        let Some((told, told_at)) = self.told else {
+        let Some((published, published_at)) = self.published else {
             return true;
         };
         let load = self.newest.load;
-        let is_newer = self.newest.at > told.at;
-        let is_again = load.requests() > 0 && now.since(told_at) >= TOLD_AGAIN;
-        is_newer && (is_again || differs(told.load, load))
+        let is_newer = self.newest.at > published.at;
+        let is_republish_due = load.requests() > 0 && now.since(published_at) >= REPUBLISH_INTERVAL;
+        is_newer && (is_republish_due || differs(published.load, load))
     }
 }
 
 /// Returns whether the load changed so much that other nodes would decide differently.
-fn differs(told: ReplicaLoad, load: ReplicaLoad) -> bool {
-    let change = told.requests().abs_diff(load.requests());
-    let is_part_of_slots = change.saturating_mul(SLOT_PARTS) > load.slots.unwrap_or(0);
-    let requests_differ = change >= LEAST_REQUESTS && is_part_of_slots;
-    let work_time_differs = match (told.work_time_pct, load.work_time_pct) {
-        (Some(told), Some(now)) => told.abs_diff(now).saturating_mul(WORK_TIME_PARTS) > told,
-        (told, now) => told != now,
+fn differs(published: ReplicaLoad, load: ReplicaLoad) -> bool {
+    let change = published.requests().abs_diff(load.requests());
+    let exceeds_slot_share = change.saturating_mul(SLOT_DIVISOR) > load.slots.unwrap_or(0);
+    let requests_differ = change >= MIN_REQUEST_CHANGE && exceeds_slot_share;
+    let work_time_differs = match (published.work_time_pct, load.work_time_pct) {
+        (Some(published), Some(now)) => published.abs_diff(now).saturating_mul(WORK_TIME_DIVISOR) > published,
+        (published, now) => published != now,
     };
-    requests_differ || work_time_differs || is_full(told) != is_full(load)
+    requests_differ || work_time_differs || is_full(published) != is_full(load)
 }
 
 fn is_full(load: ReplicaLoad) -> bool {
@@ -73,10 +73,10 @@
 #[derive(Debug)]
 pub struct LoadPublisher {
     config: PublisherConfig,
-    replicas: HashMap<LoadKey, Known>,
+    replicas: HashMap<LoadKey, ReplicaSamples>,
     /// Bytes that may be published now.
     allowance: f64,
-    counted_at: Moment,
+    refilled_at: Moment,
 }
 
 /// The samples to publish now.
@@ -95,7 +95,7 @@
             config,
             replicas: HashMap::new(),
             allowance: 0.0,
-            counted_at: now,
+            refilled_at: now,
         }
     }
 
@@ -113,9 +113,9 @@
             }
             None if is_full => SampleOutcome::Dropped,
             None => {
-                let known = Known {
+                let known = ReplicaSamples {
                     newest: sample,
-                    told: None,
+                    published: None,
                 };
                 self.replicas.insert(sample.key, known);
                 SampleOutcome::Stored
@@ -135,30 +135,30 @@
 
     /// Returns the samples to publish now, least recently published replicas first.
     pub fn take_due(&mut self, now: Moment) -> Due {
-        self.earn(now);
+        self.refill(now);
         self.replicas
             .retain(|_, known| now.since(known.newest.at) < MAX_SAMPLE_AGE);
         let due = self.replicas.values_mut().filter(|known| known.is_due(now));
-        let mut due: Vec<&mut Known> = due.collect();
-        due.sort_by_key(|known| (known.told.map(|(_, at)| at), known.newest.key));
+        let mut due: Vec<&mut ReplicaSamples> = due.collect();
+        due.sort_by_key(|known| (known.published.map(|(_, at)| at), known.newest.key));
         let sample_bytes = f64::from(self.config.sample_bytes);
-        let room = (self.allowance / sample_bytes) as usize;
-        let told = room.min(due.len());
-        self.allowance -= told as f64 * sample_bytes;
-        let samples = due.iter_mut().take(told).map(|known| {
-            known.told = Some((known.newest, now));
+        let affordable = (self.allowance / sample_bytes) as usize;
+        let count = affordable.min(due.len());
+        self.allowance -= count as f64 * sample_bytes;
+        let samples = due.iter_mut().take(count).map(|known| {
+            known.published = Some((known.newest, now));
             known.newest
         });
         Due {
             samples: samples.collect(),
-            deferred: due.len() - told,
+            deferred: due.len() - count,
         }
     }
 
-    fn earn(&mut self, now: Moment) {
+    fn refill(&mut self, now: Moment) {
         let rate = f64::from(self.config.bytes_per_s);
-        let earned = rate * now.since(self.counted_at).as_secs_f64();
-        self.allowance = (self.allowance + earned).min(rate * BURST.as_secs_f64());
-        self.counted_at = self.counted_at.max(now);
+        let earned = rate * now.since(self.refilled_at).as_secs_f64();
+        self.allowance = (self.allowance + earned).min(rate * BURST_DURATION.as_secs_f64());
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
