--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -181,7 +181,7 @@
             copies: Default::default(),
         },
         arriving: Vec::new(),
-        tells_copies: false,
+        includes_copies: false,
     }
 }
 
--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -213,7 +213,7 @@
         let mut table = ReplicaTable::new();
         (0..REPLICAS).for_each(|index| table.apply_listing(listing(index)));
         if run.way != Way::Alike {
-            table.go_by_capacity();
+            table.route_all_by_capacity();
         }
         table
     });
@@ -425,7 +425,7 @@
         engine.running -= 1;
         let next = engine.waiting.pop_front();
         self.nodes[node].end_send(&replica_id(replica));
-        self.nodes[node].ran_for(&replica_id(replica), now - begun_at);
+        self.nodes[node].record_run_time(&replica_id(replica), now - begun_at);
         if let Some(stream) = next {
             if now - stream.came_at < DEADLINE {
                 self.start(replica, stream, now);
@@ -454,7 +454,7 @@
             };
         }
         let heard = self.as_heard(load);
-        self.nodes[node].told_load(&replica_id(replica), heard, at(now));
+        self.nodes[node].record_load(&replica_id(replica), heard, at(now));
         let age = match self.run.news {
             News::None => return,
             News::After(age) | News::Lost(age) | News::False(age) => age,
@@ -474,7 +474,7 @@
         let is_lossy = matches!(self.run.news, News::Lost(_));
         for table in &mut self.nodes {
             if !(is_lossy && self.random.random_bool(0.5)) {
-                table.told_load(&id, load, at(told.at));
+                table.record_load(&id, load, at(told.at));
             }
         }
     }
--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -139,7 +139,7 @@
                 work_time_pct: Some(self.work_times_pct[index]),
             };
             let now = self.world.now;
-            self.world.orderer.told_load(&format!("r{index}"), load, now);
+            self.world.orderer.record_load(&format!("r{index}"), load, now);
         }
     }
 
@@ -319,7 +319,7 @@
     };
     for step in 0..50 {
         let now = fleet.world.now;
-        fleet.world.orderer.told_load("r0", load, now);
+        fleet.world.orderer.record_load("r0", load, now);
         fleet.world.run(TOLD_EVERY_MS);
         assert!(
             fleet.world.orderer.work_of_models(&"llm".into(), now).is_empty(),
@@ -447,7 +447,7 @@
                         slots: Some(SLOTS),
                         work_time_pct: Some(work_times[place][seen]),
                     };
-                    world.orderer.told_load(id, load, now);
+                    world.orderer.record_load(id, load, now);
                 }
                 for (model, requests) in [("m1", f64::from(rate)), ("m2", 5.0), ("m4", 5.0)] {
                     let asked = Asked {
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -152,7 +152,7 @@
             started_ms: None,
             usable: Holdings::default(),
             arriving,
-            tells_copies: false,
+            includes_copies: false,
         });
     };
     let arrival = Arrival {
@@ -239,11 +239,17 @@
     assert_eq!(copies.on_disk, ["m4".into()]);
     // Nor are any told of that did not change.
     let first = world.orderer.take_changes(world.now);
-    assert!(first.iter().all(|placement| !placement.tells_copies), "{first:?}");
+    assert!(
+        first.iter().all(|placement| !placement.includes_copies),
+        "{first:?}"
+    );
     world.orderer.mark_waiting(&key("m4", None), world.now);
     world.run(4000);
     let later = world.orderer.take_changes(world.now);
-    assert!(later.iter().any(|placement| placement.tells_copies), "{later:?}");
+    assert!(
+        later.iter().any(|placement| placement.includes_copies),
+        "{later:?}"
+    );
 }
 
 /// A model loaded for one waiting request was dropped on arrival, as it had the
--- a/crates/croftrill-node/src/load_news.rs
+++ b/crates/croftrill-node/src/load_news.rs
@@ -159,7 +159,7 @@
     if Incarnation::of(started_ms, present) == Incarnation::Earlier {
         return;
     }
-    state.replicas.told_load(id, load, now);
+    state.replicas.record_load(id, load, now);
     drop(state);
     node.room_changed.notify_waiters();
     note_work_time(node, load);
@@ -204,7 +204,7 @@
         };
         let newest = state.replicas.get(id).and_then(|entry| entry.capacity.newest());
         if account.is_update_to(newest) {
-            state.replicas.told_load(id, account.load, account.at);
+            state.replicas.record_load(id, account.load, account.at);
             note_work_time(node, account.load);
             count(node, kind, "heard");
         } else {
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -243,7 +243,7 @@
         let retry_budget = RetryBudget::new(budget_config, budget_begun);
         let mut replicas = ReplicaTable::new();
         if settings.callers_compete {
-            replicas.go_by_capacity();
+            replicas.route_all_by_capacity();
         }
         let state = NodeState {
             configuration: None,
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -73,7 +73,7 @@
             if Shard::of_replica(&id) != shard {
                 continue;
             }
-            orderer.told_load(&id, account.load, account.at);
+            orderer.record_load(&id, account.load, account.at);
             if self.telling.record(account, now) == SampleOutcome::Dropped {
                 load_news::note_left_out(node, "node", 1);
             }
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -523,7 +523,7 @@
         let state = self.node.state.borrow();
         for entry in state.replicas.iter() {
             if let Some((load, at)) = entry.capacity.newest() {
-                self.orderer.told_load(&entry.listing.id, load, at);
+                self.orderer.record_load(&entry.listing.id, load, at);
             }
         }
     }
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -418,7 +418,7 @@
             sequence: placement.usable.sequence,
             models: models.collect(),
             arriving: arriving.collect(),
-            copies: placement.tells_copies.then(|| WireCopies {
+            copies: placement.includes_copies.then(|| WireCopies {
                 in_memory: strings(&placement.usable.copies.in_memory).into(),
                 on_disk: strings(&placement.usable.copies.on_disk).into(),
             }),
@@ -443,7 +443,7 @@
             in_memory: names(&copies.in_memory),
             on_disk: names(&copies.on_disk),
         });
-        let tells_copies = copies.is_some();
+        let includes_copies = copies.is_some();
         let usable = Holdings {
             sequence: self.sequence,
             models: models.collect(),
@@ -454,7 +454,7 @@
             started_ms: self.started_ms,
             usable,
             arriving: arriving.collect(),
-            tells_copies,
+            includes_copies,
         }
     }
 }
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -103,7 +103,7 @@
         }
         let now = self.now();
         let replicas = &self.node.state.borrow().replicas;
-        if !replicas.goes_by_capacity(&self.service) {
+        if !replicas.routes_by_capacity(&self.service) {
             return None;
         }
         let room = room(replicas, &self.routing_request(&self.tried), now);
--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -151,7 +151,7 @@
         state.replicas.end_send(&self.replica);
         if let Some(answered_at) = self.answered_at {
             let held = self.node.clock.now().since(answered_at);
-            state.replicas.ran_for(&self.replica, held);
+            state.replicas.record_run_time(&self.replica, held);
         }
         drop(state);
         self.node.room_changed.notify_waiters();
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -81,7 +81,7 @@
                 .state
                 .borrow_mut()
                 .replicas
-                .paused_for(&replica, longest_pause);
+                .record_pause(&replica, longest_pause);
             match end {
                 PumpEnd::Complete => {
                     current.send.record(SendOutcome::Success);
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -288,7 +288,7 @@
     for reload in told.reloads {
         let key = reload.model.to_key();
         let time = Duration::from_millis(u64::from(reload.reload_ms));
-        state.replicas.told_reload(key.service, key.model, time);
+        state.replicas.record_reload_time(key.service, key.model, time);
     }
     for interest in &told.answers {
         state.tree.wants.answered(&interest.to_interest());
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -229,7 +229,7 @@
                 }),
                 FollowerUpdate::Full => newly_known.push(placement.replica.clone()),
             }
-            if placement.tells_copies {
+            if placement.includes_copies {
                 with_copies.extend(placement.usable.copies.in_memory.iter().cloned());
                 with_copies.extend(placement.usable.copies.on_disk.iter().cloned());
             }
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -212,7 +212,7 @@
 pub(crate) fn knows_all_replicas<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     state.tree.is_narrow = false;
-    state.replicas.forget_told_reloads();
+    state.replicas.clear_received_reload_times();
     knows_untold_replicas(node, &mut state.tree);
 }
 
--- a/crates/croftrill-node/tests/parts.rs
+++ b/crates/croftrill-node/tests/parts.rs
@@ -107,7 +107,7 @@
             }],
             copies: Default::default(),
         },
-        tells_copies: true,
+        includes_copies: true,
         arriving: vec![Arrival {
             model: "n".into(),
             ready_at: now + Duration::from_millis(250),
--- a/crates/croftrill-node/tests/wire.rs
+++ b/crates/croftrill-node/tests/wire.rs
@@ -34,7 +34,7 @@
             model: "m2".into(),
             ready_at: Moment::default() + Duration::from_secs(1),
         }],
-        tells_copies: true,
+        includes_copies: true,
     };
     let wire = WirePlacement::from_placement(&placement, Moment::default());
     FromOrderer::Placements(vec![wire].into()).serialize_bin()
--- a/crates/croftrill-scheduler/src/capacity.rs
+++ b/crates/croftrill-scheduler/src/capacity.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns whether the replica reports its work time.
-    pub fn tells_work_time(&self) -> bool {
+    pub fn reports_work_time(&self) -> bool {
         !self.work_times_pct.is_empty()
     }
 
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -297,13 +297,13 @@
     /// there all the time, but with it all nodes forgot what they had been told.
     fn tell_again_if_forgotten(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
-        if !entry.is_told() && self.told.remove(id).is_some() {
+        if !entry.has_orderer_placement() && self.told.remove(id).is_some() {
             self.changed.insert(id.clone());
         }
     }
 
     /// A replica told its load at `at`, in an answer to a node.
-    pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
+    pub fn record_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         self.replicas.record_load(id, load, at);
     }
 
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -26,13 +26,13 @@
     /// in a message of all replicas they would take more than all else.
     fn news(&mut self, placement: Placement) -> Option<Placement> {
         let known = self.told.get(&placement.replica);
-        if known.is_some_and(|known| placement.says_the_same_as(known)) {
+        if known.is_some_and(|known| placement.is_equivalent_to(known)) {
             return None;
         }
-        let tells_copies = known.is_some_and(|known| known.usable.copies != placement.usable.copies);
+        let includes_copies = known.is_some_and(|known| known.usable.copies != placement.usable.copies);
         self.told.insert(placement.replica.clone(), placement.clone());
         Some(Placement {
-            tells_copies,
+            includes_copies,
             ..placement
         })
     }
@@ -62,7 +62,7 @@
             started_ms: replica.started_ms,
             usable,
             arriving,
-            tells_copies: false,
+            includes_copies: false,
         })
     }
 
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -69,17 +69,17 @@
             started_ms: self.listing.started_ms,
             usable: self.listing.holdings.clone(),
             arriving: self.arriving.clone(),
-            tells_copies: false,
+            includes_copies: false,
         }
     }
 
     /// Returns whether anything is known of its holdings.
-    pub(super) fn tells_holdings(&self) -> bool {
+    pub(super) fn has_known_holdings(&self) -> bool {
         self.from_orderer || !self.listing.holdings.models.is_empty()
     }
 
     /// Returns whether the holdings come from an orderer's placement.
-    pub fn is_told(&self) -> bool {
+    pub fn has_orderer_placement(&self) -> bool {
         self.from_orderer
     }
 
--- a/crates/croftrill-scheduler/src/replica_table/index.rs
+++ b/crates/croftrill-scheduler/src/replica_table/index.rs
@@ -20,7 +20,7 @@
     /// Replicas that store a copy of a model's weights outside their accelerator.
     by_copy: HashMap<ModelName, BTreeSet<ReplicaId>>,
     /// Replicas that report how long work takes there.
-    telling_work_time: BTreeSet<ReplicaId>,
+    reporting_work_time: BTreeSet<ReplicaId>,
     /// Replicas whose weight copies are unknown.
     pub(super) unknown_copies: BTreeSet<ReplicaId>,
 }
@@ -44,20 +44,20 @@
     /// Updates the index after an indexed replica reported its load.
     pub(super) fn note_capacity(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
-        if entry.capacity.tells_work_time() && !self.telling_work_time.contains(id) {
-            self.telling_work_time.insert(id.clone());
+        if entry.capacity.reports_work_time() && !self.reporting_work_time.contains(id) {
+            self.reporting_work_time.insert(id.clone());
         }
     }
 
     /// Returns whether any of the replicas reports its work time.
-    pub(super) fn tells_work_time(&self) -> bool {
-        !self.telling_work_time.is_empty()
+    pub(super) fn reports_work_time(&self) -> bool {
+        !self.reporting_work_time.is_empty()
     }
 
     pub(super) fn take_out(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
         self.ids.remove(id);
-        self.telling_work_time.remove(id);
+        self.reporting_work_time.remove(id);
         self.unknown_copies.remove(id);
         entry
             .models()
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -57,7 +57,7 @@
     pub arriving: Vec<Arrival>,
     /// True if `usable` includes the weight copies. If false, the copies known before remain
     /// valid.
-    pub tells_copies: bool,
+    pub includes_copies: bool,
 }
 
 /// Difference up to which two expected ready times count as equal.
@@ -65,7 +65,7 @@
 
 impl Placement {
     /// Returns whether this placement holds nothing new for a node that knows `other`.
-    pub fn says_the_same_as(&self, other: &Placement) -> bool {
+    pub fn is_equivalent_to(&self, other: &Placement) -> bool {
         let same_arrivals = self.arriving.len() == other.arriving.len()
             && self.arriving.iter().zip(&other.arriving).all(|(left, right)| {
                 let apart = left
@@ -95,11 +95,11 @@
     unlisted_signals: Unlisted<KnownSignals>,
     changes: ChangeLog,
     /// Shortest times to load a model, received from nodes that know all replicas.
-    told_reloads: HashMap<(ServiceName, ModelName), Duration>,
+    received_reload_times: HashMap<(ServiceName, ModelName), Duration>,
     /// Typical requests to each service, by this node's own requests.
     usual_runs: HashMap<ServiceName, UsualRun>,
     /// True if the requests of all services are routed by capacity.
-    by_capacity: bool,
+    all_by_capacity: bool,
 }
 
 /// Number of replicas with recorded outcomes above which those without a recent outcome
@@ -209,7 +209,7 @@
         entry.knows_copies = true;
         entry.listing.holdings = listing.holdings;
         let placement = Placement {
-            tells_copies: true,
+            includes_copies: true,
             ..entry.placement()
         };
         self.put(entry);
@@ -337,7 +337,7 @@
         self.awaiting_placement.remove(&placement.replica);
         entry.absent.clear();
         let former = std::mem::replace(&mut entry.listing.holdings, placement.usable);
-        if placement.tells_copies {
+        if placement.includes_copies {
             entry.knows_copies = true;
         } else {
             entry.listing.holdings.copies = former.copies;
@@ -349,7 +349,7 @@
 
     /// Returns the known placements, for a node that has none yet.
     pub fn placements(&self) -> Vec<Placement> {
-        let known = self.replicas.values().filter(|entry| entry.tells_holdings());
+        let known = self.replicas.values().filter(|entry| entry.has_known_holdings());
         known.map(ReplicaEntry::placement).collect()
     }
 
@@ -400,7 +400,7 @@
     }
 
     /// Records for how long a completed request occupied its slot at the replica.
-    pub fn ran_for(&mut self, id: &str, held: Duration) {
+    pub fn record_run_time(&mut self, id: &str, held: Duration) {
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
             let usual = self.usual_runs.entry(service).or_default();
@@ -409,7 +409,7 @@
     }
 
     /// Records the longest pause between two events of a completed stream.
-    pub fn paused_for(&mut self, id: &str, longest: Duration) {
+    pub fn record_pause(&mut self, id: &str, longest: Duration) {
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
             let usual = self.usual_runs.entry(service).or_default();
@@ -423,15 +423,15 @@
     }
 
     /// Routes the requests of all services by the capacity of replicas from now on.
-    pub fn go_by_capacity(&mut self) {
-        self.by_capacity = true;
+    pub fn route_all_by_capacity(&mut self) {
+        self.all_by_capacity = true;
     }
 
     /// Returns whether requests to the service are routed by capacity: its replicas report their
     /// work time, or the node's settings ask for it.
-    pub fn goes_by_capacity(&self, service: &str) -> bool {
-        let tells = |index: &ServiceIndex| index.tells_work_time();
-        self.by_capacity || self.services.get(service).is_some_and(tells)
+    pub fn routes_by_capacity(&self, service: &str) -> bool {
+        let tells = |index: &ServiceIndex| index.reports_work_time();
+        self.all_by_capacity || self.services.get(service).is_some_and(tells)
     }
 
     /// Records the outcome of a request for the replica's health.
@@ -452,7 +452,7 @@
     }
 
     /// Records a load that the replica reported at `at`, to this node or to another one.
-    pub fn told_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
+    pub fn record_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
         };
@@ -522,7 +522,7 @@
     /// replicas known here.
     pub fn reload_time(&self, service: &str, spec: &ModelSpec, now: Moment) -> Duration {
         let key = (ServiceName::from(service), spec.name.clone());
-        if let Some(told) = self.told_reloads.get(&key) {
+        if let Some(told) = self.received_reload_times.get(&key) {
             return *told;
         }
         let index = self.services.get(service).into_iter();
@@ -542,7 +542,7 @@
     /// not know of. The load time from the weight store is then only an upper bound.
     pub fn may_have_unknown_copy(&self, service: &str, model: &ModelName) -> bool {
         let is_told = self
-            .told_reloads
+            .received_reload_times
             .contains_key(&(ServiceName::from(service), model.clone()));
         let Some(index) = self.services.get(service) else {
             return false;
@@ -553,13 +553,13 @@
 
     /// Records how soon a replica could load a model, as received from a node that knows all
     /// replicas.
-    pub fn told_reload(&mut self, service: ServiceName, model: ModelName, reload: Duration) {
-        self.told_reloads.insert((service, model), reload);
+    pub fn record_reload_time(&mut self, service: ServiceName, model: ModelName, reload: Duration) {
+        self.received_reload_times.insert((service, model), reload);
     }
 
     /// Drops the received load times, because this table knows all replicas itself from now on.
-    pub fn forget_told_reloads(&mut self) {
-        self.told_reloads.clear();
+    pub fn clear_received_reload_times(&mut self) {
+        self.received_reload_times.clear();
     }
 
     /// Returns the number of ready replicas that hold the model, with or without adapters.
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -7,7 +7,7 @@
 //! replica of a shared prefix is chosen by rendezvous hashing, so that all nodes agree on it
 //! without communicating.
 //!
-//! Services that are routed by capacity (see [`ReplicaTable::goes_by_capacity`]) use the
+//! Services that are routed by capacity (see [`ReplicaTable::routes_by_capacity`]) use the
 //! replica's [`Outlook`] instead: the fractions of the request's objective, of its deadline
 //! and of the replica's slots that the request would take. A full replica is the last choice.
 
@@ -93,7 +93,7 @@
 
 /// Returns the replica for a request, or `None` if no replica can take it.
 pub fn choose(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Option<ReplicaId> {
-    if table.goes_by_capacity(request.service) {
+    if table.routes_by_capacity(request.service) {
         return choose_by_capacity(table, request, now);
     }
     let usual_failures = table.usual_failure_rate(request.service, now);
--- a/crates/croftrill-scheduler/tests/capacity.rs
+++ b/crates/croftrill-scheduler/tests/capacity.rs
@@ -31,7 +31,7 @@
 fn speed_of_a_replica_that_tells_no_work_time_is_the_usual() {
     let mut capacity = Capacity::default();
     capacity.hear(load(3, None), 0, at(0));
-    assert!(!capacity.tells_work_time());
+    assert!(!capacity.reports_work_time());
     assert_eq!(capacity.speed(), 1.0);
     assert_eq!(capacity.speed_now(at(0)), 1.0);
 }
--- a/crates/croftrill-scheduler/tests/interest.rs
+++ b/crates/croftrill-scheduler/tests/interest.rs
@@ -40,7 +40,7 @@
             ..Holdings::default()
         },
         arriving: Vec::new(),
-        tells_copies: false,
+        includes_copies: false,
     }
 }
 
--- a/crates/croftrill-scheduler/tests/load_summary.rs
+++ b/crates/croftrill-scheduler/tests/load_summary.rs
@@ -43,9 +43,9 @@
 #[test]
 fn by_service_counts_replicas_that_told_lately() {
     let mut table = table(&["r1", "r2", "r3", "r4"]);
-    table.told_load("r1", load(12, 4, None), at(0));
-    table.told_load("r2", load(2, 0, None), at(100));
-    table.told_load("r3", load(9, 0, None), at(0) - Duration::from_secs(2));
+    table.record_load("r1", load(12, 4, None), at(0));
+    table.record_load("r2", load(2, 0, None), at(100));
+    table.record_load("r3", load(9, 0, None), at(0) - Duration::from_secs(2));
     let services = by_service(&table, at(200));
     let service = services["llm"];
     let expected = ServiceLoad {
@@ -63,7 +63,7 @@
 #[test]
 fn by_service_of_idle_replicas_has_an_even_spread() {
     let mut table = table(&["r1", "r2"]);
-    table.told_load("r1", load(0, 0, None), at(0));
+    table.record_load("r1", load(0, 0, None), at(0));
     assert_eq!(by_service(&table, at(0))["llm"].spread(), 1.0);
 }
 
@@ -71,14 +71,14 @@
 fn judged_load_of_a_slow_replica_tells_usual_and_present_speed() {
     let mut table = table(&["r1", "r2"]);
     for ms in 0..5 {
-        table.told_load("r1", load(1, 0, Some(100)), at(100 * ms));
+        table.record_load("r1", load(1, 0, Some(100)), at(100 * ms));
     }
     let judged = |table: &ReplicaTable, id: &str, ms: u64| {
         let entry = table.get(id).expect("the replica is listed");
         JudgedLoad::of(entry, at(ms))
     };
     assert!(!judged(&table, "r1", 500).expect("a load was reported").is_slow());
-    table.told_load("r1", load(1, 0, Some(250)), at(500));
+    table.record_load("r1", load(1, 0, Some(250)), at(500));
     let slowed = judged(&table, "r1", 500).expect("a load was reported");
     assert!(slowed.is_slow() && !slowed.is_full());
     assert_eq!((slowed.speed, slowed.speed_now), (1.0, 0.4));
--- a/crates/croftrill-scheduler/tests/replica_table.rs
+++ b/crates/croftrill-scheduler/tests/replica_table.rs
@@ -40,7 +40,7 @@
             ..Holdings::default()
         },
         arriving: Vec::new(),
-        tells_copies: false,
+        includes_copies: false,
     }
 }
 
@@ -54,7 +54,7 @@
     table.apply_relayed_listing(listing("r1"));
     let mut held = told("r1", "m1");
     held.usable.copies.on_disk = vec!["m1".into()];
-    held.tells_copies = true;
+    held.includes_copies = true;
     table.apply_placement(held);
     assert_eq!(table.reachable_holders("llm", "m1", NOW), 1);
     for _ in 0..3 {
@@ -98,7 +98,7 @@
     );
     let mut with_copies = told("r1", "m2");
     with_copies.usable.copies.on_disk = vec!["m3".into()];
-    with_copies.tells_copies = true;
+    with_copies.includes_copies = true;
     table.apply_placement(with_copies);
     assert!(!table.may_have_unknown_copy("llm", &model));
     table.apply_listing(listing("r2"));
@@ -107,7 +107,7 @@
         "a listing from the store includes them"
     );
     table.apply_relayed_listing(listing("r3"));
-    table.told_reload("llm".into(), model.clone(), Duration::from_millis(13_200));
+    table.record_reload_time("llm".into(), model.clone(), Duration::from_millis(13_200));
     assert!(
         !table.may_have_unknown_copy("llm", &model),
         "a received load time takes precedence"
@@ -130,7 +130,7 @@
         in_memory: vec!["m1".into()],
         on_disk: vec!["m1".into(), "m3".into()],
     };
-    without.tells_copies = true;
+    without.includes_copies = true;
     table.apply_placement(without);
     assert_eq!(
         table.reload_time("llm", &spec("m1"), NOW),
@@ -217,7 +217,7 @@
     table.apply_listing(listing_started_at("r1", 2000));
     assert_eq!(table.holders("llm", "m1"), 0);
     let entry = table.get("r1").expect("the replica is listed");
-    assert!(!entry.is_told() && !entry.health.is_unreachable(NOW));
+    assert!(!entry.has_orderer_placement() && !entry.health.is_unreachable(NOW));
     assert_eq!(entry.own_tokens(), 100, "the request has not ended yet");
 }
 
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -165,7 +165,7 @@
         started_ms: None,
         usable,
         arriving: Vec::new(),
-        tells_copies: false,
+        includes_copies: false,
     });
     table.apply_listing(listing("r0", &[("m1", &[])]));
     assert!(choose(&table, &request(Some("m2"), None, 1), now()).is_some());
@@ -230,8 +230,8 @@
 #[test]
 fn full_replica_is_passed_over_while_another_has_room() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.told_load("r0", told(8, 0, Some(60)), now());
-    table.told_load("r1", told(6, 0, Some(160)), now());
+    table.record_load("r0", told(8, 0, Some(60)), now());
+    table.record_load("r1", told(6, 0, Some(160)), now());
     for salt in 0..50 {
         assert_eq!(choose(&table, &stream(salt), now()).as_deref(), Some("r1"));
     }
@@ -244,9 +244,9 @@
 #[test]
 fn room_of_full_replicas_tells_when_a_place_is_free() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
-    table.told_load("r0", told(8, 4, Some(100)), now());
+    table.record_load("r0", told(8, 4, Some(100)), now());
     let full = room(&table, &stream(1), now());
-    table.told_load("r0", told(2, 0, Some(100)), now());
+    table.record_load("r0", told(2, 0, Some(100)), now());
     let free = room(&table, &stream(1), now());
     assert_eq!((full.free, free.free), (0, 1));
     assert!(full.first_event_after.expect("a holder") > Duration::from_millis(500));
@@ -261,13 +261,13 @@
         ..listing("a0", &[])
     };
     let mut table = table(&[listing("r0", &[]), other]);
-    table.told_load("r0", told(1, 0, None), now());
-    table.told_load("a0", told(1, 0, Some(100)), now());
-    assert!(table.goes_by_capacity("app") && !table.goes_by_capacity("llm"));
+    table.record_load("r0", told(1, 0, None), now());
+    table.record_load("a0", told(1, 0, Some(100)), now());
+    assert!(table.routes_by_capacity("app") && !table.routes_by_capacity("llm"));
     table.remove("a0");
-    assert!(!table.goes_by_capacity("app"));
-    table.go_by_capacity();
-    assert!(table.goes_by_capacity("llm"));
+    assert!(!table.routes_by_capacity("app"));
+    table.route_all_by_capacity();
+    assert!(table.routes_by_capacity("llm"));
 }
 
 fn times_chosen(
@@ -285,8 +285,8 @@
 #[test]
 fn slow_replica_gets_its_part_of_the_work() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.told_load("r0", told(2, 0, Some(60)), now());
-    table.told_load("r1", told(2, 0, Some(160)), now());
+    table.record_load("r0", told(2, 0, Some(60)), now());
+    table.record_load("r1", told(2, 0, Some(160)), now());
     let slow = times_chosen(&table, "r1", 1000, stream);
     assert!((180..330).contains(&slow), "{slow} of 1000 at a speed of 27 %");
 }
@@ -296,16 +296,16 @@
 #[test]
 fn streams_go_where_their_pauses_are_borne() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.told_load("r0", told(4, 0, Some(100)), now());
-    table.told_load("r1", told(0, 0, Some(160)), now());
+    table.record_load("r0", told(4, 0, Some(100)), now());
+    table.record_load("r1", told(0, 0, Some(160)), now());
     for _ in 0..10 {
         table.begin_send("r0", stream(0).work, now());
-        table.paused_for("r0", Duration::from_millis(150));
+        table.record_pause("r0", Duration::from_millis(150));
         table.end_send("r0");
     }
     let held_up = times_chosen(&table, "r1", 1000, stream);
     assert!(held_up < 50, "{held_up} of 1000");
-    table.told_load("r0", told(8, 0, Some(100)), now());
+    table.record_load("r0", told(8, 0, Some(100)), now());
     assert_eq!(times_chosen(&table, "r1", 200, stream), 200, "the other is full");
 }
 
@@ -313,8 +313,8 @@
 #[test]
 fn full_replicas_share_what_is_sent_anyway() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.told_load("r0", told(8, 0, Some(100)), now());
-    table.told_load("r1", told(8, 24, Some(100)), now());
+    table.record_load("r0", told(8, 0, Some(100)), now());
+    table.record_load("r1", told(8, 24, Some(100)), now());
     let fuller = times_chosen(&table, "r1", 1000, stream);
     assert!((130..270).contains(&fuller), "{fuller} of 1000");
 }
@@ -327,7 +327,7 @@
     for _ in 0..3 {
         table.begin_send("r0", stream(0).work, now());
     }
-    table.told_load("r0", told(5, 0, Some(100)), now() - Duration::from_millis(200));
+    table.record_load("r0", told(5, 0, Some(100)), now() - Duration::from_millis(200));
     let entry = table.get("r0").expect("it is listed");
     assert!(entry.running_load(now()) > 7.0);
 }
@@ -339,8 +339,8 @@
     for _ in 0..2 {
         table.begin_send("r0", stream(0).work, now());
     }
-    table.told_load("r0", told(2, 0, Some(60)), now());
-    table.told_load("r1", told(0, 0, Some(160)), now());
+    table.record_load("r0", told(2, 0, Some(60)), now());
+    table.record_load("r1", told(0, 0, Some(160)), now());
     assert!(times_chosen(&table, "r0", 100, stream) > 50);
     let tight = |salt| RoutingRequest {
         memory_tokens: 2 * 980,
@@ -353,11 +353,11 @@
 #[test]
 fn services_without_models_go_by_slots_and_speed() {
     let mut table = table(&[listing("r0", &[]), listing("r1", &[])]);
-    table.told_load("r0", told(7, 1, Some(100)), now());
-    table.told_load("r1", told(3, 0, Some(100)), now());
+    table.record_load("r0", told(7, 1, Some(100)), now());
+    table.record_load("r1", told(3, 0, Some(100)), now());
     let plain = |salt| request(None, None, salt);
     assert_eq!(times_chosen(&table, "r0", 100, plain), 0, "it is full");
-    table.told_load("r0", told(0, 0, Some(250)), now());
+    table.record_load("r0", told(0, 0, Some(250)), now());
     let disturbed = times_chosen(&table, "r0", 1000, plain);
     assert!(disturbed < 600, "{disturbed} of 1000 though it has more places");
 }
@@ -378,12 +378,12 @@
     for _ in 0..10 {
         table.begin_send("r0", stream(0).work, now());
         table.prompt_done("r0", stream(0).work.prompt_tokens);
-        table.paused_for("r0", Duration::from_secs(1));
+        table.record_pause("r0", Duration::from_secs(1));
         table.end_send("r0");
     }
-    table.told_load("r0", told(8, 1, None), now());
-    table.told_load("r1", told(10, 0, None), now());
-    assert!(!table.goes_by_capacity("llm"));
+    table.record_load("r0", told(8, 1, None), now());
+    table.record_load("r1", told(10, 0, None), now());
+    assert!(!table.routes_by_capacity("llm"));
     assert_eq!(times_chosen(&table, "r0", 200, unshared), 200);
 }
 
@@ -398,7 +398,7 @@
         slots: Some(1),
         work_time_pct: Some(u32::MAX),
     };
-    table.told_load("r0", load, now());
+    table.record_load("r0", load, now());
     let request = RoutingRequest {
         work: RequestWork {
             prompt_tokens: 100_000_000,
