--- a/crates/croftrill-scheduler/src/load_news/keys.rs
+++ b/crates/croftrill-scheduler/src/load_news/keys.rs
@@ -47,7 +47,7 @@
             }
             ChangedReplicas::These(ids) => {
                 for id in ids {
-                    self.take_out(&id);
+                    self.remove(&id);
                     if let Some(entry) = table.get(&id) {
                         self.add(&id, entry.listing.started_ms);
                     }
@@ -75,7 +75,7 @@
         self.keys.insert(id.clone(), key);
     }
 
-    fn take_out(&mut self, id: &ReplicaId) {
+    fn remove(&mut self, id: &ReplicaId) {
         let Some(key) = self.keys.remove(id) else { return };
         if let Some(ids) = self.replicas.get_mut(&key) {
             ids.retain(|other| other != id);
--- a/crates/croftrill-scheduler/src/replica_table/change_log.rs
+++ b/crates/croftrill-scheduler/src/replica_table/change_log.rs
@@ -6,7 +6,7 @@
 
 /// Number of changes that the log retains beyond one for each present replica, for replicas
 /// that were removed. A reader that is further behind reads the whole table.
-const MOST_GONE: usize = 1024;
+const MAX_REMOVED: usize = 1024;
 
 /// Version of a table that a reader has reached; the default is a reader that has read nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
@@ -39,7 +39,7 @@
             self.changes.remove(&former);
         }
         self.changes.insert(self.version, id.clone());
-        while self.changes.len() > present + MOST_GONE {
+        while self.changes.len() > present + MAX_REMOVED {
             let Some((version, id)) = self.changes.pop_first() else {
                 break;
             };
--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -1,6 +1,6 @@
 //! A replica as a node's table stores it.
 
-use super::own_begun::OwnBegun;
+use super::own_begun::SendTimes;
 use super::own_word::KnownSignals;
 use super::{Arrival, Placement};
 use crate::capacity::Capacity;
@@ -25,7 +25,7 @@
     pub(super) own_sends: u32,
     pub(super) own_tokens: u64,
     /// When the latest of this node's requests there started.
-    pub(super) own_begun: OwnBegun,
+    pub(super) send_times: SendTimes,
     /// Capacity and load, as reported in responses.
     pub capacity: Capacity,
     /// False while all sources that this node has for the replica carry no weight copies.
@@ -43,7 +43,7 @@
             absent: Vec::new(),
             own_sends: 0,
             own_tokens: 0,
-            own_begun: OwnBegun::default(),
+            send_times: SendTimes::default(),
             capacity: Capacity::default(),
             knows_copies: true,
         }
@@ -56,7 +56,7 @@
         ReplicaEntry {
             own_sends: self.own_sends,
             own_tokens: self.own_tokens,
-            own_begun: self.own_begun.clone(),
+            send_times: self.send_times.clone(),
             signals: self.signals.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
         }
@@ -151,7 +151,7 @@
     /// Returns how many of this node's requests had started when the replica reported its load
     /// at `at`.
     pub(super) fn own_sends_at(&self, at: Moment) -> u32 {
-        self.own_sends.saturating_sub(self.own_begun.after(at))
+        self.own_sends.saturating_sub(self.send_times.count_after(at))
     }
 
     /// Returns the prompt tokens of this node's requests there that have no first token yet.
--- a/crates/croftrill-scheduler/src/replica_table/index.rs
+++ b/crates/croftrill-scheduler/src/replica_table/index.rs
@@ -54,17 +54,17 @@
         !self.reporting_work_time.is_empty()
     }
 
-    pub(super) fn take_out(&mut self, entry: &ReplicaEntry) {
+    pub(super) fn remove(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
         self.ids.remove(id);
         self.reporting_work_time.remove(id);
         self.unknown_copies.remove(id);
         entry
             .models()
-            .for_each(|model| take_from(&mut self.by_model, model, id));
+            .for_each(|model| remove_from(&mut self.by_model, model, id));
         entry
             .copies()
-            .for_each(|model| take_from(&mut self.by_copy, model, id));
+            .for_each(|model| remove_from(&mut self.by_copy, model, id));
     }
 
     /// Returns the replicas that hold a model or are about to.
@@ -78,7 +78,7 @@
     }
 }
 
-fn take_from(index: &mut HashMap<ModelName, BTreeSet<ReplicaId>>, model: &ModelName, id: &ReplicaId) {
+fn remove_from(index: &mut HashMap<ModelName, BTreeSet<ReplicaId>>, model: &ModelName, id: &ReplicaId) {
     if let Some(ids) = index.get_mut(model) {
         ids.remove(id);
         if ids.is_empty() {
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// Difference up to which two expected ready times count as equal.
-const SAME_ARRIVAL: Duration = Duration::from_millis(150);
+const READY_TIME_TOLERANCE: Duration = Duration::from_millis(150);
 
 impl Placement {
     /// Returns whether this placement holds nothing new for a node that knows `other`.
@@ -72,7 +72,7 @@
                     .ready_at
                     .since(right.ready_at)
                     .max(right.ready_at.since(left.ready_at));
-                left.model == right.model && apart < SAME_ARRIVAL
+                left.model == right.model && apart < READY_TIME_TOLERANCE
             });
         same_arrivals
             && self.usable.models == other.usable.models
@@ -86,7 +86,7 @@
     replicas: BTreeMap<ReplicaId, ReplicaEntry>,
     services: HashMap<ServiceName, ServiceIndex>,
     /// Replicas with recorded outcomes of requests.
-    judged: BTreeSet<ReplicaId>,
+    with_outcomes: BTreeSet<ReplicaId>,
     /// Replicas that were listed before their orderer published a placement for them.
     awaiting_placement: BTreeSet<ReplicaId>,
     /// Placements of replicas that are not listed.
@@ -104,7 +104,7 @@
 
 /// Number of replicas with recorded outcomes above which those without a recent outcome
 /// are removed.
-const MOST_JUDGED: usize = 64;
+const MAX_WITH_OUTCOMES: usize = 64;
 
 impl ReplicaTable {
     /// Creates an empty table.
@@ -125,7 +125,7 @@
     /// Applies a listing. Its holdings may be older than the latest order, so they are used
     /// only while no orderer publishes placements for the replica.
     pub fn apply_listing(&mut self, listing: ReplicaListing) {
-        self.unlisted.take(&listing.id);
+        self.unlisted.remove(&listing.id);
         let entry = match self.replicas.get(&listing.id) {
             None => self.newly_listed(listing),
             Some(known) => match relisted(known, listing) {
@@ -142,7 +142,7 @@
     /// Returns the entry of a replica that was not listed. Its earlier signals remain valid, as
     /// its directory entry may have lapsed while it kept running.
     fn newly_listed(&mut self, listing: ReplicaListing) -> ReplicaEntry {
-        let signals = self.unlisted_signals.take(&listing.id).unwrap_or_default();
+        let signals = self.unlisted_signals.remove(&listing.id).unwrap_or_default();
         ReplicaEntry {
             signals: signals.of_incarnation(listing.started_ms),
             ..ReplicaEntry::new(listing)
@@ -158,10 +158,10 @@
         signals: ReplicaSignals,
     ) -> SignalChanges {
         let Some(entry) = self.replicas.get_mut(id) else {
-            let mut known = self.unlisted_signals.take(id).unwrap_or_default();
+            let mut known = self.unlisted_signals.remove(id).unwrap_or_default();
             let changes = known.apply(call, signals);
             if !known.is_empty() {
-                self.unlisted_signals.keep(id.clone(), known);
+                self.unlisted_signals.insert(id.clone(), known);
             }
             return changes;
         };
@@ -200,8 +200,8 @@
     pub fn apply_listed_holdings(&mut self, listing: ReplicaListing) -> Option<Placement> {
         let known = self.replicas.get(&listing.id)?;
         let is_same = Incarnation::of(listing.started_ms, known.listing.started_ms) == Incarnation::Same;
-        let is_news = known.listing.holdings != listing.holdings || !known.absent.is_empty();
-        if known.from_orderer || !is_same || !is_news {
+        let is_changed = known.listing.holdings != listing.holdings || !known.absent.is_empty();
+        if known.from_orderer || !is_same || !is_changed {
             return None;
         }
         let mut entry = known.clone();
@@ -219,7 +219,7 @@
     /// Applies a listing from a source that carries no holdings. A placement that arrived while
     /// the replica was not listed remains valid.
     pub fn apply_relayed_listing(&mut self, listing: ReplicaListing) {
-        let told = self.unlisted.take(&listing.id);
+        let placement = self.unlisted.remove(&listing.id);
         let id = listing.id.clone();
         let known = self.replicas.get(&id);
         let is_new = known.is_none_or(|known| {
@@ -230,8 +230,8 @@
         if is_new || !knew_copies {
             self.note_unknown_copies(&id);
         }
-        if let Some(told) = told {
-            self.apply_placement(told);
+        if let Some(placement) = placement {
+            self.apply_placement(placement);
         } else if is_new {
             self.awaiting_placement.insert(id);
         }
@@ -264,7 +264,7 @@
     /// Inserts or replaces an entry. Every change to a field that is indexed goes through here.
     fn put(&mut self, entry: ReplicaEntry) {
         let id = entry.listing.id.clone();
-        self.take_out(&id);
+        self.remove_entry(&id);
         self.services
             .entry(entry.listing.service.clone())
             .or_default()
@@ -275,10 +275,10 @@
         self.changes.note(&id, self.replicas.len());
     }
 
-    fn take_out(&mut self, id: &str) -> Option<ReplicaEntry> {
+    fn remove_entry(&mut self, id: &str) -> Option<ReplicaEntry> {
         let entry = self.replicas.remove(id)?;
         if let Some(index) = self.services.get_mut(&entry.listing.service) {
-            index.take_out(&entry);
+            index.remove(&entry);
         }
         Some(entry)
     }
@@ -286,18 +286,18 @@
     /// Removes a replica that is no longer listed. Its signals and placement are retained, in
     /// case it is listed again.
     pub fn remove(&mut self, id: &str) {
-        let Some(entry) = self.take_out(id) else {
+        let Some(entry) = self.remove_entry(id) else {
             return;
         };
-        self.judged.remove(id);
+        self.with_outcomes.remove(id);
         self.awaiting_placement.remove(id);
         self.changes.note(&entry.listing.id, self.replicas.len());
         if !entry.signals.is_empty() {
             self.unlisted_signals
-                .keep(entry.listing.id.clone(), entry.signals);
+                .insert(entry.listing.id.clone(), entry.signals);
         }
         if entry.from_orderer {
-            self.unlisted.keep(entry.listing.id.clone(), entry.placement());
+            self.unlisted.insert(entry.listing.id.clone(), entry.placement());
         }
     }
 
@@ -305,13 +305,13 @@
     /// running.
     pub fn forget(&mut self, id: &str) {
         self.remove(id);
-        self.unlisted.take(id);
+        self.unlisted.remove(id);
     }
 
     /// Removes all replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ReplicaId) -> bool) {
-        let gone: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
-        for id in gone {
+        let removed: Vec<ReplicaId> = self.replicas.keys().filter(|id| !keep(id)).cloned().collect();
+        for id in removed {
             self.remove(&id);
         }
     }
@@ -320,7 +320,7 @@
     /// the placement is about the listed incarnation.
     pub fn apply_placement(&mut self, placement: Placement) -> bool {
         let Some(known) = self.replicas.get(&placement.replica) else {
-            self.unlisted.keep(placement.replica.clone(), placement);
+            self.unlisted.insert(placement.replica.clone(), placement);
             return false;
         };
         match Incarnation::of(placement.started_ms, known.listing.started_ms) {
@@ -328,7 +328,7 @@
             Incarnation::Earlier => return false,
             Incarnation::Later => {
                 // The listing of this incarnation has not arrived yet.
-                self.unlisted.keep(placement.replica.clone(), placement);
+                self.unlisted.insert(placement.replica.clone(), placement);
                 return false;
             }
         }
@@ -355,9 +355,9 @@
 
     /// Handles the loss of a shard's orderer: from now on, listed holdings are used again.
     pub fn orderer_lost(&mut self, shard: Shard) {
-        let told =
+        let is_placed =
             |entry: &&ReplicaEntry| entry.from_orderer && Shard::of_replica(&entry.listing.id) == shard;
-        let lost: Vec<ReplicaEntry> = self.replicas.values().filter(told).cloned().collect();
+        let lost: Vec<ReplicaEntry> = self.replicas.values().filter(is_placed).cloned().collect();
         for mut entry in lost {
             entry.from_orderer = false;
             entry.arriving.clear();
@@ -378,7 +378,7 @@
         if let Some(entry) = self.replicas.get_mut(id) {
             entry.own_sends += 1;
             entry.own_tokens += work.prompt_tokens;
-            entry.own_begun.note(now);
+            entry.send_times.record(now);
             let service = entry.listing.service.clone();
             self.usual_runs.entry(service).or_default().note_work(work);
         }
@@ -430,8 +430,8 @@
     /// Returns whether requests to the service are routed by capacity: its replicas report their
     /// work time, or the node's settings ask for it.
     pub fn routes_by_capacity(&self, service: &str) -> bool {
-        let tells = |index: &ServiceIndex| index.reports_work_time();
-        self.all_by_capacity || self.services.get(service).is_some_and(tells)
+        let reports = |index: &ServiceIndex| index.reports_work_time();
+        self.all_by_capacity || self.services.get(service).is_some_and(reports)
     }
 
     /// Records the outcome of a request for the replica's health.
@@ -440,14 +440,14 @@
             return;
         };
         entry.health.record(outcome, now);
-        self.judged.insert(entry.listing.id.clone());
-        if self.judged.len() > MOST_JUDGED {
+        self.with_outcomes.insert(entry.listing.id.clone());
+        if self.with_outcomes.len() > MAX_WITH_OUTCOMES {
             let replicas = &self.replicas;
             let is_recent = |id: &ReplicaId| {
                 let entry = replicas.get(id);
                 entry.is_some_and(|entry| entry.health.failure_rate(now).is_some())
             };
-            self.judged.retain(is_recent);
+            self.with_outcomes.retain(is_recent);
         }
     }
 
@@ -496,8 +496,8 @@
     /// Returns the usual failure rate of a service's replicas: the median of their rates, or the
     /// lower one of the two in the middle.
     pub fn usual_failure_rate(&self, service: &str, now: Moment) -> f64 {
-        let judged = self.judged.iter().filter_map(|id| self.replicas.get(id));
-        let mut rates: Vec<f64> = judged
+        let with_outcomes = self.with_outcomes.iter().filter_map(|id| self.replicas.get(id));
+        let mut rates: Vec<f64> = with_outcomes
             .filter(|entry| &*entry.listing.service == service)
             .filter_map(|entry| entry.health.failure_rate(now))
             .collect();
@@ -522,8 +522,8 @@
     /// replicas known here.
     pub fn reload_time(&self, service: &str, spec: &ModelSpec, now: Moment) -> Duration {
         let key = (ServiceName::from(service), spec.name.clone());
-        if let Some(told) = self.received_reload_times.get(&key) {
-            return *told;
+        if let Some(received) = self.received_reload_times.get(&key) {
+            return *received;
         }
         let index = self.services.get(service).into_iter();
         let ids = index.flat_map(|index| index.with_copy(&spec.name));
@@ -541,14 +541,14 @@
     /// Returns whether a replica of the service may have a copy of the model that this node does
     /// not know of. The load time from the weight store is then only an upper bound.
     pub fn may_have_unknown_copy(&self, service: &str, model: &ModelName) -> bool {
-        let is_told = self
+        let is_received = self
             .received_reload_times
             .contains_key(&(ServiceName::from(service), model.clone()));
         let Some(index) = self.services.get(service) else {
             return false;
         };
         let mut unknown = index.unknown_copies.iter().filter_map(|id| self.replicas.get(id));
-        !is_told && index.with_copy(model).next().is_none() && unknown.any(ReplicaEntry::is_ready)
+        !is_received && index.with_copy(model).next().is_none() && unknown.any(ReplicaEntry::is_ready)
     }
 
     /// Records how soon a replica could load a model, as received from a node that knows all
--- a/crates/croftrill-scheduler/src/replica_table/unlisted.rs
+++ b/crates/croftrill-scheduler/src/replica_table/unlisted.rs
@@ -7,7 +7,7 @@
 /// Entries that are retained in a fleet of any size, about 200 bytes each. A larger fleet
 /// retains as many as it has replicas, because all of them lapse together when the store is
 /// unavailable for long.
-const LEAST_KEPT: usize = 1024;
+const MIN_CAPACITY: usize = 1024;
 
 /// A bounded map of values for replicas without a listing. The oldest values are dropped first.
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     known: HashMap<ReplicaId, (u64, T)>,
     order: BTreeMap<u64, ReplicaId>,
     next: u64,
-    most_listed: usize,
+    max_listed: usize,
 }
 
 impl<T> Default for Unlisted<T> {
@@ -24,7 +24,7 @@
             known: HashMap::new(),
             order: BTreeMap::new(),
             next: 0,
-            most_listed: 0,
+            max_listed: 0,
         }
     }
 }
@@ -32,12 +32,12 @@
 impl<T> Unlisted<T> {
     /// Records the number of replicas that are listed now.
     pub(super) fn note_listed(&mut self, count: usize) {
-        self.most_listed = self.most_listed.max(count);
+        self.max_listed = self.max_listed.max(count);
     }
 
-    pub(super) fn keep(&mut self, id: ReplicaId, known: T) {
-        self.take(&id);
-        while self.known.len() >= LEAST_KEPT.max(self.most_listed) {
+    pub(super) fn insert(&mut self, id: ReplicaId, known: T) {
+        self.remove(&id);
+        while self.known.len() >= MIN_CAPACITY.max(self.max_listed) {
             let Some((_, oldest)) = self.order.pop_first() else {
                 break;
             };
@@ -53,7 +53,7 @@
         self.known.get(id).map(|(_, known)| known)
     }
 
-    pub(super) fn take(&mut self, id: &str) -> Option<T> {
+    pub(super) fn remove(&mut self, id: &str) -> Option<T> {
         let (number, known) = self.known.remove(id)?;
         self.order.remove(&number);
         Some(known)
