--- a/crates/croftrill-scheduler/src/capacity.rs
+++ b/crates/croftrill-scheduler/src/capacity.rs
@@ -32,20 +32,20 @@
 const USUAL_WORK_TIME_PCT: u32 = 100;
 /// Number of reported work times whose median is the replica's usual one: enough for a short
 /// disturbance not to change it.
-const WORK_TIMES_KEPT: usize = 9;
+const MAX_WORK_TIMES: usize = 9;
 /// Number of reported work times from which on a replica's usual speed counts as known.
-const WORK_TIMES_NEEDED: usize = 3;
+const MIN_WORK_TIMES: usize = 3;
 /// Time constant with which a reported load decays.
-const LOAD_MEMORY: Duration = Duration::from_millis(700);
+const LOAD_DECAY: Duration = Duration::from_millis(700);
 /// Time constant for requests that are routed by capacity: about the duration of a stream. A
 /// replica whose requests have all ended sends no more reports, so its load has to decay.
-const RUNS_MEMORY: Duration = Duration::from_secs(2);
+const RUNNING_LOAD_DECAY: Duration = Duration::from_secs(2);
 /// Time for which a reported work time counts as the current one.
-const WORK_TIME_HOLDS: Duration = Duration::from_millis(600);
+const WORK_TIME_VALIDITY: Duration = Duration::from_millis(600);
 
 /// Number of speed classes between zero and the usual speed. Speeds of the same class count as
 /// equal.
-const CLASSES_PER_SPEED: f64 = 20.0;
+const CLASSES_PER_USUAL_SPEED: f64 = 20.0;
 
 /// A class of replicas that usually work at about the same speed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -53,7 +53,7 @@
 
 /// The newest load sample of a replica.
 #[derive(Debug, Clone, Copy)]
-struct Account {
+struct Sample {
     load: ReplicaLoad,
     /// The requests among these that this node did not send itself.
     others: f64,
@@ -63,7 +63,7 @@
 /// The known capacity and load of a replica.
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
-    account: Option<Account>,
+    sample: Option<Sample>,
     /// The latest reported work times, as percentages. A ring buffer once it is full, with the
     /// oldest at `next`.
     work_times_pct: Vec<u32>,
@@ -75,27 +75,27 @@
 impl Capacity {
     /// Records a load that the replica reported at `at`, when `own` requests of this node were
     /// there. Ignores samples that are older than the known one.
-    pub fn hear(&mut self, load: ReplicaLoad, own: u32, at: Moment) {
-        if self.account.is_some_and(|known| at < known.at) {
+    pub fn record(&mut self, load: ReplicaLoad, own: u32, at: Moment) {
+        if self.sample.is_some_and(|known| at < known.at) {
             return;
         }
         let others = f64::from(load.requests()) - f64::from(own);
-        self.account = Some(Account {
+        self.sample = Some(Sample {
             load,
             others: others.max(0.0),
             at,
         });
         if let Some(pct) = load.work_time_pct {
-            self.keep_work_time(pct.max(1));
+            self.record_work_time(pct.max(1));
         }
     }
 
-    fn keep_work_time(&mut self, pct: u32) {
-        if self.work_times_pct.len() < WORK_TIMES_KEPT {
+    fn record_work_time(&mut self, pct: u32) {
+        if self.work_times_pct.len() < MAX_WORK_TIMES {
             self.work_times_pct.push(pct);
         } else {
             self.work_times_pct[self.next] = pct;
-            self.next = (self.next + 1) % WORK_TIMES_KEPT;
+            self.next = (self.next + 1) % MAX_WORK_TIMES;
         }
         let mut known = self.work_times_pct.clone();
         known.sort_unstable();
@@ -104,30 +104,30 @@
 
     /// Returns the newest sample and when it was reported.
     pub fn newest(&self) -> Option<(ReplicaLoad, Moment)> {
-        self.account.map(|account| (account.load, account.at))
+        self.sample.map(|sample| (sample.load, sample.at))
     }
 
     /// Returns the estimated number of other nodes' requests there, for services whose requests
     /// are not routed by capacity.
     pub fn others(&self, now: Moment) -> f64 {
-        self.fading(LOAD_MEMORY, now)
+        self.decayed(LOAD_DECAY, now)
     }
 
     /// Returns the estimated number of other nodes' requests there, for services whose requests
     /// are routed by capacity: requests count for as long as they are likely to run.
     pub fn others_running(&self, now: Moment) -> f64 {
-        self.fading(RUNS_MEMORY, now)
+        self.decayed(RUNNING_LOAD_DECAY, now)
     }
 
-    fn fading(&self, memory: Duration, now: Moment) -> f64 {
-        let Some(account) = self.account else { return 0.0 };
-        let age = now.since(account.at).as_secs_f64() / memory.as_secs_f64();
-        account.others * (-age).exp()
+    fn decayed(&self, time_constant: Duration, now: Moment) -> f64 {
+        let Some(sample) = self.sample else { return 0.0 };
+        let age = now.since(sample.at).as_secs_f64() / time_constant.as_secs_f64();
+        sample.others * (-age).exp()
     }
 
     /// Returns the number of requests that it runs concurrently, if reported.
     pub fn slots(&self) -> Option<u32> {
-        self.account.and_then(|account| account.load.slots)
+        self.sample.and_then(|sample| sample.load.slots)
     }
 
     /// Returns whether the replica reports its work time.
@@ -143,7 +143,7 @@
     /// Returns the replica's usual speed, or 1 until it has reported enough work times for nodes
     /// that received different reports to agree.
     pub fn lasting_speed(&self) -> f64 {
-        if self.work_times_pct.len() < WORK_TIMES_NEEDED {
+        if self.work_times_pct.len() < MIN_WORK_TIMES {
             return speed_of(USUAL_WORK_TIME_PCT);
         }
         self.speed()
@@ -151,15 +151,15 @@
 
     /// Returns the class of replicas that usually work at about this replica's speed.
     pub fn speed_class(&self) -> SpeedClass {
-        SpeedClass((self.lasting_speed() * CLASSES_PER_SPEED).round() as u32)
+        SpeedClass((self.lasting_speed() * CLASSES_PER_USUAL_SPEED).round() as u32)
     }
 
     /// Returns the replica's current speed if it was reported recently, else its usual speed.
     pub fn speed_now(&self, now: Moment) -> f64 {
         let fresh = self
-            .account
-            .filter(|account| now.since(account.at) <= WORK_TIME_HOLDS)
-            .and_then(|account| account.load.work_time_pct);
+            .sample
+            .filter(|sample| now.since(sample.at) <= WORK_TIME_VALIDITY)
+            .and_then(|sample| sample.load.work_time_pct);
         fresh.map_or_else(|| self.speed(), |pct| speed_of(pct.max(1)))
     }
 }
--- a/crates/croftrill-scheduler/src/placement/replicas.rs
+++ b/crates/croftrill-scheduler/src/placement/replicas.rs
@@ -298,7 +298,7 @@
                 // The same report arrived before by another path.
                 return;
             }
-            replica.capacity.hear(load, 0, at);
+            replica.capacity.record(load, 0, at);
             let reports_work_time = self.load_reporting.entry(replica.service.clone()).or_default();
             *reports_work_time |= load.work_time_pct.is_some();
         }
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -456,7 +456,7 @@
         let Some(entry) = self.replicas.get_mut(id) else {
             return;
         };
-        entry.capacity.hear(load, entry.own_sends_at(at), at);
+        entry.capacity.record(load, entry.own_sends_at(at), at);
         if let Some(index) = self.services.get_mut(&entry.listing.service) {
             index.note_capacity(entry);
         }
--- a/crates/croftrill-scheduler/tests/capacity.rs
+++ b/crates/croftrill-scheduler/tests/capacity.rs
@@ -21,8 +21,8 @@
 #[test]
 fn hear_an_older_account_changes_nothing() {
     let mut capacity = Capacity::default();
-    capacity.hear(load(3, Some(160)), 0, at(500));
-    capacity.hear(load(20, Some(400)), 0, at(400));
+    capacity.record(load(3, Some(160)), 0, at(500));
+    capacity.record(load(20, Some(400)), 0, at(400));
     assert_eq!(capacity.newest(), Some((load(3, Some(160)), at(500))));
     assert!((capacity.speed() - 0.625).abs() < 1e-9);
 }
@@ -30,7 +30,7 @@
 #[test]
 fn speed_of_a_replica_that_tells_no_work_time_is_the_usual() {
     let mut capacity = Capacity::default();
-    capacity.hear(load(3, None), 0, at(0));
+    capacity.record(load(3, None), 0, at(0));
     assert!(!capacity.reports_work_time());
     assert_eq!(capacity.speed(), 1.0);
     assert_eq!(capacity.speed_now(at(0)), 1.0);
@@ -41,9 +41,9 @@
     let mut capacity = Capacity::default();
     for ms in 0..8 {
         let pct = if ms % 3 == 2 { 150 } else { 60 };
-        capacity.hear(load(1, Some(pct)), 0, at(100 * ms));
+        capacity.record(load(1, Some(pct)), 0, at(100 * ms));
     }
-    capacity.hear(load(1, Some(150)), 0, at(800));
+    capacity.record(load(1, Some(150)), 0, at(800));
     assert!((capacity.speed() - 1.0 / 0.6).abs() < 1e-9);
     assert!((capacity.speed_now(at(900)) - 1.0 / 1.5).abs() < 1e-9);
     assert!(
@@ -55,7 +55,7 @@
 #[test]
 fn others_leaves_out_own_requests_and_fades() {
     let mut capacity = Capacity::default();
-    capacity.hear(load(10, None), 4, at(0));
+    capacity.record(load(10, None), 4, at(0));
     assert_eq!(capacity.others(at(0)), 6.0);
     assert!(capacity.others(at(700)) < 2.3);
     assert!(capacity.others(at(10_000)) < 0.01);
@@ -65,14 +65,14 @@
 #[test]
 fn lasting_speed_usual_until_told_often() {
     let mut capacity = Capacity::default();
-    capacity.hear(load(1, Some(150)), 0, at(0));
-    capacity.hear(load(1, Some(60)), 0, at(100));
+    capacity.record(load(1, Some(150)), 0, at(0));
+    capacity.record(load(1, Some(60)), 0, at(100));
     assert_eq!(capacity.lasting_speed(), 1.0);
-    capacity.hear(load(1, Some(60)), 0, at(200));
+    capacity.record(load(1, Some(60)), 0, at(200));
     assert!((capacity.lasting_speed() - 1.0 / 0.6).abs() < 1e-9);
     let mut other = Capacity::default();
     for ms in 0..3 {
-        other.hear(load(1, Some(61)), 0, at(ms));
+        other.record(load(1, Some(61)), 0, at(ms));
     }
     assert_eq!(capacity.speed_class(), other.speed_class());
 }
