--- a/crates/croftrill-daemon/src/status.rs
+++ b/crates/croftrill-daemon/src/status.rs
@@ -3,7 +3,7 @@
 use croftrill_node::node::{Lifecycle, Node};
 use croftrill_node::ports::Platform;
 use croftrill_scheduler::crash_ledger::Verdict;
-use croftrill_scheduler::load_summary::JudgedLoad;
+use croftrill_scheduler::load_summary::ObservedLoad;
 use croftrill_scheduler::replica_table::ReplicaEntry;
 use croftrill_scheduler::time::Moment;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
 
 impl LoadStatus {
     fn of(entry: &ReplicaEntry, now: Moment) -> Option<Self> {
-        let judged = JudgedLoad::of(entry, now)?;
+        let judged = ObservedLoad::of(entry, now)?;
         Some(LoadStatus {
             running: judged.load.running,
             waiting: judged.load.waiting,
--- a/crates/croftrill-scheduler/src/load_summary.rs
+++ b/crates/croftrill-scheduler/src/load_summary.rs
@@ -15,7 +15,7 @@
 
 /// The load of a replica, with the figures that put it in proportion.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct JudgedLoad {
+pub struct ObservedLoad {
     /// The latest reported load.
     pub load: ReplicaLoad,
     /// Number of requests that it runs concurrently.
@@ -28,11 +28,11 @@
     pub speed_now: f64,
 }
 
-impl JudgedLoad {
+impl ObservedLoad {
     /// Returns the load of a replica, or `None` if none was reported.
     pub fn of(entry: &ReplicaEntry, now: Moment) -> Option<Self> {
         let (load, at) = entry.capacity.newest()?;
-        Some(JudgedLoad {
+        Some(ObservedLoad {
             load,
             slots: load.slots.unwrap_or(entry.listing.slots),
             at,
@@ -74,14 +74,14 @@
 }
 
 impl ServiceLoad {
-    fn add(&mut self, judged: &JudgedLoad) {
-        let requests = judged.load.requests();
+    fn add(&mut self, observed: &ObservedLoad) {
+        let requests = observed.load.requests();
         self.replicas += 1;
         self.requests = self.requests.saturating_add(requests);
         self.busiest = self.busiest.max(requests);
-        self.free = self.free.saturating_add(judged.free());
-        self.full += u32::from(judged.is_full());
-        self.slow += u32::from(judged.is_slow());
+        self.free = self.free.saturating_add(observed.free());
+        self.full += u32::from(observed.is_full());
+        self.slow += u32::from(observed.is_slow());
     }
 
     /// Returns the requests of the busiest replica as a multiple of the mean, or 1 if there are no
@@ -98,12 +98,12 @@
 pub fn by_service(table: &ReplicaTable, now: Moment) -> BTreeMap<ServiceName, ServiceLoad> {
     let mut services: BTreeMap<ServiceName, ServiceLoad> = BTreeMap::new();
     for entry in table.iter().filter(|entry| entry.is_ready()) {
-        let Some(judged) = JudgedLoad::of(entry, now) else {
+        let Some(observed) = ObservedLoad::of(entry, now) else {
             continue;
         };
-        if now.since(judged.at) < MAX_SAMPLE_AGE {
+        if now.since(observed.at) < MAX_SAMPLE_AGE {
             let service = entry.listing.service.clone();
-            services.entry(service).or_default().add(&judged);
+            services.entry(service).or_default().add(&observed);
         }
     }
     services
--- a/crates/croftrill-scheduler/tests/load_summary.rs
+++ b/crates/croftrill-scheduler/tests/load_summary.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::capacity::ReplicaLoad;
-use croftrill_scheduler::load_summary::{by_service, JudgedLoad, ServiceLoad};
+use croftrill_scheduler::load_summary::{by_service, ObservedLoad, ServiceLoad};
 use croftrill_scheduler::replica::{Holdings, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_table::ReplicaTable;
 use croftrill_scheduler::time::Moment;
@@ -75,7 +75,7 @@
     }
     let judged = |table: &ReplicaTable, id: &str, ms: u64| {
         let entry = table.get(id).expect("the replica is listed");
-        JudgedLoad::of(entry, at(ms))
+        ObservedLoad::of(entry, at(ms))
     };
     assert!(!judged(&table, "r1", 500).expect("a load was reported").is_slow());
     table.record_load("r1", load(1, 0, Some(250)), at(500));
