--- a/crates/croftrill-scheduler/src/health.rs
+++ b/crates/croftrill-scheduler/src/health.rs
@@ -16,13 +16,13 @@
 }
 
 /// Time constant with which the weight of an outcome decays.
-const MEMORY: Duration = Duration::from_secs(3);
+const OUTCOME_DECAY: Duration = Duration::from_secs(3);
 /// Difference to the failure rate of its peers above which a replica counts as an outlier.
-const OUTLIER_RATE: f64 = 0.3;
+const OUTLIER_MARGIN: f64 = 0.3;
 /// Weight of outcomes below which a failure rate is not meaningful.
-const LEAST_EVIDENCE: f64 = 1.5;
+const MIN_EVIDENCE: f64 = 1.5;
 /// Time for which an unreachable replica is skipped.
-const UNREACHABLE_FOR: Duration = Duration::from_millis(1500);
+const UNREACHABLE_DURATION: Duration = Duration::from_millis(1500);
 
 /// Decaying record of a replica's outcomes.
 #[derive(Debug, Clone, Default)]
@@ -45,7 +45,7 @@
             SendOutcome::Failure => self.failures += 1.0,
             SendOutcome::Unreachable => {
                 self.failures += 1.0;
-                self.unreachable_until = Some(now + UNREACHABLE_FOR);
+                self.unreachable_until = Some(now + UNREACHABLE_DURATION);
             }
         }
     }
@@ -57,9 +57,9 @@
 
     /// Returns the share of failures among recent outcomes, or `None` if there are too few.
     pub fn failure_rate(&self, now: Moment) -> Option<f64> {
-        let fade = fade(now.since(self.updated));
-        let total = (self.successes + self.failures) * fade;
-        if total < LEAST_EVIDENCE {
+        let remaining_weight = remaining_weight(now.since(self.updated));
+        let total = (self.successes + self.failures) * remaining_weight;
+        if total < MIN_EVIDENCE {
             return None;
         }
         Some(self.failures / (self.successes + self.failures))
@@ -69,17 +69,17 @@
     /// among its peers.
     pub fn is_outlier(&self, peer_rate: f64, now: Moment) -> bool {
         self.failure_rate(now)
-            .is_some_and(|rate| rate > peer_rate + OUTLIER_RATE)
+            .is_some_and(|rate| rate > peer_rate + OUTLIER_MARGIN)
     }
 
     fn decay(&mut self, now: Moment) {
-        let fade = fade(now.since(self.updated));
-        self.successes *= fade;
-        self.failures *= fade;
+        let remaining_weight = remaining_weight(now.since(self.updated));
+        self.successes *= remaining_weight;
+        self.failures *= remaining_weight;
         self.updated = now;
     }
 }
 
-fn fade(elapsed: Duration) -> f64 {
-    (-elapsed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+fn remaining_weight(elapsed: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / OUTCOME_DECAY.as_secs_f64()).exp()
 }
