--- a/crates/croftrill-scheduler/tests/replica_table.rs
+++ b/crates/croftrill-scheduler/tests/replica_table.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn told(id: &str, model: &str) -> Placement {
+fn placement(id: &str, model: &str) -> Placement {
     let held = HeldModel {
         model: model.into(),
         adapters: Default::default(),
@@ -49,10 +49,10 @@
 /// A crashed replica is still listed as the only holder of a model. Counted as reachable, it
 /// makes requests for the model wait for 45 % of their patience.
 #[test]
-fn reachable_holders_leaves_out_one_that_cannot_be_reached() {
+fn reachable_holders_excludes_unreachable_replica() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing("r1"));
-    let mut held = told("r1", "m1");
+    let mut held = placement("r1", "m1");
     held.usable.copies.on_disk = vec!["m1".into()];
     held.includes_copies = true;
     table.apply_placement(held);
@@ -85,18 +85,18 @@
 /// Listings from a relay carry no weight copies. The first request for a model whose copy is on
 /// a disk, 0.76 s away, must not be rejected with the load time from the weight store.
 #[test]
-fn may_have_unknown_copy_until_copies_are_told() {
+fn may_have_unknown_copy_until_copies_are_known() {
     let model: ModelName = "m1".into();
     let mut table = ReplicaTable::new();
     assert!(!table.may_have_unknown_copy("llm", &model));
     table.apply_relayed_listing(listing("r1"));
     assert!(table.may_have_unknown_copy("llm", &model));
-    table.apply_placement(told("r1", "m2"));
+    table.apply_placement(placement("r1", "m2"));
     assert!(
         table.may_have_unknown_copy("llm", &model),
         "the placement carries no copies"
     );
-    let mut with_copies = told("r1", "m2");
+    let mut with_copies = placement("r1", "m2");
     with_copies.usable.copies.on_disk = vec!["m3".into()];
     with_copies.includes_copies = true;
     table.apply_placement(with_copies);
@@ -117,15 +117,15 @@
 /// The only holder of a model evicts it but retains a copy: callers get the load time of that
 /// copy, not the one from the weight store.
 #[test]
-fn reload_time_of_a_model_that_made_way_goes_by_the_copy_that_stayed() {
+fn reload_time_of_evicted_model_uses_remaining_copy() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing("r1"));
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     assert_eq!(
         table.reload_time("llm", &spec("m1"), NOW),
         Duration::from_millis(13_200)
     );
-    let mut without = told("r1", "m2");
+    let mut without = placement("r1", "m2");
     without.usable.copies = WeightCopies {
         in_memory: vec!["m1".into()],
         on_disk: vec!["m1".into(), "m3".into()],
@@ -141,7 +141,7 @@
         Duration::from_millis(680)
     );
     // A placement without copies leaves the known ones as they are.
-    table.apply_placement(told("r1", "m2"));
+    table.apply_placement(placement("r1", "m2"));
     let reload = table.reload_time("llm", &spec("m3"), NOW);
     assert_eq!(reload, Duration::from_millis(680));
     // A relayed listing carries no copies.
@@ -156,18 +156,18 @@
 }
 
 #[test]
-fn apply_relayed_listing_after_a_placement_keeps_it() {
+fn apply_relayed_listing_after_placement_keeps_it() {
     let mut table = ReplicaTable::new();
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     table.apply_relayed_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 1);
 }
 
 #[test]
-fn apply_relayed_listing_of_one_that_came_back_keeps_what_was_told() {
+fn apply_relayed_listing_of_relisted_replica_keeps_placement() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing("r1"));
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     table.remove("r1");
     table.apply_relayed_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 1);
@@ -175,10 +175,10 @@
 
 /// A listing from the store includes the holdings and is newer.
 #[test]
-fn apply_listing_of_one_that_came_back_goes_by_the_listing() {
+fn apply_listing_of_relisted_replica_uses_listed_holdings() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1"));
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     table.remove("r1");
     table.apply_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 0);
@@ -188,9 +188,9 @@
 }
 
 #[test]
-fn orderer_lost_ends_its_word_on_replicas_that_are_not_listed() {
+fn orderer_lost_drops_placements_of_unlisted_replicas() {
     let mut table = ReplicaTable::new();
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     table.orderer_lost(Shard::of_replica("r1"));
     table.apply_relayed_listing(listing("r1"));
     assert_eq!(table.holders("llm", "m1"), 0);
@@ -199,12 +199,12 @@
 /// A restarted replica holds nothing yet: the placement, health and absences of its former
 /// incarnation don't apply to it.
 #[test]
-fn apply_listing_of_a_later_start_forgets_what_was_known() {
+fn apply_listing_of_later_incarnation_drops_known_state() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing_started_at("r1", 1000));
     table.apply_placement(Placement {
         started_ms: Some(1000),
-        ..told("r1", "m1")
+        ..placement("r1", "m1")
     });
     for _ in 0..3 {
         table.record_outcome("r1", SendOutcome::Unreachable, NOW);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn apply_listing_of_an_earlier_start_changes_nothing() {
+fn apply_listing_of_earlier_incarnation_changes_nothing() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing_started_at("r1", 2000));
     table.apply_listing(ReplicaListing {
@@ -233,12 +233,12 @@
 }
 
 #[test]
-fn apply_placement_of_another_start_waits_or_is_over() {
+fn apply_placement_of_other_incarnation_waits_or_is_ignored() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing_started_at("r1", 2000));
     let of = |started_ms| Placement {
         started_ms: Some(started_ms),
-        ..told("r1", "m1")
+        ..placement("r1", "m1")
     };
     assert!(!table.apply_placement(of(1000)));
     assert_eq!(table.holders("llm", "m1"), 0);
@@ -250,7 +250,7 @@
 
 /// A replica whose entry names another service must not be found under the former one.
 #[test]
-fn apply_listing_of_another_service_moves_the_replica() {
+fn apply_listing_of_other_service_moves_replica() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1"));
     table.apply_listing(ReplicaListing {
@@ -262,14 +262,14 @@
 }
 
 #[test]
-fn changed_since_tells_what_was_listed_placed_or_removed() {
+fn changed_since_returns_listed_placed_and_removed_replicas() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1"));
     table.apply_listing(listing("r2"));
     table.apply_listing(listing("r3"));
     let version = table.version();
     assert_eq!(table.changed_since(version), ChangedReplicas::These(Vec::new()));
-    table.apply_placement(told("r2", "m1"));
+    table.apply_placement(placement("r2", "m1"));
     table.remove("r1");
     let changed = ChangedReplicas::These(vec!["r2".into(), "r1".into()]);
     assert_eq!(table.changed_since(version), changed);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn changed_since_long_ago_is_everything() {
+fn changed_since_old_version_is_everything() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r0"));
     let version = table.version();
@@ -303,13 +303,13 @@
     /// The index finds exactly the replicas that a scan of the table finds, after any sequence of
     /// events.
     #[test]
-    fn with_model_finds_what_a_walk_finds(steps in prop::collection::vec((0u8..6, 0u8..5, 0u8..3, 0u64..3), 1..80)) {
+    fn with_model_matches_full_scan(steps in prop::collection::vec((0u8..6, 0u8..5, 0u8..3, 0u64..3), 1..80)) {
         let mut table = ReplicaTable::new();
         for (step, replica, model, started_ms) in steps {
             let id = format!("r{replica}");
             let placement = Placement {
                 started_ms: Some(started_ms),
-                ..told(&id, &format!("m{model}"))
+                ..placement(&id, &format!("m{model}"))
             };
             match step {
                 0 | 1 => table.apply_listing(listing_started_at(&id, started_ms)),
@@ -320,19 +320,19 @@
                 _ => table.orderer_lost(Shard::of_replica(&id)),
             }
             for model in ["m0", "m1", "m2"] {
-                let walked: Vec<_> = table.iter().filter(|entry| entry.serves(model, None)).collect();
+                let scanned: Vec<_> = table.iter().filter(|entry| entry.serves(model, None)).collect();
                 let found: Vec<_> = table.with_model("llm", model).collect();
                 let ids = |entries: &[&ReplicaEntry]| -> Vec<_> {
                     entries.iter().map(|entry| entry.listing.id.clone()).collect()
                 };
-                prop_assert_eq!(ids(&walked), ids(&found));
+                prop_assert_eq!(ids(&scanned), ids(&found));
             }
         }
     }
 }
 
 #[test]
-fn awaits_word_of_a_replica_listed_without_what_it_holds() {
+fn awaits_placement_of_replica_listed_without_holdings() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing_started_at("r1", 1000));
     assert!(table.awaits_placement("llm", |_| true));
@@ -342,7 +342,7 @@
     );
     table.apply_placement(Placement {
         started_ms: Some(1000),
-        ..told("r1", "m1")
+        ..placement("r1", "m1")
     });
     assert!(!table.awaits_placement("llm", |_| true));
     table.apply_relayed_listing(listing_started_at("r1", 2000));
@@ -351,21 +351,21 @@
 
 fn listed_with(id: &str, model: &str) -> ReplicaListing {
     ReplicaListing {
-        holdings: told(id, model).usable,
+        holdings: placement(id, model).usable,
         ..listing(id)
     }
 }
 
 /// Without an orderer, only the listing shows what a replica has loaded.
 #[test]
-fn apply_listed_holdings_of_an_untold_replica_is_news_once() {
+fn apply_listed_holdings_without_orderer_applies_change_once() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listed_with("r1", "m1"));
     let read = listed_with("r1", "m2");
-    let news = table
+    let changed = table
         .apply_listed_holdings(read.clone())
         .expect("the holdings changed");
-    assert_eq!(news.usable.models, read.holdings.models);
+    assert_eq!(changed.usable.models, read.holdings.models);
     assert_eq!((table.holders("llm", "m1"), table.holders("llm", "m2")), (0, 1));
     assert_eq!(table.apply_listed_holdings(read.clone()), None);
     // The replica responded that it doesn't hold the model; its next listing is used again.
@@ -375,10 +375,10 @@
 }
 
 #[test]
-fn apply_listed_holdings_leaves_what_the_orderer_told() {
+fn apply_listed_holdings_keeps_orderer_placement() {
     let mut table = ReplicaTable::new();
     table.apply_relayed_listing(listing("r1"));
-    table.apply_placement(told("r1", "m1"));
+    table.apply_placement(placement("r1", "m1"));
     assert_eq!(table.apply_listed_holdings(listed_with("r1", "m2")), None);
     assert_eq!(table.holders("llm", "m1"), 1);
     table.orderer_lost(Shard::of_replica("r1"));
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn apply_listed_holdings_of_an_unknown_replica_or_another_start_is_no_news() {
+fn apply_listed_holdings_of_unknown_replica_or_other_incarnation_changes_nothing() {
     let mut table = ReplicaTable::new();
     assert_eq!(table.apply_listed_holdings(listed_with("r1", "m1")), None);
     table.apply_listing(listing_started_at("r2", 2));
