--- a/crates/croftrill-scheduler/tests/own_word.rs
+++ b/crates/croftrill-scheduler/tests/own_word.rs
@@ -51,11 +51,11 @@
 }
 
 /// Returns whether the replica was not known to be leaving before.
-fn hear(
+fn apply_signals(
     table: &mut ReplicaTable,
     id: &ReplicaId,
     started_ms: Option<StartedMs>,
-    word: ReplicaSignals,
+    signals: ReplicaSignals,
     now: Moment,
 ) -> bool {
     let call = AnsweredCall {
@@ -63,7 +63,7 @@
         sent_at: now,
         answered_at: now,
     };
-    table.apply_signals(id, call, word).leaving
+    table.apply_signals(id, call, signals).leaving
 }
 
 fn chosen(table: &ReplicaTable, salt: u64, now: Moment) -> Option<ReplicaId> {
@@ -100,7 +100,7 @@
     /// It signals that it is leaving, in the answer to a call to this incarnation.
     Leaves(StartedMs),
     /// It asks for a cooldown of so many milliseconds.
-    Rests(StartedMs, u64),
+    CoolsDown(StartedMs, u64),
     /// Time passes, in milliseconds.
     Waits(u64),
 }
@@ -112,7 +112,7 @@
         1 => Just(Step::Lapses),
         1 => Just(Step::Forgotten),
         1 => started.clone().prop_map(Step::Leaves),
-        3 => (started, 0u64..3000).prop_map(|(started, millis)| Step::Rests(started, millis)),
+        3 => (started, 0u64..3000).prop_map(|(started, millis)| Step::CoolsDown(started, millis)),
         2 => (0u64..1500).prop_map(Step::Waits),
     ]
 }
@@ -121,12 +121,12 @@
     /// A replica gets no requests after it signaled that it is leaving, nor before the end of its
     /// longest cooldown, unless a later incarnation is known. Listings and lapses don't matter.
     #[test]
-    fn choose_heeds_every_word_of_the_newest_start(steps in prop::collection::vec(step(), 1..60)) {
+    fn choose_honors_all_signals_of_newest_incarnation(steps in prop::collection::vec(step(), 1..60)) {
         let mut table = ReplicaTable::new();
         let id: ReplicaId = "r1".into();
         let (mut now_ms, mut newest) = (0u64, 0);
         let mut left: Option<StartedMs> = None;
-        let mut rests: Vec<(StartedMs, u64)> = Vec::new();
+        let mut cooldowns: Vec<(StartedMs, u64)> = Vec::new();
         for step in steps {
             match step {
                 Step::Listed(started) => {
@@ -136,45 +136,45 @@
                 Step::Lapses => table.remove("r1"),
                 Step::Forgotten => table.forget("r1"),
                 Step::Leaves(started) if started == newest => {
-                    hear(&mut table, &id, Some(started), leaving(), at(now_ms));
+                    apply_signals(&mut table, &id, Some(started), leaving(), at(now_ms));
                     left = Some(started);
                 }
-                Step::Rests(started, millis) if started == newest => {
-                    hear(&mut table, &id, Some(started), cooldown(millis), at(now_ms));
-                    rests.push((started, now_ms + millis));
+                Step::CoolsDown(started, millis) if started == newest => {
+                    apply_signals(&mut table, &id, Some(started), cooldown(millis), at(now_ms));
+                    cooldowns.push((started, now_ms + millis));
                 }
                 // An answer from an earlier incarnation than the known one is ignored. An incarnation
                 // that was never listed was sent nothing.
-                Step::Leaves(started) | Step::Rests(started, _) if started < newest && table.get("r1").is_some() => {
+                Step::Leaves(started) | Step::CoolsDown(started, _) if started < newest && table.get("r1").is_some() => {
                     let listed = table.get("r1").and_then(|entry| entry.listing.started_ms);
                     if listed > Some(started) {
-                        hear(&mut table, &id, Some(started), leaving(), at(now_ms));
+                        apply_signals(&mut table, &id, Some(started), leaving(), at(now_ms));
                     }
                 }
-                Step::Leaves(_) | Step::Rests(..) => {}
+                Step::Leaves(_) | Step::CoolsDown(..) => {}
                 Step::Waits(millis) => now_ms += millis,
             }
             let now = at(now_ms);
-            let in_rest = rests.iter().any(|(started, until)| *started == newest && now_ms < *until);
-            let bars = left == Some(newest) || in_rest;
+            let in_cooldown = cooldowns.iter().any(|(started, until)| *started == newest && now_ms < *until);
+            let is_rejected = left == Some(newest) || in_cooldown;
             let listed = table.get("r1").map(|entry| entry.listing.started_ms);
             if listed == Some(Some(newest)) {
-                prop_assert_eq!(table.rejects_requests("r1", now), bars);
-                prop_assert_eq!(chosen(&table, 1, now).is_none(), bars);
+                prop_assert_eq!(table.rejects_requests("r1", now), is_rejected);
+                prop_assert_eq!(chosen(&table, 1, now).is_none(), is_rejected);
             }
         }
     }
 }
 
 #[test]
-fn hear_says_once_that_a_replica_leaves_and_tells_followers_of_the_table() {
+fn apply_signals_reports_leaving_once_and_changes_table_version() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1", 1));
     let version = table.version();
     let id: ReplicaId = "r1".into();
-    assert!(!hear(&mut table, &id, Some(1), cooldown(500), at(0)));
-    assert!(hear(&mut table, &id, Some(1), leaving(), at(0)));
-    assert!(!hear(&mut table, &id, Some(1), leaving(), at(10)));
+    assert!(!apply_signals(&mut table, &id, Some(1), cooldown(500), at(0)));
+    assert!(apply_signals(&mut table, &id, Some(1), leaving(), at(0)));
+    assert!(!apply_signals(&mut table, &id, Some(1), leaving(), at(10)));
     assert_ne!(table.version(), version);
     assert_eq!(
         table.get("r1").map(|entry| entry.state()),
@@ -184,21 +184,27 @@
 }
 
 #[test]
-fn hear_of_an_earlier_incarnation_says_nothing_of_the_present_one() {
+fn apply_signals_of_earlier_incarnation_changes_nothing() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1", 2));
-    assert!(!hear(&mut table, &"r1".into(), Some(1), leaving(), at(0)));
+    assert!(!apply_signals(
+        &mut table,
+        &"r1".into(),
+        Some(1),
+        leaving(),
+        at(0)
+    ));
     assert!(chosen(&table, 1, at(0)).is_some());
 }
 
 #[test]
-fn holder_rests_until_the_first_end_of_a_rest() {
+fn earliest_holder_cooldown_end_is_the_first_of_two_holders() {
     let mut table = ReplicaTable::new();
     table.apply_listing(listing("r1", 1));
     table.apply_listing(listing("r2", 1));
-    hear(&mut table, &"r1".into(), Some(1), cooldown(900), at(0));
-    hear(&mut table, &"r1".into(), Some(1), cooldown(100), at(0));
-    hear(&mut table, &"r2".into(), Some(1), cooldown(700), at(0));
+    apply_signals(&mut table, &"r1".into(), Some(1), cooldown(900), at(0));
+    apply_signals(&mut table, &"r1".into(), Some(1), cooldown(100), at(0));
+    apply_signals(&mut table, &"r2".into(), Some(1), cooldown(700), at(0));
     assert_eq!(
         table.earliest_holder_cooldown_end("llm", "m1", at(10)),
         Some(at(700))
@@ -209,20 +215,20 @@
         table.earliest_holder_cooldown_end("llm", "m1", at(700)),
         Some(at(900))
     );
-    hear(&mut table, &"r1".into(), Some(1), leaving(), at(710));
+    apply_signals(&mut table, &"r1".into(), Some(1), leaving(), at(710));
     assert_eq!(table.earliest_service_cooldown_end("llm", at(720)), None);
 }
 
 /// While the home of a prompt is in cooldown, all of the prompt's requests go to one other
 /// holder.
 #[test]
-fn choose_finds_another_home_while_the_home_rests() {
+fn choose_picks_one_other_home_during_cooldown() {
     let mut table = ReplicaTable::new();
     for id in ["r1", "r2", "r3"] {
         table.apply_listing(listing(id, 1));
     }
     let home = chosen(&table, 1, at(0)).expect("a holder");
-    hear(&mut table, &home, Some(1), cooldown(1000), at(0));
+    apply_signals(&mut table, &home, Some(1), cooldown(1000), at(0));
     let others: Vec<_> = (0..20).filter_map(|salt| chosen(&table, salt, at(10))).collect();
     assert!(others.iter().all(|other| *other != home && *other == others[0]));
     assert_eq!(others.len(), 20);
