--- a/crates/croftrill-scheduler/tests/load_news.rs
+++ b/crates/croftrill-scheduler/tests/load_news.rs
@@ -54,137 +54,140 @@
 }
 
 /// Publishes what is due and returns the keys.
-fn told(telling: &mut LoadPublisher, ms: u64) -> Vec<u32> {
-    let due = telling.take_due(at(ms));
+fn published(publisher: &mut LoadPublisher, ms: u64) -> Vec<u32> {
+    let due = publisher.take_due(at(ms));
     due.samples.iter().map(|sample| sample.key.0).collect()
 }
 
 #[test]
-fn heard_keeps_the_newest_account_of_each_replica() {
-    let mut heard = LoadBuffer::default();
+fn load_buffer_stores_newest_sample_of_each_replica() {
+    let mut buffer = LoadBuffer::default();
     assert_eq!(
-        heard.record(sample(1, load(3, 100), 100), at(110)),
+        buffer.record(sample(1, load(3, 100), 100), at(110)),
         SampleOutcome::Stored
     );
     assert_eq!(
-        heard.record(sample(1, load(9, 100), 90), at(110)),
+        buffer.record(sample(1, load(9, 100), 90), at(110)),
         SampleOutcome::Outdated
     );
     assert_eq!(
-        heard.record(sample(1, load(4, 100), 120), at(130)),
+        buffer.record(sample(1, load(4, 100), 120), at(130)),
         SampleOutcome::Stored
     );
-    assert_eq!(heard.take(at(140)), [sample(1, load(4, 100), 120)]);
-    assert!(heard.is_empty());
+    assert_eq!(buffer.take(at(140)), [sample(1, load(4, 100), 120)]);
+    assert!(buffer.is_empty());
 }
 
 #[test]
-fn heard_of_what_was_told_long_ago_is_passed_over() {
-    let mut heard = LoadBuffer::default();
+fn load_buffer_ignores_outdated_samples() {
+    let mut buffer = LoadBuffer::default();
     let now = at(100) + MAX_SAMPLE_AGE;
     assert_eq!(
-        heard.record(sample(1, load(3, 100), 100), now),
+        buffer.record(sample(1, load(3, 100), 100), now),
         SampleOutcome::Outdated
     );
     assert_eq!(
-        heard.record(sample(2, load(3, 100), 101), now),
+        buffer.record(sample(2, load(3, 100), 101), now),
         SampleOutcome::Stored
     );
     assert!(
-        heard.take(now + MAX_SAMPLE_AGE).is_empty(),
+        buffer.take(now + MAX_SAMPLE_AGE).is_empty(),
         "it was outdated by then"
     );
 }
 
 #[test]
-fn heard_and_telling_keep_a_bounded_number_of_replicas() {
-    let (mut heard, mut telling) = (LoadBuffer::default(), LoadPublisher::new(CONFIG, at(0)));
+fn load_buffer_and_publisher_store_bounded_number_of_replicas() {
+    let (mut buffer, mut publisher) = (LoadBuffer::default(), LoadPublisher::new(CONFIG, at(0)));
     for key in 0..MAX_SAMPLED_REPLICAS as u32 + 100 {
-        let is_kept = key < MAX_SAMPLED_REPLICAS as u32;
-        let expected = if is_kept {
+        let is_stored = key < MAX_SAMPLED_REPLICAS as u32;
+        let expected = if is_stored {
             SampleOutcome::Stored
         } else {
             SampleOutcome::Dropped
         };
-        assert_eq!(heard.record(sample(key, load(1, 100), 1), at(1)), expected);
-        assert_eq!(telling.record(sample(key, load(1, 100), 1), at(1)), expected);
+        assert_eq!(buffer.record(sample(key, load(1, 100), 1), at(1)), expected);
+        assert_eq!(publisher.record(sample(key, load(1, 100), 1), at(1)), expected);
     }
-    assert_eq!(heard.len(), MAX_SAMPLED_REPLICAS);
-    assert_eq!(telling.len(), MAX_SAMPLED_REPLICAS);
+    assert_eq!(buffer.len(), MAX_SAMPLED_REPLICAS);
+    assert_eq!(publisher.len(), MAX_SAMPLED_REPLICAS);
     assert_eq!(
-        heard.record(sample(0, load(2, 100), 2), at(2)),
+        buffer.record(sample(0, load(2, 100), 2), at(2)),
         SampleOutcome::Stored
     );
 }
 
 #[test]
-fn telling_passes_over_a_change_that_changes_no_decision() {
-    let mut telling = LoadPublisher::new(CONFIG, at(0));
-    telling.record(sample(1, load(10, 100), 500), at(500));
-    assert_eq!(told(&mut telling, 500), [1]);
-    telling.record(sample(1, load(12, 110), 600), at(600));
-    assert!(told(&mut telling, 600).is_empty(), "two of 24 slots");
-    telling.record(sample(1, load(13, 110), 700), at(700));
-    assert_eq!(told(&mut telling, 700), [1], "three of 24 slots");
+fn publisher_skips_change_that_changes_no_decision() {
+    let mut publisher = LoadPublisher::new(CONFIG, at(0));
+    publisher.record(sample(1, load(10, 100), 500), at(500));
+    assert_eq!(published(&mut publisher, 500), [1]);
+    publisher.record(sample(1, load(12, 110), 600), at(600));
+    assert!(published(&mut publisher, 600).is_empty(), "two of 24 slots");
+    publisher.record(sample(1, load(13, 110), 700), at(700));
+    assert_eq!(published(&mut publisher, 700), [1], "three of 24 slots");
     let of_few = |running: u32| ReplicaLoad {
         slots: Some(12),
         ..load(running, 100)
     };
-    telling.record(sample(2, of_few(5), 700), at(700));
-    assert_eq!(told(&mut telling, 700), [2]);
-    telling.record(sample(2, of_few(6), 710), at(710));
-    assert!(told(&mut telling, 710).is_empty());
-    telling.record(sample(2, of_few(7), 720), at(720));
-    assert_eq!(told(&mut telling, 720), [2], "two of twelve slots");
-    telling.record(sample(1, load(13, 135), 800), at(800));
+    publisher.record(sample(2, of_few(5), 700), at(700));
+    assert_eq!(published(&mut publisher, 700), [2]);
+    publisher.record(sample(2, of_few(6), 710), at(710));
+    assert!(published(&mut publisher, 710).is_empty());
+    publisher.record(sample(2, of_few(7), 720), at(720));
+    assert_eq!(published(&mut publisher, 720), [2], "two of twelve slots");
+    publisher.record(sample(1, load(13, 135), 800), at(800));
     assert_eq!(
-        told(&mut telling, 800),
+        published(&mut publisher, 800),
         [1],
         "work takes more than a fifth longer"
     );
-    telling.record(sample(1, load(23, 135), 900), at(900));
-    assert_eq!(told(&mut telling, 900), [1]);
-    telling.record(sample(1, load(24, 135), 1000), at(1000));
-    assert_eq!(told(&mut telling, 1000), [1], "the replica is full");
+    publisher.record(sample(1, load(23, 135), 900), at(900));
+    assert_eq!(published(&mut publisher, 900), [1]);
+    publisher.record(sample(1, load(24, 135), 1000), at(1000));
+    assert_eq!(published(&mut publisher, 1000), [1], "the replica is full");
 }
 
 #[test]
-fn telling_tells_of_a_replica_at_work_again_though_nothing_changed() {
-    let mut telling = LoadPublisher::new(CONFIG, at(0));
+fn publisher_republishes_unchanged_load_of_busy_replica() {
+    let mut publisher = LoadPublisher::new(CONFIG, at(0));
     for (key, running) in [(1, 5), (2, 0)] {
-        telling.record(sample(key, load(running, 100), 500), at(500));
+        publisher.record(sample(key, load(running, 100), 500), at(500));
     }
-    assert_eq!(told(&mut telling, 500), [1, 2]);
+    assert_eq!(published(&mut publisher, 500), [1, 2]);
     for (key, running) in [(1, 5), (2, 0)] {
-        telling.record(sample(key, load(running, 100), 900), at(900));
+        publisher.record(sample(key, load(running, 100), 900), at(900));
     }
-    assert!(told(&mut telling, 950).is_empty());
-    assert_eq!(told(&mut telling, 1000), [1], "the other replica is idle");
-    assert!(told(&mut telling, 2600).is_empty(), "no newer sample arrived");
+    assert!(published(&mut publisher, 950).is_empty());
+    assert_eq!(published(&mut publisher, 1000), [1], "the other replica is idle");
+    assert!(
+        published(&mut publisher, 2600).is_empty(),
+        "no newer sample arrived"
+    );
 }
 
 #[test]
-fn telling_goes_to_what_was_told_longest_ago_where_bytes_are_short() {
+fn publisher_prefers_least_recently_published_when_bytes_are_short() {
     let config = PublisherConfig {
         bytes_per_s: 100,
         sample_bytes: 10,
     };
-    let mut telling = LoadPublisher::new(config, at(0));
-    let hear = |telling: &mut LoadPublisher, keys: std::ops::Range<u32>, running: u32, ms: u64| {
+    let mut publisher = LoadPublisher::new(config, at(0));
+    let record = |publisher: &mut LoadPublisher, keys: std::ops::Range<u32>, running: u32, ms: u64| {
         for key in keys {
-            telling.record(sample(key, load(running, 100), ms), at(ms));
+            publisher.record(sample(key, load(running, 100), ms), at(ms));
         }
     };
-    hear(&mut telling, 0..8, 5, 1000);
-    assert_eq!(told(&mut telling, 1000), [0, 1, 2, 3, 4]);
-    hear(&mut telling, 0..8, 15, 1200);
-    assert_eq!(told(&mut telling, 1200), [5, 6]);
-    assert_eq!(telling.take_due(at(1200)).deferred, 6);
-    assert_eq!(told(&mut telling, 1500), [7, 0, 1]);
+    record(&mut publisher, 0..8, 5, 1000);
+    assert_eq!(published(&mut publisher, 1000), [0, 1, 2, 3, 4]);
+    record(&mut publisher, 0..8, 15, 1200);
+    assert_eq!(published(&mut publisher, 1200), [5, 6]);
+    assert_eq!(publisher.take_due(at(1200)).deferred, 6);
+    assert_eq!(published(&mut publisher, 1500), [7, 0, 1]);
 }
 
 #[test]
-fn keys_of_a_replica_that_started_again_stand_for_the_new_incarnation() {
+fn keys_of_restarted_replica_match_new_incarnation() {
     let (mut table, mut keys) = (ReplicaTable::new(), LoadKeys::default());
     table.apply_listing(listing("r1", Some(7)));
     keys.follow(&table);
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn keys_that_are_the_same_by_chance_stand_for_nobody() {
+fn keys_that_collide_match_no_replica() {
     let mut ids: HashMap<LoadKey, String> = HashMap::new();
     let (first, second) = (0..)
         .find_map(|number| {
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn is_news_of_what_came_on_two_ways_is_said_once() {
+fn is_update_to_ignores_sample_received_by_two_routes() {
     let known = Some((load(3, 100), at(500)));
     assert!(
         !sample(1, load(3, 100), 520).is_update_to(known),
@@ -235,12 +238,12 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Hear {
+    Record {
         key: u32,
         load: ReplicaLoad,
         age_ms: u64,
     },
-    Tell,
+    Publish,
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
@@ -256,8 +259,9 @@
         slots,
         work_time_pct,
     });
-    let hear = (0u32..40, load, 0u64..3000).prop_map(|(key, load, age_ms)| Step::Hear { key, load, age_ms });
-    let step = prop_oneof![4 => hear, 1 => Just(Step::Tell)];
+    let record =
+        (0u32..40, load, 0u64..3000).prop_map(|(key, load, age_ms)| Step::Record { key, load, age_ms });
+    let step = prop_oneof![4 => record, 1 => Just(Step::Publish)];
     prop::collection::vec((0u64..60, step), 0..300)
 }
 
@@ -265,39 +269,39 @@
     /// For any sequence of samples: published samples stay within the limit on bytes, are the
     /// newest known of their replica, are never outdated and never repeat.
     #[test]
-    fn telling_is_bounded_and_tells_only_news(steps in steps()) {
-        let mut telling = LoadPublisher::new(CONFIG, at(0));
-        let mut heard = LoadBuffer::default();
+    fn publisher_is_bounded_and_publishes_only_updates(steps in steps()) {
+        let mut publisher = LoadPublisher::new(CONFIG, at(0));
+        let mut buffer = LoadBuffer::default();
         let mut newest: HashMap<LoadKey, LoadSample> = HashMap::new();
-        let mut told: HashMap<LoadKey, Moment> = HashMap::new();
+        let mut published_at: HashMap<LoadKey, Moment> = HashMap::new();
         let (mut ms, mut bytes) = (0, 0.0);
         for (pause_ms, step) in steps {
             ms += pause_ms;
             match step {
-                Step::Hear { key, load, age_ms } => {
+                Step::Record { key, load, age_ms } => {
                     let sample = LoadSample { key: LoadKey(key), load, at: at(ms) - Duration::from_millis(age_ms) };
-                    let is_kept = telling.record(sample, at(ms)) == SampleOutcome::Stored;
-                    heard.record(sample, at(ms));
-                    if is_kept {
+                    let is_stored = publisher.record(sample, at(ms)) == SampleOutcome::Stored;
+                    buffer.record(sample, at(ms));
+                    if is_stored {
                         newest.insert(sample.key, sample);
                     }
                 }
-                Step::Tell => {
-                    for sample in telling.take_due(at(ms)).samples {
+                Step::Publish => {
+                    for sample in publisher.take_due(at(ms)).samples {
                         prop_assert_eq!(Some(&sample), newest.get(&sample.key));
                         prop_assert!(at(ms).since(sample.at) < MAX_SAMPLE_AGE);
-                        let former = told.insert(sample.key, sample.at);
+                        let former = published_at.insert(sample.key, sample.at);
                         prop_assert!(former.is_none_or(|former| former < sample.at));
                         bytes += f64::from(CONFIG.sample_bytes);
                     }
                     let most = f64::from(CONFIG.bytes_per_s) * (ms as f64 / 1000.0 + 0.5);
                     prop_assert!(bytes <= most + 1e-6, "{bytes} of {most} in {ms} ms");
-                    for sample in heard.take(at(ms)) {
+                    for sample in buffer.take(at(ms)) {
                         prop_assert!(at(ms).since(sample.at) < MAX_SAMPLE_AGE);
                     }
                 }
             }
-            prop_assert!(heard.len() <= 40 && telling.len() <= 40);
+            prop_assert!(buffer.len() <= 40 && publisher.len() <= 40);
         }
     }
 }
