--- a/crates/croftrill-scheduler/tests/capacity.rs
+++ b/crates/croftrill-scheduler/tests/capacity.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn hear_an_older_account_changes_nothing() {
+fn record_older_sample_changes_nothing() {
     let mut capacity = Capacity::default();
     capacity.record(load(3, Some(160)), 0, at(500));
     capacity.record(load(20, Some(400)), 0, at(400));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn speed_of_a_replica_that_tells_no_work_time_is_the_usual() {
+fn speed_without_reported_work_time_is_usual() {
     let mut capacity = Capacity::default();
     capacity.record(load(3, None), 0, at(0));
     assert!(!capacity.reports_work_time());
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn speed_outlasts_a_short_disturbance() {
+fn speed_ignores_short_disturbance() {
     let mut capacity = Capacity::default();
     for ms in 0..8 {
         let pct = if ms % 3 == 2 { 150 } else { 60 };
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn others_leaves_out_own_requests_and_fades() {
+fn others_excludes_own_requests_and_decays() {
     let mut capacity = Capacity::default();
     capacity.record(load(10, None), 4, at(0));
     assert_eq!(capacity.others(at(0)), 6.0);
@@ -63,7 +63,7 @@
 
 /// Placement decisions must agree between nodes that received different responses.
 #[test]
-fn lasting_speed_usual_until_told_often() {
+fn lasting_speed_is_usual_until_enough_reports() {
     let mut capacity = Capacity::default();
     capacity.record(load(1, Some(150)), 0, at(0));
     capacity.record(load(1, Some(60)), 0, at(100));
--- a/crates/croftrill-scheduler/tests/load_summary.rs
+++ b/crates/croftrill-scheduler/tests/load_summary.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn by_service_counts_replicas_that_told_lately() {
+fn by_service_counts_replicas_with_recent_reports() {
     let mut table = table(&["r1", "r2", "r3", "r4"]);
     table.record_load("r1", load(12, 4, None), at(0));
     table.record_load("r2", load(2, 0, None), at(100));
@@ -61,26 +61,28 @@
 }
 
 #[test]
-fn by_service_of_idle_replicas_has_an_even_spread() {
+fn by_service_of_idle_replicas_has_even_spread() {
     let mut table = table(&["r1", "r2"]);
     table.record_load("r1", load(0, 0, None), at(0));
     assert_eq!(by_service(&table, at(0))["llm"].spread(), 1.0);
 }
 
 #[test]
-fn judged_load_of_a_slow_replica_tells_usual_and_present_speed() {
+fn observed_load_of_slow_replica_has_usual_and_current_speed() {
     let mut table = table(&["r1", "r2"]);
     for ms in 0..5 {
         table.record_load("r1", load(1, 0, Some(100)), at(100 * ms));
     }
-    let judged = |table: &ReplicaTable, id: &str, ms: u64| {
+    let observed = |table: &ReplicaTable, id: &str, ms: u64| {
         let entry = table.get(id).expect("the replica is listed");
         ObservedLoad::of(entry, at(ms))
     };
-    assert!(!judged(&table, "r1", 500).expect("a load was reported").is_slow());
+    assert!(!observed(&table, "r1", 500)
+        .expect("a load was reported")
+        .is_slow());
     table.record_load("r1", load(1, 0, Some(250)), at(500));
-    let slowed = judged(&table, "r1", 500).expect("a load was reported");
-    assert!(slowed.is_slow() && !slowed.is_full());
-    assert_eq!((slowed.speed, slowed.speed_now), (1.0, 0.4));
-    assert_eq!(judged(&table, "r2", 500), None);
+    let slow = observed(&table, "r1", 500).expect("a load was reported");
+    assert!(slow.is_slow() && !slow.is_full());
+    assert_eq!((slow.speed, slow.speed_now), (1.0, 0.4));
+    assert_eq!(observed(&table, "r2", 500), None);
 }
