--- a/crates/croftrill-node/src/load_news.rs
+++ b/crates/croftrill-node/src/load_news.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{LoadBuffer, LoadKey, LoadKeys, LoadSample, SampleOutcome};
+use croftrill_scheduler::load_updates::{LoadBuffer, LoadKey, LoadKeys, LoadSample, SampleOutcome};
 use croftrill_scheduler::replica::{Incarnation, ReplicaId, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::load_news::{LoadPublisher, LoadSample, PublisherConfig, SampleOutcome};
+use croftrill_scheduler::load_updates::{LoadPublisher, LoadSample, PublisherConfig, SampleOutcome};
 use croftrill_scheduler::orderer::Orderer;
 use croftrill_scheduler::shard::{Shard, SHARD_COUNT};
 use croftrill_scheduler::time::Moment;
--- a/crates/croftrill-node/src/orderer_task/mod.rs
+++ b/crates/croftrill-node/src/orderer_task/mod.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::lease::Record;
-use croftrill_scheduler::load_news::LoadSample;
+use croftrill_scheduler::load_updates::LoadSample;
 use croftrill_scheduler::replica::{OrderOutcome, ReplicaId, ReplicaReport, StartedMs};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
--- a/crates/croftrill-node/src/peer/loads.rs
+++ b/crates/croftrill-node/src/peer/loads.rs
@@ -4,7 +4,7 @@
 
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{LoadKey, LoadSample};
+use croftrill_scheduler::load_updates::{LoadKey, LoadSample};
 use croftrill_scheduler::time::Moment;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
--- a/crates/croftrill-node/tests/load_news.rs
+++ b/crates/croftrill-node/tests/load_news.rs
@@ -6,7 +6,7 @@
 use croftrill_node::wire::decode;
 use croftrill_scheduler::capacity::ReplicaLoad;
 use croftrill_scheduler::followed_view::LinkDelay;
-use croftrill_scheduler::load_news::{LoadKey, LoadSample};
+use croftrill_scheduler::load_updates::{LoadKey, LoadSample};
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
 
--- a/crates/croftrill-scheduler/src/load_summary.rs
+++ b/crates/croftrill-scheduler/src/load_summary.rs
@@ -4,7 +4,7 @@
 
 use crate::capacity::ReplicaLoad;
 use crate::catalog::ServiceName;
-use crate::load_news::MAX_SAMPLE_AGE;
+use crate::load_updates::MAX_SAMPLE_AGE;
 use crate::replica_table::{ReplicaEntry, ReplicaTable};
 use crate::time::Moment;
 
--- a/crates/croftrill-scheduler/src/load_news/mod.rs
+++ b/crates/croftrill-scheduler/src/load_updates/mod.rs
@@ -5,15 +5,15 @@
 //! them to publish to all nodes, and [`LoadKeys`] maps samples to replicas. All of this state
 //! is soft: if samples are lost, delayed or dropped, nodes only use older ones.
 
-mod heard;
+mod buffer;
 mod keys;
-mod telling;
+mod publisher;
 
 use std::time::Duration;
 
-pub use self::heard::{LoadBuffer, SampleOutcome};
+pub use self::buffer::{LoadBuffer, SampleOutcome};
 pub use self::keys::{LoadKey, LoadKeys};
-pub use self::telling::{LoadPublisher, PublisherConfig};
+pub use self::publisher::{LoadPublisher, PublisherConfig};
 use crate::capacity::ReplicaLoad;
 use crate::time::Moment;
 
--- a/crates/croftrill-scheduler/tests/load_news.rs
+++ b/crates/croftrill-scheduler/tests/load_updates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::capacity::ReplicaLoad;
-use croftrill_scheduler::load_news::{
+use croftrill_scheduler::load_updates::{
     LoadBuffer, LoadKey, LoadKeys, LoadPublisher, LoadSample, PublisherConfig, SampleOutcome,
     MAX_SAMPLED_REPLICAS, MAX_SAMPLE_AGE,
 };
