--- a/crates/croftrill-scheduler/src/replica_table/entry.rs
+++ b/crates/croftrill-scheduler/src/replica_table/entry.rs
@@ -1,7 +1,7 @@
 //! A replica as a node's table stores it.
 
-use super::own_begun::SendTimes;
-use super::own_word::KnownSignals;
+use super::replica_signals::KnownSignals;
+use super::send_times::SendTimes;
 use super::{Arrival, Placement};
 use crate::capacity::Capacity;
 use crate::catalog::{AdapterName, ModelName};
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -2,15 +2,15 @@
 //! publish, and what responses from replicas show in between.
 //!
 //! [`entry`] is one replica, [`index`] finds the replicas that hold a model, [`change_log`]
-//! records which replicas changed, [`own_begun`] records when the node's own requests
-//! started, [`own_word`] is what replicas signal in their responses, and [`unlisted`] retains
+//! records which replicas changed, [`send_times`] records when the node's own requests
+//! started, [`replica_signals`] is what replicas signal in their responses, and [`unlisted`] retains
 //! what is known of replicas without a listing.
 
 mod change_log;
 mod entry;
 mod index;
-mod own_begun;
-mod own_word;
+mod replica_signals;
+mod send_times;
 mod unlisted;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -20,8 +20,8 @@
 pub use self::change_log::{ChangedReplicas, TableVersion};
 pub use self::entry::ReplicaEntry;
 use self::index::ServiceIndex;
-use self::own_word::KnownSignals;
-pub use self::own_word::{AnsweredCall, SignalChanges};
+use self::replica_signals::KnownSignals;
+pub use self::replica_signals::{AnsweredCall, SignalChanges};
 use self::unlisted::Unlisted;
 use crate::capacity::ReplicaLoad;
 use crate::catalog::{AdapterName, ModelName, ModelSpec, ServiceName};
