--- a/crates/croftrill-scheduler/src/load_updates/keys.rs
+++ b/crates/croftrill-scheduler/src/load_updates/keys.rs
@@ -14,8 +14,8 @@
 pub struct LoadKey(pub u32);
 
 impl LoadKey {
-    /// Returns the key of the incarnation that started at `started_ms`, or of a replica whose start
-    /// time is unknown.
+    /// Returns the key of the incarnation that started at `started_ms`, or of a replica whose
+    /// start time is unknown.
     pub fn of(id: &str, started_ms: Option<StartedMs>) -> Self {
         LoadKey(xxh3_64_with_seed(id.as_bytes(), started_ms.unwrap_or(0)) as u32)
     }
--- a/crates/croftrill-scheduler/src/load_updates/publisher.rs
+++ b/crates/croftrill-scheduler/src/load_updates/publisher.rs
@@ -15,7 +15,7 @@
 /// A change of work time is published if it exceeds the published work time divided by this.
 const WORK_TIME_DIVISOR: u32 = 5;
 /// Time after which the load of a replica with requests is published again, changed or not.
-/// Shorter than the time in which a sample fades, as the replica would otherwise be assumed to
+/// Shorter than the time in which a sample decays, as the replica would otherwise be assumed to
 /// have fewer requests than it has.
 const REPUBLISH_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which unused bytes accumulate.
--- a/crates/croftrill-scheduler/src/replica.rs
+++ b/crates/croftrill-scheduler/src/replica.rs
@@ -5,8 +5,8 @@
 
 use crate::catalog::{AdapterName, ModelName, ServiceName};
 
-/// Identity of a replica. A restarted replica may keep it; [`StartedMs`] then distinguishes its
-/// incarnations.
+/// Identity of a replica. A restarted replica may keep it; [`StartedMs`] then distinguishes
+/// its incarnations.
 pub type ReplicaId = Arc<str>;
 
 /// Start time of a replica's incarnation by its own clock, in Unix milliseconds.
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! [`entry`] is one replica, [`index`] finds the replicas that hold a model, [`change_log`]
 //! records which replicas changed, [`send_times`] records when the node's own requests
-//! started, [`replica_signals`] is what replicas signal in their responses, and [`unlisted`] retains
-//! what is known of replicas without a listing.
+//! started, [`replica_signals`] is what replicas signal in their responses, and [`unlisted`]
+//! retains what is known of replicas without a listing.
 
 mod change_log;
 mod entry;
@@ -112,7 +112,7 @@
         Self::default()
     }
 
-    /// Returns the version that a reader of the whole table has reached.
+    /// Returns the current version. A reader of the whole table has followed it up to there.
     pub fn version(&self) -> TableVersion {
         self.changes.version()
     }
