--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -5,7 +5,7 @@
 
 use croftrill_scheduler::demand::ModelKey;
 use croftrill_scheduler::full_holders::{decide_full, FullDecision, FullRequest};
-use croftrill_scheduler::routing::{room, Room};
+use croftrill_scheduler::routing::{free_capacity, FreeCapacity};
 use croftrill_scheduler::waiting_requests::{WaitingId, WaitingRequest};
 
 use super::cold::NextReplica;
@@ -60,15 +60,15 @@
         let key = self.model_key()?;
         let mut ticket: Option<WaitTicket<P>> = None;
         loop {
-            let room = self.room()?;
-            if room.free > 0 && self.is_turn_of(ticket.as_ref(), &key) {
+            let free_capacity = self.free_capacity()?;
+            if free_capacity.free_candidates > 0 && self.is_turn_of(ticket.as_ref(), &key) {
                 self.end_wait(ticket, "a place is free");
                 return None;
             }
-            let request = self.full_request(&room);
+            let request = self.full_request(&free_capacity);
             let decision = decide_full(&request, self.rank(), self.unit());
             if ticket.is_none() {
-                self.log_full(&room, &request, decision);
+                self.log_full(&free_capacity, &request, decision);
             }
             match decision {
                 FullDecision::Send => {
@@ -86,7 +86,7 @@
             let waiting =
                 ticket.get_or_insert_with(|| WaitTicket::enter(&self.node, self.waiting_request(&key)));
             if !waiting.is_waiting() {
-                return self.refuse_full("more urgent requests wait", self.starts_in(&room));
+                return self.refuse_full("more urgent requests wait", self.starts_in(&free_capacity));
             }
             self.wait_for_room().await;
             if self.now() >= self.until {
@@ -97,7 +97,7 @@
 
     /// What is known of the places of the request's holders; `None` if nothing is, or the
     /// request was answered already and only goes on.
-    fn room(&self) -> Option<Room> {
+    fn free_capacity(&self) -> Option<FreeCapacity> {
         if self.answered_after.is_some() {
             return None;
         }
@@ -106,8 +106,8 @@
         if !replicas.routes_by_capacity(&self.service) {
             return None;
         }
-        let room = room(replicas, &self.routing_request(&self.tried), now);
-        room.newest_account.is_some().then_some(room)
+        let free_capacity = free_capacity(replicas, &self.routing_request(&self.tried), now);
+        free_capacity.newest_sample_age.is_some().then_some(free_capacity)
     }
 
     /// True if no other request of this node goes before it to a holder of its model.
@@ -119,18 +119,18 @@
     }
 
     /// Expected time until a holder begins to run the request, if it goes now.
-    fn starts_in(&self, room: &Room) -> Duration {
-        let first_event = room.first_event_after.unwrap_or_default();
+    fn starts_in(&self, free_capacity: &FreeCapacity) -> Duration {
+        let first_event = free_capacity.first_event_after.unwrap_or_default();
         first_event.saturating_sub(self.first_event_after())
     }
 
-    fn full_request(&self, room: &Room) -> FullRequest {
+    fn full_request(&self, free_capacity: &FreeCapacity) -> FullRequest {
         let is_most_urgent = self
             .configuration
             .is_most_urgent_of(&self.service, self.route.priority);
         FullRequest {
             waited: self.waited(),
-            starts_in: self.starts_in(room),
+            starts_in: self.starts_in(free_capacity),
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
@@ -168,11 +168,11 @@
     }
 
     /// One line for the decision, with what it was made from.
-    fn log_full(&self, room: &Room, request: &FullRequest, decision: FullDecision) {
+    fn log_full(&self, free_capacity: &FreeCapacity, request: &FullRequest, decision: FullDecision) {
         tracing::info!(target: "full", id = self.facts.id, model = self.facts.model.as_deref(), ?decision,
             rank = self.rank(), tenant = self.tenant.as_deref(), waited_ms = request.waited.as_millis() as u64,
-            starts_in_ms = request.starts_in.as_millis() as u64, holders = room.candidates, fill = room.fill(),
-            heard_ms_ago = room.newest_account.map(|age| age.as_millis() as u64),
+            starts_in_ms = request.starts_in.as_millis() as u64, holders = free_capacity.candidates, fill = free_capacity.fill(),
+            heard_ms_ago = free_capacity.newest_sample_age.map(|age| age.as_millis() as u64),
             objective_ms = request.objective.as_millis() as u64, patience_ms = request.patience.as_millis() as u64);
     }
 
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -300,13 +300,13 @@
     if outlook.is_full() {
         return FULL_PART * speed / outlook.fill().max(1.0);
     }
-    let room = (outlook.free_slots() - need_load(entry)).max(LEAST_ROOM);
+    let free_slots = (outlook.free_slots() - need_load(entry)).max(LEAST_ROOM);
     let is_near = &*entry.listing.zone == request.zone;
     let zone = if is_near { 1.0 } else { OTHER_ZONE_PART };
     let (first_event, end) = parts_of_time(outlook, request);
     let in_time = (1.0 - first_event).max(LEAST_CHANCE) * (1.0 - end).max(LEAST_CHANCE);
     let steady = outlook.steady_chance.powf(STEADINESS).max(LEAST_CHANCE);
-    room * speed * zone * in_time * steady
+    free_slots * speed * zone * in_time * steady
 }
 
 /// Returns the fractions of the request's objective and of its deadline that it would take.
@@ -321,11 +321,11 @@
 
 /// Known load and free capacity of the candidates for a request, summed up.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Room {
+pub struct FreeCapacity {
     /// Number of replicas that may take the request.
     pub candidates: usize,
     /// Number of candidates with a free slot.
-    pub free: usize,
+    pub free_candidates: usize,
     /// Estimated number of requests at the candidates, running and waiting.
     pub requests: f64,
     /// Requests that the candidates run concurrently.
@@ -335,10 +335,10 @@
     /// Shortest expected time to the end of the answer.
     pub ends_after: Option<Duration>,
     /// Age of the newest load sample of any candidate, if there is one.
-    pub newest_account: Option<Duration>,
+    pub newest_sample_age: Option<Duration>,
 }
 
-impl Room {
+impl FreeCapacity {
     /// Returns the fraction of the slots that is taken; above one if requests wait.
     pub fn fill(&self) -> f64 {
         self.requests / self.slots.max(1.0)
@@ -346,21 +346,22 @@
 }
 
 /// Returns the free capacity of a request's candidates, leaving out unreachable ones.
-pub fn room(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Room {
+pub fn free_capacity(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> FreeCapacity {
     let home = request.need.and_then(|need| home_of(table, request, &need, now));
-    let mut room = Room::default();
+    let mut free_capacity = FreeCapacity::default();
     for entry in candidates(table, request, now).filter(|entry| !entry.health.is_unreachable(now)) {
         let outlook = outlook_ask(table, entry, home.as_ref(), request).at(entry, now);
-        room.candidates += 1;
-        room.free += usize::from(!outlook.is_full());
-        room.requests += outlook.requests;
-        room.slots += outlook.slots;
-        room.first_event_after = least(room.first_event_after, Some(outlook.first_event_after));
-        room.ends_after = least(room.ends_after, Some(outlook.ends_after));
+        free_capacity.candidates += 1;
+        free_capacity.free_candidates += usize::from(!outlook.is_full());
+        free_capacity.requests += outlook.requests;
+        free_capacity.slots += outlook.slots;
+        free_capacity.first_event_after =
+            least(free_capacity.first_event_after, Some(outlook.first_event_after));
+        free_capacity.ends_after = least(free_capacity.ends_after, Some(outlook.ends_after));
         let age = entry.capacity.newest().map(|(_, at)| now.since(at));
-        room.newest_account = least(room.newest_account, age);
+        free_capacity.newest_sample_age = least(free_capacity.newest_sample_age, age);
     }
-    room
+    free_capacity
 }
 
 fn least(left: Option<Duration>, right: Option<Duration>) -> Option<Duration> {
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -6,7 +6,7 @@
 use croftrill_scheduler::health::SendOutcome;
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_table::{Placement, ReplicaTable};
-use croftrill_scheduler::routing::{choose, room, ModelNeed, RoutingRequest};
+use croftrill_scheduler::routing::{choose, free_capacity, ModelNeed, RoutingRequest};
 use croftrill_scheduler::shard::Shard;
 use croftrill_scheduler::time::Moment;
 use croftrill_scheduler::work::RequestWork;
@@ -235,9 +235,9 @@
     for salt in 0..50 {
         assert_eq!(choose(&table, &stream(salt), now()).as_deref(), Some("r1"));
     }
-    let room = room(&table, &stream(1), now());
-    assert_eq!((room.candidates, room.free), (2, 1));
-    assert!((room.fill() - 14.0 / 16.0).abs() < 1e-9);
+    let free_capacity = free_capacity(&table, &stream(1), now());
+    assert_eq!((free_capacity.candidates, free_capacity.free_candidates), (2, 1));
+    assert!((free_capacity.fill() - 14.0 / 16.0).abs() < 1e-9);
 }
 
 /// The expected time to the first event at a full replica includes the wait for a free slot.
@@ -245,10 +245,10 @@
 fn room_of_full_replicas_tells_when_a_place_is_free() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
     table.record_load("r0", told(8, 4, Some(100)), now());
-    let full = room(&table, &stream(1), now());
+    let full = free_capacity(&table, &stream(1), now());
     table.record_load("r0", told(2, 0, Some(100)), now());
-    let free = room(&table, &stream(1), now());
-    assert_eq!((full.free, free.free), (0, 1));
+    let free = free_capacity(&table, &stream(1), now());
+    assert_eq!((full.free_candidates, free.free_candidates), (0, 1));
     assert!(full.first_event_after.expect("a holder") > Duration::from_millis(500));
     assert!(free.first_event_after.expect("a holder") < Duration::from_millis(100));
 }
@@ -406,8 +406,8 @@
         },
         ..stream(1)
     };
-    let room = room(&table, &request, now());
-    assert_eq!((room.candidates, room.free), (1, 0));
-    assert!(room.ends_after.expect("a holder") <= Duration::from_secs(5 * 24 * 3600));
+    let free_capacity = free_capacity(&table, &request, now());
+    assert_eq!((free_capacity.candidates, free_capacity.free_candidates), (1, 0));
+    assert!(free_capacity.ends_after.expect("a holder") <= Duration::from_secs(5 * 24 * 3600));
     assert_eq!(choose(&table, &request, now()).as_deref(), Some("r0"));
 }
