--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use croftrill_scheduler::capacity::ReplicaLoad;
-use croftrill_scheduler::outlook::{TIME_PER_OUTPUT_TOKEN, TIME_PER_PROMPT_TOKEN};
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaListing, ReplicaState};
+use croftrill_scheduler::replica_estimate::{TIME_PER_OUTPUT_TOKEN, TIME_PER_PROMPT_TOKEN};
 use croftrill_scheduler::replica_table::ReplicaTable;
 use croftrill_scheduler::routing::{choose, weigh, ModelNeed, RoutingRequest, Weighed};
 use croftrill_scheduler::time::Moment;
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -16,8 +16,8 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::outlook::{Outlook, OutlookAsk};
 use crate::replica::ReplicaId;
+use crate::replica_estimate::{Outlook, OutlookAsk};
 use crate::replica_table::{ReplicaEntry, ReplicaTable};
 use crate::time::Moment;
 use crate::work::RequestWork;
