--- a/crates/croftrill-scheduler/src/replica_estimate.rs
+++ b/crates/croftrill-scheduler/src/replica_estimate.rs
@@ -17,7 +17,7 @@
 
 /// The estimate for one request at one replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Outlook {
+pub struct ReplicaEstimate {
     /// Expected time to the first event.
     pub first_event_after: Duration,
     /// Expected time to the end of the answer.
@@ -33,7 +33,7 @@
     pub steady_chance: f64,
 }
 
-impl Outlook {
+impl ReplicaEstimate {
     /// Returns true if the request would have to wait, or would preempt another.
     pub fn is_full(&self) -> bool {
         self.is_overfilled || self.free_slots() < 1.0
@@ -52,7 +52,7 @@
 
 /// The inputs of an estimate besides the replica.
 #[derive(Debug, Clone, Copy)]
-pub struct OutlookAsk<'a> {
+pub struct EstimateInput<'a> {
     /// Expected work of the request.
     pub work: RequestWork,
     /// Prompt tokens that are likely in the replica's KV cache and need not be read.
@@ -65,9 +65,9 @@
     pub usual: Option<&'a UsualRun>,
 }
 
-impl OutlookAsk<'_> {
+impl EstimateInput<'_> {
     /// Estimates the request at a replica.
-    pub fn at(&self, entry: &ReplicaEntry, now: Moment) -> Outlook {
+    pub fn estimate(&self, entry: &ReplicaEntry, now: Moment) -> ReplicaEstimate {
         let work_time = 1.0 / entry.capacity.speed();
         let work_time_now = 1.0 / entry.capacity.speed_now(now);
         let (requests, slots) = (entry.running_load(now), f64::from(entry.slots()));
@@ -79,7 +79,7 @@
         let writing = times(TIME_PER_OUTPUT_TOKEN, work_time * self.work.output_tokens as f64);
         let usual_tokens = self.usual.map_or(0.0, UsualRun::tokens);
         let tokens = requests * usual_tokens + self.own_tokens();
-        Outlook {
+        ReplicaEstimate {
             first_event_after,
             ends_after: first_event_after + writing,
             requests,
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -8,7 +8,7 @@
 //! without communicating.
 //!
 //! Services that are routed by capacity (see [`ReplicaTable::routes_by_capacity`]) use the
-//! replica's [`Outlook`] instead: the fractions of the request's objective, of its deadline
+//! replica's [`ReplicaEstimate`] instead: the fractions of the request's objective, of its deadline
 //! and of the replica's slots that the request would take. A full replica is the last choice.
 
 use std::cmp::Ordering;
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::replica::ReplicaId;
-use crate::replica_estimate::{Outlook, OutlookAsk};
+use crate::replica_estimate::{EstimateInput, ReplicaEstimate};
 use crate::replica_table::{ReplicaEntry, ReplicaTable};
 use crate::time::Moment;
 use crate::work::RequestWork;
@@ -177,15 +177,15 @@
     let usual_failures = table.usual_failure_rate(request.service, now);
     let home = request.need.and_then(|need| home_of(table, request, &need, now));
     candidates(table, request, now).map(move |entry| {
-        let outlook = outlook_ask(table, entry, home.as_ref(), request).at(entry, now);
+        let estimate = estimate_input(table, entry, home.as_ref(), request).estimate(entry, now);
         let health = health_cost(entry, usual_failures, now);
         Weighed {
             entry,
-            cost: capacity_cost(entry, &outlook, request, now) + health,
+            cost: capacity_cost(entry, &estimate, request, now) + health,
             weight: if health > 0.0 {
                 0.0
             } else {
-                weight(entry, &outlook, request, now)
+                weight(entry, &estimate, request, now)
             },
         }
     })
@@ -263,15 +263,15 @@
     entry.own_tokens() as f64 + others + unshared + zone
 }
 
-fn outlook_ask<'a>(
+fn estimate_input<'a>(
     table: &'a ReplicaTable,
     entry: &ReplicaEntry,
     home: Option<&ReplicaId>,
     request: &RoutingRequest<'_>,
-) -> OutlookAsk<'a> {
+) -> EstimateInput<'a> {
     let is_home = home == Some(&entry.listing.id);
     let kept = request.need.filter(|_| is_home).map(|need| need.shared_tokens);
-    OutlookAsk {
+    EstimateInput {
         work: request.work,
         kept_tokens: kept.unwrap_or(0),
         memory_tokens: request.memory_tokens,
@@ -282,40 +282,50 @@
 
 /// Returns the sum of the fractions of the request's objective, of its deadline and of the
 /// replica's slots that it would take, plus a penalty for a full replica.
-fn capacity_cost(entry: &ReplicaEntry, outlook: &Outlook, request: &RoutingRequest<'_>, now: Moment) -> f64 {
-    let full = if outlook.is_full() { FULL_COST } else { 0.0 };
+fn capacity_cost(
+    entry: &ReplicaEntry,
+    estimate: &ReplicaEstimate,
+    request: &RoutingRequest<'_>,
+    now: Moment,
+) -> f64 {
+    let full = if estimate.is_full() { FULL_COST } else { 0.0 };
     let is_near = &*entry.listing.zone == request.zone;
     let zone = if is_near { 0.0 } else { OTHER_ZONE_COST };
-    let taken = outlook.requests + 1.0 + zone + need_load(entry);
-    let (first_event, end) = parts_of_time(outlook, request);
-    first_event + end + taken / (outlook.slots * entry.capacity.speed_now(now)) + full
+    let taken = estimate.requests + 1.0 + zone + need_load(entry);
+    let (first_event, end) = parts_of_time(estimate, request);
+    first_event + end + taken / (estimate.slots * entry.capacity.speed_now(now)) + full
 }
 
-fn weight(entry: &ReplicaEntry, outlook: &Outlook, request: &RoutingRequest<'_>, now: Moment) -> f64 {
+fn weight(
+    entry: &ReplicaEntry,
+    estimate: &ReplicaEstimate,
+    request: &RoutingRequest<'_>,
+    now: Moment,
+) -> f64 {
     // A stream outlasts a short slowdown of the replica, a request without a model does not.
     let speed = match request.need {
         Some(_) => entry.capacity.speed(),
         None => entry.capacity.speed_now(now),
     };
-    if outlook.is_full() {
-        return FULL_PART * speed / outlook.fill().max(1.0);
+    if estimate.is_full() {
+        return FULL_PART * speed / estimate.fill().max(1.0);
     }
-    let free_slots = (outlook.free_slots() - need_load(entry)).max(LEAST_ROOM);
+    let free_slots = (estimate.free_slots() - need_load(entry)).max(LEAST_ROOM);
     let is_near = &*entry.listing.zone == request.zone;
     let zone = if is_near { 1.0 } else { OTHER_ZONE_PART };
-    let (first_event, end) = parts_of_time(outlook, request);
+    let (first_event, end) = parts_of_time(estimate, request);
     let in_time = (1.0 - first_event).max(LEAST_CHANCE) * (1.0 - end).max(LEAST_CHANCE);
-    let steady = outlook.steady_chance.powf(STEADINESS).max(LEAST_CHANCE);
+    let steady = estimate.steady_chance.powf(STEADINESS).max(LEAST_CHANCE);
     free_slots * speed * zone * in_time * steady
 }
 
 /// Returns the fractions of the request's objective and of its deadline that it would take.
-fn parts_of_time(outlook: &Outlook, request: &RoutingRequest<'_>) -> (f64, f64) {
+fn parts_of_time(estimate: &ReplicaEstimate, request: &RoutingRequest<'_>) -> (f64, f64) {
     let part_of =
         |time: Duration, left: Duration| time.as_secs_f64() / left.max(LEAST_TIME_LEFT).as_secs_f64();
     (
-        part_of(outlook.first_event_after, request.objective_left),
-        part_of(outlook.ends_after, request.deadline_left),
+        part_of(estimate.first_event_after, request.objective_left),
+        part_of(estimate.ends_after, request.deadline_left),
     )
 }
 
@@ -350,14 +360,14 @@
     let home = request.need.and_then(|need| home_of(table, request, &need, now));
     let mut free_capacity = FreeCapacity::default();
     for entry in candidates(table, request, now).filter(|entry| !entry.health.is_unreachable(now)) {
-        let outlook = outlook_ask(table, entry, home.as_ref(), request).at(entry, now);
+        let estimate = estimate_input(table, entry, home.as_ref(), request).estimate(entry, now);
         free_capacity.candidates += 1;
-        free_capacity.free_candidates += usize::from(!outlook.is_full());
-        free_capacity.requests += outlook.requests;
-        free_capacity.slots += outlook.slots;
+        free_capacity.free_candidates += usize::from(!estimate.is_full());
+        free_capacity.requests += estimate.requests;
+        free_capacity.slots += estimate.slots;
         free_capacity.first_event_after =
-            least(free_capacity.first_event_after, Some(outlook.first_event_after));
-        free_capacity.ends_after = least(free_capacity.ends_after, Some(outlook.ends_after));
+            least(free_capacity.first_event_after, Some(estimate.first_event_after));
+        free_capacity.ends_after = least(free_capacity.ends_after, Some(estimate.ends_after));
         let age = entry.capacity.newest().map(|(_, at)| now.since(at));
         free_capacity.newest_sample_age = least(free_capacity.newest_sample_age, age);
     }
