--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -364,7 +364,7 @@
             objective_left: OBJECTIVE,
             pause_objective: None,
             deadline_left: DEADLINE,
-            memory_tokens: 0,
+            kv_cache_tokens: 0,
         };
         let table = &self.nodes[node];
         let chosen = match self.run.way {
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -163,7 +163,7 @@
             objective_left: (self.arrival + self.route.objective).since(now),
             pause_objective: self.route.pause_objective,
             deadline_left: self.until.since(now),
-            memory_tokens: engine.map_or(0, |engine| engine.kv_capacity),
+            kv_cache_tokens: engine.map_or(0, |engine| engine.kv_capacity),
         }
     }
 
--- a/crates/croftrill-scheduler/src/replica_estimate.rs
+++ b/crates/croftrill-scheduler/src/replica_estimate.rs
@@ -13,7 +13,7 @@
 pub const TIME_PER_OUTPUT_TOKEN: Duration = Duration::from_micros(6500);
 
 /// Cap for estimated times: no caller waits for as long, and sums of them do not overflow.
-const LONGEST_EXPECTED: Duration = Duration::from_secs(24 * 3600);
+const MAX_ESTIMATE: Duration = Duration::from_secs(24 * 3600);
 
 /// The estimate for one request at one replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -27,16 +27,16 @@
     /// Requests that the replica runs concurrently.
     pub slots: f64,
     /// True if the KV cache has no space for the request beside the present ones.
-    pub is_overfilled: bool,
+    pub exceeds_kv_cache: bool,
     /// Probability that no pause of the answer is too long, based on recent streams of the
     /// service.
-    pub steady_chance: f64,
+    pub stall_free_probability: f64,
 }
 
 impl ReplicaEstimate {
     /// Returns true if the request would have to wait, or would preempt another.
     pub fn is_full(&self) -> bool {
-        self.is_overfilled || self.free_slots() < 1.0
+        self.exceeds_kv_cache || self.free_slots() < 1.0
     }
 
     /// Returns the number of free slots; negative if requests wait for one.
@@ -56,9 +56,9 @@
     /// Expected work of the request.
     pub work: RequestWork,
     /// Prompt tokens that are likely in the replica's KV cache and need not be read.
-    pub kept_tokens: u64,
+    pub cached_tokens: u64,
     /// Size of the replica's KV cache in tokens; zero if unknown.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
     /// Maximum pause between two events of an answer that is in time.
     pub pause_objective: Option<Duration>,
     /// Profile of the service's requests, if known.
@@ -72,11 +72,11 @@
         let work_time_now = 1.0 / entry.capacity.speed_now(now);
         let (requests, slots) = (entry.running_load(now), f64::from(entry.slots()));
         let queue = (requests + 1.0 - slots).max(0.0);
-        let wait = times(self.run_time(), work_time * queue / slots);
-        let unread = entry.own_tokens() + self.work.prompt_tokens.saturating_sub(self.kept_tokens);
-        let reading = times(TIME_PER_PROMPT_TOKEN, work_time_now * unread as f64);
-        let first_event_after = wait + reading + times(TIME_PER_OUTPUT_TOKEN, work_time_now);
-        let writing = times(TIME_PER_OUTPUT_TOKEN, work_time * self.work.output_tokens as f64);
+        let wait = capped_product(self.slot_time(), work_time * queue / slots);
+        let unread = entry.own_tokens() + self.work.prompt_tokens.saturating_sub(self.cached_tokens);
+        let reading = capped_product(TIME_PER_PROMPT_TOKEN, work_time_now * unread as f64);
+        let first_event_after = wait + reading + capped_product(TIME_PER_OUTPUT_TOKEN, work_time_now);
+        let writing = capped_product(TIME_PER_OUTPUT_TOKEN, work_time * self.work.output_tokens as f64);
         let usual_tokens = self.usual.map_or(0.0, UsualRun::tokens);
         let tokens = requests * usual_tokens + self.own_tokens();
         ReplicaEstimate {
@@ -84,15 +84,15 @@
             ends_after: first_event_after + writing,
             requests,
             slots,
-            is_overfilled: self.memory_tokens > 0 && tokens > self.memory_tokens as f64,
-            steady_chance: self.steady_chance(entry.capacity.speed()),
+            exceeds_kv_cache: self.kv_cache_tokens > 0 && tokens > self.kv_cache_tokens as f64,
+            stall_free_probability: self.stall_free_probability(entry.capacity.speed()),
         }
     }
 
     /// Returns the probability that no pause of the answer is too long. It falls with the
     /// length of the answer, but less than proportionally, since a disturbance of the replica
     /// lasts and causes several pauses.
-    fn steady_chance(&self, speed: f64) -> f64 {
+    fn stall_free_probability(&self, speed: f64) -> f64 {
         let (Some(longest), Some(usual)) = (self.pause_objective, self.usual) else {
             return 1.0;
         };
@@ -102,8 +102,8 @@
     }
 
     /// Returns the time for which a request occupies a slot at the usual speed.
-    fn run_time(&self) -> Duration {
-        let own = times(TIME_PER_OUTPUT_TOKEN, self.work.output_tokens as f64);
+    fn slot_time(&self) -> Duration {
+        let own = capped_product(TIME_PER_OUTPUT_TOKEN, self.work.output_tokens as f64);
         self.usual.and_then(UsualRun::held).unwrap_or(own)
     }
 
@@ -113,7 +113,7 @@
 }
 
 /// Returns the product, capped: replicas may report any number as load or work time.
-fn times(time: Duration, factor: f64) -> Duration {
+fn capped_product(time: Duration, factor: f64) -> Duration {
     let product = Duration::try_from_secs_f64(time.as_secs_f64() * factor);
-    product.map_or(LONGEST_EXPECTED, |product| product.min(LONGEST_EXPECTED))
+    product.map_or(MAX_ESTIMATE, |product| product.min(MAX_ESTIMATE))
 }
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -57,7 +57,7 @@
     /// Time left until the caller or the route ends the request.
     pub deadline_left: Duration,
     /// KV cache of a replica in tokens; zero if unknown.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// Assumed prompt tokens of a request that is ahead in a replica's queue.
@@ -270,11 +270,11 @@
     request: &RoutingRequest<'_>,
 ) -> EstimateInput<'a> {
     let is_home = home == Some(&entry.listing.id);
-    let kept = request.need.filter(|_| is_home).map(|need| need.shared_tokens);
+    let cached_tokens = request.need.filter(|_| is_home).map(|need| need.shared_tokens);
     EstimateInput {
         work: request.work,
-        kept_tokens: kept.unwrap_or(0),
-        memory_tokens: request.memory_tokens,
+        cached_tokens: cached_tokens.unwrap_or(0),
+        kv_cache_tokens: request.kv_cache_tokens,
         pause_objective: request.pause_objective,
         usual: table.usual_run(request.service),
     }
@@ -315,7 +315,7 @@
     let zone = if is_near { 1.0 } else { OTHER_ZONE_PART };
     let (first_event, end) = parts_of_time(estimate, request);
     let in_time = (1.0 - first_event).max(LEAST_CHANCE) * (1.0 - end).max(LEAST_CHANCE);
-    let steady = estimate.steady_chance.powf(STEADINESS).max(LEAST_CHANCE);
+    let steady = estimate.stall_free_probability.powf(STEADINESS).max(LEAST_CHANCE);
     free_slots * speed * zone * in_time * steady
 }
 
--- a/crates/croftrill-scheduler/tests/replica_signals.rs
+++ b/crates/croftrill-scheduler/tests/replica_signals.rs
@@ -83,7 +83,7 @@
         objective_left: Duration::from_millis(400),
         pause_objective: Some(Duration::from_millis(200)),
         deadline_left: Duration::from_secs(10),
-        memory_tokens: 0,
+        kv_cache_tokens: 0,
     };
     choose(table, &request, now)
 }
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -69,7 +69,7 @@
         objective_left: Duration::from_millis(400),
         pause_objective: Some(Duration::from_millis(200)),
         deadline_left: Duration::from_secs(10),
-        memory_tokens: 0,
+        kv_cache_tokens: 0,
     }
 }
 
@@ -343,7 +343,7 @@
     table.record_load("r1", told(0, 0, Some(160)), now());
     assert!(times_chosen(&table, "r0", 100, stream) > 50);
     let tight = |salt| RoutingRequest {
-        memory_tokens: 2 * 980,
+        kv_cache_tokens: 2 * 980,
         ..stream(salt)
     };
     assert_eq!(times_chosen(&table, "r1", 100, tight), 100);
