--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -351,8 +351,8 @@
         let need = ModelNeed {
             model,
             adapter: None,
-            shared_part: None,
-            shared_tokens: 0,
+            shared_prefix_hash: None,
+            shared_prefix_tokens: 0,
         };
         let request = RoutingRequest {
             service: "llm",
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -193,10 +193,10 @@
         Some(ModelNeed {
             model: self.facts.model.as_deref()?,
             adapter: self.facts.adapter.as_deref(),
-            shared_part: shared_parts
+            shared_prefix_hash: shared_parts
                 .last()
                 .map(|part| part.hash ^ model_hash ^ adapter_hash),
-            shared_tokens: shared_parts.iter().map(|part| part.tokens).sum(),
+            shared_prefix_tokens: shared_parts.iter().map(|part| part.tokens).sum(),
         })
     }
 
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -30,9 +30,9 @@
     /// The adapter of the model, if one is needed.
     pub adapter: Option<&'a str>,
     /// Hash of the longest prefix of the prompt that other requests share.
-    pub shared_part: Option<u64>,
+    pub shared_prefix_hash: Option<u64>,
     /// Length of that prefix in tokens.
-    pub shared_tokens: u64,
+    pub shared_prefix_tokens: u64,
 }
 
 /// A request to be routed.
@@ -258,7 +258,7 @@
     let unshared = if home == Some(&entry.listing.id) {
         0.0
     } else {
-        need.shared_tokens as f64
+        need.shared_prefix_tokens as f64
     };
     entry.own_tokens() as f64 + others + unshared + zone
 }
@@ -270,7 +270,10 @@
     request: &RoutingRequest<'_>,
 ) -> EstimateInput<'a> {
     let is_home = home == Some(&entry.listing.id);
-    let cached_tokens = request.need.filter(|_| is_home).map(|need| need.shared_tokens);
+    let cached_tokens = request
+        .need
+        .filter(|_| is_home)
+        .map(|need| need.shared_prefix_tokens);
     EstimateInput {
         work: request.work,
         cached_tokens: cached_tokens.unwrap_or(0),
@@ -386,12 +389,12 @@
     need: &ModelNeed<'_>,
     now: Moment,
 ) -> Option<ReplicaId> {
-    let part = need.shared_part?;
+    let prefix_hash = need.shared_prefix_hash?;
     table
         .with_model(request.service, need.model)
         .filter(|entry| entry.takes_requests(now) && entry.serves(need.model, need.adapter))
         .filter(|entry| !entry.health.is_unreachable(now))
-        .max_by_key(|entry| xxh3_64_with_seed(entry.listing.id.as_bytes(), part))
+        .max_by_key(|entry| xxh3_64_with_seed(entry.listing.id.as_bytes(), prefix_hash))
         .map(|entry| entry.listing.id.clone())
 }
 
--- a/crates/croftrill-scheduler/tests/replica_signals.rs
+++ b/crates/croftrill-scheduler/tests/replica_signals.rs
@@ -70,8 +70,8 @@
     let need = ModelNeed {
         model: "m1",
         adapter: None,
-        shared_part: Some(7),
-        shared_tokens: 100,
+        shared_prefix_hash: Some(7),
+        shared_prefix_tokens: 100,
     };
     let request = RoutingRequest {
         service: "llm",
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -56,8 +56,8 @@
     let need = model.map(|model| ModelNeed {
         model,
         adapter,
-        shared_part: Some(part),
-        shared_tokens: 5000,
+        shared_prefix_hash: Some(part),
+        shared_prefix_tokens: 5000,
     });
     RoutingRequest {
         service: "llm",
@@ -370,7 +370,7 @@
     let unshared = |salt| {
         let mut request = stream(salt);
         request.need = request.need.map(|need| ModelNeed {
-            shared_part: None,
+            shared_prefix_hash: None,
             ..need
         });
         request
