--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -12,7 +12,7 @@
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaListing, ReplicaState};
 use croftrill_scheduler::replica_estimate::{TIME_PER_OUTPUT_TOKEN, TIME_PER_PROMPT_TOKEN};
 use croftrill_scheduler::replica_table::ReplicaTable;
-use croftrill_scheduler::routing::{choose, weigh, ModelNeed, RoutingRequest, Weighed};
+use croftrill_scheduler::routing::{choose, weighted_candidates, ModelNeed, RoutingRequest, WeightedReplica};
 use croftrill_scheduler::time::Moment;
 use croftrill_scheduler::work::RequestWork;
 use rand::rngs::SmallRng;
@@ -370,7 +370,7 @@
         let chosen = match self.run.way {
             Way::Alike | Way::Chosen => choose(table, &request, at(now)),
             way => {
-                let weighed: Vec<Weighed> = weigh(table, &request, at(now)).collect();
+                let weighed: Vec<WeightedReplica> = weighted_candidates(table, &request, at(now)).collect();
                 let chosen = pick(way, &weighed, at(now), &mut self.random);
                 chosen.map(|weighed| weighed.entry.listing.id.clone())
             }
@@ -510,18 +510,19 @@
 /// The ways in which nodes choose only here, for comparison.
 fn pick<'a, 'b>(
     way: Way,
-    weighed: &'b [Weighed<'a>],
+    weighed: &'b [WeightedReplica<'a>],
     now: Moment,
     random: &mut SmallRng,
-) -> Option<&'b Weighed<'a>> {
-    let cheaper = |left: &&Weighed<'_>, right: &&Weighed<'_>| left.cost.total_cmp(&right.cost);
+) -> Option<&'b WeightedReplica<'a>> {
+    let cheaper =
+        |left: &&WeightedReplica<'_>, right: &&WeightedReplica<'_>| left.cost.total_cmp(&right.cost);
     match way {
         Way::TwoChoices => {
             let drawn = (0..2).filter_map(|_| weighed.get(random.random_range(0..weighed.len().max(1))));
             drawn.min_by(cheaper)
         }
         Way::ByRoom => {
-            let room = |weighed: &Weighed<'_>| {
+            let room = |weighed: &WeightedReplica<'_>| {
                 let entry = weighed.entry;
                 let requests = entry.running_load(now);
                 (f64::from(entry.slots()) - requests).max(0.0) * entry.capacity.speed()
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -66,7 +66,7 @@
 const OTHER_ZONE_COST: f64 = 0.2;
 /// Penalty for a replica that limits its requests, in requests: another holder takes the
 /// request unless a fair number of requests are queued there already.
-const LIMITED_COST: f64 = 16.0;
+const LIMITED_REPLICA_COST: f64 = 16.0;
 /// Cost that makes a failing replica the last choice.
 const OUTLIER_COST: f64 = 1e6;
 
@@ -75,21 +75,21 @@
 /// Exponent of the probability that a stream stays free of long pauses, in a weight that is
 /// proportional to the free slots: a stream that pauses too long is late, while one more
 /// request in a batch delays the others only a little.
-const STEADINESS: f64 = 6.0;
+const STALL_FREE_EXPONENT: f64 = 6.0;
 /// Weight factor for a replica in another zone: as if half of its slots were taken, since
 /// traffic between zones has a price.
-const OTHER_ZONE_PART: f64 = 0.5;
+const OTHER_ZONE_WEIGHT_FACTOR: f64 = 0.5;
 /// Weight factor for a full replica: next to nothing beside a replica with free slots, but
 /// not zero, as there may be no other replica.
-const FULL_PART: f64 = 1e-9;
+const FULL_WEIGHT_FACTOR: f64 = 1e-9;
 /// Minimum of the free slots in a weight, so that a replica that limits its requests ranks
 /// before a full one.
-const LEAST_ROOM: f64 = 0.1;
+const MIN_FREE_SLOTS: f64 = 0.1;
 /// Minimum of each probability in a weight, so that a replica with free slots ranks before a
 /// full one even for a request that will be late anyway.
-const LEAST_CHANCE: f64 = 0.01;
+const MIN_PROBABILITY: f64 = 0.01;
 /// Minimum time left in a division by the time left.
-const LEAST_TIME_LEFT: Duration = Duration::from_millis(1);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// Returns the replica for a request, or `None` if no replica can take it.
 pub fn choose(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Option<ReplicaId> {
@@ -115,38 +115,40 @@
 /// load samples, which are up to a second old: if each took the best replica by these, they
 /// would all choose the same one. If no replica has a weight, the lowest cost decides.
 fn choose_by_capacity(table: &ReplicaTable, request: &RoutingRequest<'_>, now: Moment) -> Option<ReplicaId> {
-    let drawn = weigh(table, request, now).map(|weighed| {
-        let tie = tie_break(weighed.entry, request.salt);
-        Drawn {
-            lot: lot(tie, weighed.weight),
+    let drawn = weighted_candidates(table, request, now).map(|candidate| {
+        let tie = tie_break(candidate.entry, request.salt);
+        Draw {
+            sampling_key: sampling_key(tie, candidate.weight),
             tie,
-            weighed,
+            candidate,
         }
     });
     drawn
-        .max_by(Drawn::cmp)
-        .map(|drawn| drawn.weighed.entry.listing.id.clone())
+        .max_by(Draw::cmp)
+        .map(|drawn| drawn.candidate.entry.listing.id.clone())
 }
 
 /// A replica in the weighted draw; the greatest is chosen.
-struct Drawn<'a> {
-    lot: f64,
+struct Draw<'a> {
+    sampling_key: f64,
     tie: u64,
-    weighed: Weighed<'a>,
+    candidate: WeightedReplica<'a>,
 }
 
-impl Drawn<'_> {
+impl Draw<'_> {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_cost = || other.weighed.cost.total_cmp(&self.weighed.cost);
-        let by_lot = self.lot.total_cmp(&other.lot);
-        by_lot.then_with(by_cost).then_with(|| other.tie.cmp(&self.tie))
+        let by_cost = || other.candidate.cost.total_cmp(&self.candidate.cost);
+        let by_sampling_key = self.sampling_key.total_cmp(&other.sampling_key);
+        by_sampling_key
+            .then_with(by_cost)
+            .then_with(|| other.tie.cmp(&self.tie))
     }
 }
 
 /// Returns the key of a replica for weighted random sampling (Efraimidis and Spirakis). If
 /// `tie` is uniformly distributed, a replica has the greatest key with a probability
 /// proportional to its weight.
-fn lot(tie: u64, weight: f64) -> f64 {
+fn sampling_key(tie: u64, weight: f64) -> f64 {
     let unit = (tie as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     if weight > 0.0 {
         unit.ln() / weight
@@ -157,7 +159,7 @@
 
 /// A candidate for a request that is routed by capacity, with its cost and weight.
 #[derive(Debug, Clone, Copy)]
-pub struct Weighed<'a> {
+pub struct WeightedReplica<'a> {
     /// The replica.
     pub entry: &'a ReplicaEntry,
     /// Cost of the request at this replica; decides between replicas without a weight.
@@ -169,17 +171,17 @@
 }
 
 /// Returns the candidates for a request, weighted by their capacity.
-pub fn weigh<'a>(
+pub fn weighted_candidates<'a>(
     table: &'a ReplicaTable,
     request: &'a RoutingRequest<'a>,
     now: Moment,
-) -> impl Iterator<Item = Weighed<'a>> + 'a {
+) -> impl Iterator<Item = WeightedReplica<'a>> + 'a {
     let usual_failures = table.usual_failure_rate(request.service, now);
     let home = request.need.and_then(|need| home_of(table, request, &need, now));
     candidates(table, request, now).map(move |entry| {
         let estimate = estimate_input(table, entry, home.as_ref(), request).estimate(entry, now);
         let health = health_cost(entry, usual_failures, now);
-        Weighed {
+        WeightedReplica {
             entry,
             cost: capacity_cost(entry, &estimate, request, now) + health,
             weight: if health > 0.0 {
@@ -229,12 +231,12 @@
     } else {
         OTHER_ZONE_COST
     };
-    (entry.load(now) + zone + need_load(entry)) / f64::from(entry.listing.slots.max(1))
+    (entry.load(now) + zone + limit_penalty(entry)) / f64::from(entry.listing.slots.max(1))
 }
 
-fn need_load(entry: &ReplicaEntry) -> f64 {
+fn limit_penalty(entry: &ReplicaEntry) -> f64 {
     if entry.is_limited() {
-        LIMITED_COST
+        LIMITED_REPLICA_COST
     } else {
         0.0
     }
@@ -254,7 +256,7 @@
     } else {
         OTHER_ZONE_COST * TOKENS_PER_REQUEST
     };
-    let others = (entry.load(now) + need_load(entry)) * TOKENS_PER_REQUEST;
+    let others = (entry.load(now) + limit_penalty(entry)) * TOKENS_PER_REQUEST;
     let unshared = if home == Some(&entry.listing.id) {
         0.0
     } else {
@@ -294,8 +296,8 @@
     let full = if estimate.is_full() { FULL_COST } else { 0.0 };
     let is_near = &*entry.listing.zone == request.zone;
     let zone = if is_near { 0.0 } else { OTHER_ZONE_COST };
-    let taken = estimate.requests + 1.0 + zone + need_load(entry);
-    let (first_event, end) = parts_of_time(estimate, request);
+    let taken = estimate.requests + 1.0 + zone + limit_penalty(entry);
+    let (first_event, end) = time_fractions(estimate, request);
     first_event + end + taken / (estimate.slots * entry.capacity.speed_now(now)) + full
 }
 
@@ -311,24 +313,27 @@
         None => entry.capacity.speed_now(now),
     };
     if estimate.is_full() {
-        return FULL_PART * speed / estimate.fill().max(1.0);
+        return FULL_WEIGHT_FACTOR * speed / estimate.fill().max(1.0);
     }
-    let free_slots = (estimate.free_slots() - need_load(entry)).max(LEAST_ROOM);
+    let free_slots = (estimate.free_slots() - limit_penalty(entry)).max(MIN_FREE_SLOTS);
     let is_near = &*entry.listing.zone == request.zone;
-    let zone = if is_near { 1.0 } else { OTHER_ZONE_PART };
-    let (first_event, end) = parts_of_time(estimate, request);
-    let in_time = (1.0 - first_event).max(LEAST_CHANCE) * (1.0 - end).max(LEAST_CHANCE);
-    let steady = estimate.stall_free_probability.powf(STEADINESS).max(LEAST_CHANCE);
-    free_slots * speed * zone * in_time * steady
+    let zone = if is_near { 1.0 } else { OTHER_ZONE_WEIGHT_FACTOR };
+    let (first_event, end) = time_fractions(estimate, request);
+    let in_time = (1.0 - first_event).max(MIN_PROBABILITY) * (1.0 - end).max(MIN_PROBABILITY);
+    let stall_free = estimate
+        .stall_free_probability
+        .powf(STALL_FREE_EXPONENT)
+        .max(MIN_PROBABILITY);
+    free_slots * speed * zone * in_time * stall_free
 }
 
 /// Returns the fractions of the request's objective and of its deadline that it would take.
-fn parts_of_time(estimate: &ReplicaEstimate, request: &RoutingRequest<'_>) -> (f64, f64) {
-    let part_of =
-        |time: Duration, left: Duration| time.as_secs_f64() / left.max(LEAST_TIME_LEFT).as_secs_f64();
+fn time_fractions(estimate: &ReplicaEstimate, request: &RoutingRequest<'_>) -> (f64, f64) {
+    let fraction_of =
+        |time: Duration, left: Duration| time.as_secs_f64() / left.max(MIN_TIME_LEFT).as_secs_f64();
     (
-        part_of(estimate.first_event_after, request.objective_left),
-        part_of(estimate.ends_after, request.deadline_left),
+        fraction_of(estimate.first_event_after, request.objective_left),
+        fraction_of(estimate.ends_after, request.deadline_left),
     )
 }
 
@@ -369,15 +374,15 @@
         free_capacity.requests += estimate.requests;
         free_capacity.slots += estimate.slots;
         free_capacity.first_event_after =
-            least(free_capacity.first_event_after, Some(estimate.first_event_after));
-        free_capacity.ends_after = least(free_capacity.ends_after, Some(estimate.ends_after));
+            shortest(free_capacity.first_event_after, Some(estimate.first_event_after));
+        free_capacity.ends_after = shortest(free_capacity.ends_after, Some(estimate.ends_after));
         let age = entry.capacity.newest().map(|(_, at)| now.since(at));
-        free_capacity.newest_sample_age = least(free_capacity.newest_sample_age, age);
+        free_capacity.newest_sample_age = shortest(free_capacity.newest_sample_age, age);
     }
     free_capacity
 }
 
-fn least(left: Option<Duration>, right: Option<Duration>) -> Option<Duration> {
+fn shortest(left: Option<Duration>, right: Option<Duration>) -> Option<Duration> {
     left.into_iter().chain(right).min()
 }
 
