--- a/crates/croftrill-scheduler/src/replica_estimate.rs
+++ b/crates/croftrill-scheduler/src/replica_estimate.rs
@@ -5,7 +5,7 @@
 
 use crate::replica_table::ReplicaEntry;
 use crate::time::Moment;
-use crate::work::{RequestWork, UsualRun};
+use crate::work::{RequestProfile, RequestWork};
 
 /// Time to read one prompt token at the usual speed.
 pub const TIME_PER_PROMPT_TOKEN: Duration = Duration::from_micros(30);
@@ -62,7 +62,7 @@
     /// Maximum pause between two events of an answer that is in time.
     pub pause_objective: Option<Duration>,
     /// Profile of the service's requests, if known.
-    pub usual: Option<&'a UsualRun>,
+    pub profile: Option<&'a RequestProfile>,
 }
 
 impl EstimateInput<'_> {
@@ -77,8 +77,8 @@
         let reading = capped_product(TIME_PER_PROMPT_TOKEN, work_time_now * unread as f64);
         let first_event_after = wait + reading + capped_product(TIME_PER_OUTPUT_TOKEN, work_time_now);
         let writing = capped_product(TIME_PER_OUTPUT_TOKEN, work_time * self.work.output_tokens as f64);
-        let usual_tokens = self.usual.map_or(0.0, UsualRun::tokens);
-        let tokens = requests * usual_tokens + self.own_tokens();
+        let mean_tokens = self.profile.map_or(0.0, RequestProfile::tokens);
+        let tokens = requests * mean_tokens + self.own_tokens();
         ReplicaEstimate {
             first_event_after,
             ends_after: first_event_after + writing,
@@ -93,18 +93,18 @@
     /// length of the answer, but less than proportionally, since a disturbance of the replica
     /// lasts and causes several pauses.
     fn stall_free_probability(&self, speed: f64) -> f64 {
-        let (Some(longest), Some(usual)) = (self.pause_objective, self.usual) else {
+        let (Some(max_pause), Some(profile)) = (self.pause_objective, self.profile) else {
             return 1.0;
         };
-        let steady = 1.0 - usual.part_pausing(longest, speed);
-        let length = self.work.output_tokens as f64 / usual.output_tokens().max(1.0);
-        steady.powf(length.sqrt())
+        let stall_free = 1.0 - profile.stalled_fraction(max_pause, speed);
+        let length = self.work.output_tokens as f64 / profile.output_tokens().max(1.0);
+        stall_free.powf(length.sqrt())
     }
 
     /// Returns the time for which a request occupies a slot at the usual speed.
     fn slot_time(&self) -> Duration {
         let own = capped_product(TIME_PER_OUTPUT_TOKEN, self.work.output_tokens as f64);
-        self.usual.and_then(UsualRun::held).unwrap_or(own)
+        self.profile.and_then(RequestProfile::slot_time).unwrap_or(own)
     }
 
     fn own_tokens(&self) -> f64 {
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -33,7 +33,7 @@
 };
 use crate::shard::Shard;
 use crate::time::Moment;
-use crate::work::{RequestWork, UsualRun};
+use crate::work::{RequestProfile, RequestWork};
 
 /// A model that a replica is loading or is about to load.
 #[derive(Debug, Clone, PartialEq)]
@@ -97,7 +97,7 @@
     /// Shortest times to load a model, received from nodes that know all replicas.
     received_reload_times: HashMap<(ServiceName, ModelName), Duration>,
     /// Typical requests to each service, by this node's own requests.
-    usual_runs: HashMap<ServiceName, UsualRun>,
+    usual_runs: HashMap<ServiceName, RequestProfile>,
     /// True if the requests of all services are routed by capacity.
     all_by_capacity: bool,
 }
@@ -380,7 +380,7 @@
             entry.own_tokens += work.prompt_tokens;
             entry.send_times.record(now);
             let service = entry.listing.service.clone();
-            self.usual_runs.entry(service).or_default().note_work(work);
+            self.usual_runs.entry(service).or_default().record_work(work);
         }
     }
 
@@ -404,7 +404,7 @@
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
             let usual = self.usual_runs.entry(service).or_default();
-            usual.note_held(held, entry.capacity.speed());
+            usual.record_slot_time(held, entry.capacity.speed());
         }
     }
 
@@ -413,12 +413,12 @@
         if let Some(entry) = self.replicas.get(id) {
             let service = entry.listing.service.clone();
             let usual = self.usual_runs.entry(service).or_default();
-            usual.note_pause(longest, entry.capacity.speed());
+            usual.record_longest_pause(longest, entry.capacity.speed());
         }
     }
 
     /// Returns what requests to the service are usually like, if this node has sent any.
-    pub fn usual_run(&self, service: &str) -> Option<&UsualRun> {
+    pub fn usual_run(&self, service: &str) -> Option<&RequestProfile> {
         self.usual_runs.get(service)
     }
 
--- a/crates/croftrill-scheduler/src/routing.rs
+++ b/crates/croftrill-scheduler/src/routing.rs
@@ -281,7 +281,7 @@
         cached_tokens: cached_tokens.unwrap_or(0),
         kv_cache_tokens: request.kv_cache_tokens,
         pause_objective: request.pause_objective,
-        usual: table.usual_run(request.service),
+        profile: table.usual_run(request.service),
     }
 }
 
