--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -5,14 +5,14 @@
 use croftrill_node::crash_wire::WireCrashReport;
 use croftrill_node::peer::{FromOrderer, WirePlacement};
 use croftrill_scheduler::crash_ledger::{CrashLedger, CrashReport, EndedReplica, Fingerprint, Suspicion};
-use croftrill_scheduler::demand::{Asked, ModelKey};
+use croftrill_scheduler::demand::{DemandSample, ModelKey};
 use croftrill_scheduler::replica::ReplicaReport;
 use nanoserde::SerBin;
 
 use crate::emulator::{at, orderer_config, World};
 
 /// One request.
-const ASKED: Asked = Asked {
+const ASKED: DemandSample = DemandSample {
     requests: 1.0,
     tokens: 5000.0,
     objective: Duration::from_millis(1500),
--- a/crates/croftrill-bench/src/experiment.rs
+++ b/crates/croftrill-bench/src/experiment.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use croftrill_scheduler::demand::{Asked, ModelKey};
+use croftrill_scheduler::demand::{DemandSample, ModelKey};
 use croftrill_scheduler::orderer::OrdererConfig;
 use croftrill_scheduler::placement::PlacementConfig;
 use croftrill_scheduler::time::Moment;
@@ -51,8 +51,8 @@
 
 impl Load {
     /// One of its requests.
-    fn asked(&self) -> Asked {
-        Asked {
+    fn asked(&self) -> DemandSample {
+        DemandSample {
             requests: 1.0,
             tokens: self.tokens,
             objective: OBJECTIVE,
--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -5,7 +5,7 @@
 
 use croftrill_bench::emulator::*;
 use croftrill_scheduler::capacity::ReplicaLoad;
-use croftrill_scheduler::demand::{Asked, ModelKey};
+use croftrill_scheduler::demand::{DemandSample, ModelKey};
 use croftrill_scheduler::orderer::OrdererConfig;
 use croftrill_scheduler::replica::{Order, ReplicaId};
 use croftrill_scheduler::replica_table::{Placement, ReplicaTable};
@@ -105,7 +105,7 @@
             if requests == 0.0 {
                 continue;
             }
-            let asked = Asked {
+            let asked = DemandSample {
                 requests,
                 tokens: requests * TOKENS,
                 objective: OBJECTIVE,
@@ -450,7 +450,7 @@
                     world.orderer.record_load(id, load, now);
                 }
                 for (model, requests) in [("m1", f64::from(rate)), ("m2", 5.0), ("m4", 5.0)] {
-                    let asked = Asked {
+                    let asked = DemandSample {
                         requests: requests / 10.0,
                         tokens: requests / 10.0 * TOKENS,
                         objective: OBJECTIVE,
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -5,7 +5,7 @@
 
 use croftrill_bench::emulator::*;
 use croftrill_scheduler::catalog::{CallerLimits, Configuration, Service};
-use croftrill_scheduler::demand::{Asked, ModelKey};
+use croftrill_scheduler::demand::{DemandSample, ModelKey};
 use croftrill_scheduler::orderer::{Decision, OrdererConfig};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, Order, OrderOutcome, ReplicaId, ReplicaSignals, RequestRate,
@@ -23,8 +23,8 @@
     }
 }
 
-fn asked(requests: f64, tokens: f64) -> Asked {
-    Asked {
+fn asked(requests: f64, tokens: f64) -> DemandSample {
+    DemandSample {
         requests,
         tokens,
         objective: Duration::from_millis(4000),
@@ -283,7 +283,7 @@
     world.run(6000);
     for _ in 0..10 {
         for model in ["m1", "m2"] {
-            let urgent = Asked {
+            let urgent = DemandSample {
                 objective: Duration::from_millis(1500),
                 ..asked(1.0, 1000.0)
             };
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::catalog::ModelName;
-use croftrill_scheduler::demand::{Asked, ModelKey};
+use croftrill_scheduler::demand::{DemandSample, ModelKey};
 use croftrill_scheduler::hand_over::{HandOver, Hold, PastLoad, Resignation};
 use croftrill_scheduler::interest::Interest;
 use croftrill_scheduler::replica::{HeldModel, Holdings, WeightCopies};
@@ -90,8 +90,8 @@
 
 impl DemandItem {
     /// What was asked for, as the orderer counts it.
-    pub fn asked(&self) -> Asked {
-        Asked {
+    pub fn asked(&self) -> DemandSample {
+        DemandSample {
             requests: f64::from(self.requests),
             tokens: self.tokens as f64,
             late: f64::from(self.late),
--- a/crates/croftrill-scheduler/src/demand.rs
+++ b/crates/croftrill-scheduler/src/demand.rs
@@ -29,7 +29,7 @@
 
 /// Demand that is counted in one step.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asked {
+pub struct DemandSample {
     /// Number of requests.
     pub requests: f64,
     /// Their cost, in tokens.
@@ -41,55 +41,55 @@
 }
 
 /// Time constant of the rate that follows changes of demand.
-const RATE_MEMORY: Duration = Duration::from_secs(6);
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(6);
 /// Time constant of the rate that detects a sudden rise.
-const BRIEF_MEMORY: Duration = Duration::from_secs(1);
+const BURST_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// Standard deviations of the short-term count that are attributed to chance.
-const CHANCE_DEVIATIONS: f64 = 2.0;
+const NOISE_DEVIATIONS: f64 = 2.0;
 /// Time constant of the rate that smooths rare demand.
-const LASTING_MEMORY: Duration = Duration::from_secs(20);
+const SUSTAINED_TIME_CONSTANT: Duration = Duration::from_secs(20);
 /// Minimum time over which the long-term rate is averaged.
-const LEAST_OBSERVATION: Duration = Duration::from_secs(3);
+const MIN_OBSERVATION: Duration = Duration::from_secs(3);
 /// Requests assumed for a model that was never requested: the absence of requests over a
 /// time only bounds a Poisson rate to about this number in that time.
 const UNSEEN_REQUESTS: f64 = 0.5;
 /// Minimum time over which requests are averaged, and over which the absence of requests
 /// for a model counts.
-const LEAST_SILENCE: Duration = Duration::from_secs(1);
-/// Number of requests that must be overdue at the former rate before a lack of requests
-/// shows that demand has fallen.
-const SILENT_REQUESTS: f64 = 2.0;
+const MIN_SILENCE: Duration = Duration::from_secs(1);
+/// Maximum number of requests that may be overdue at an estimated rate: a longer time without
+/// a request shows that demand has fallen.
+const MAX_OVERDUE_REQUESTS: f64 = 2.0;
 /// Maximum interval between two demand reports of ongoing requests: silence of this length
 /// carries no information.
-const TOLD_EVERY: Duration = Duration::from_millis(500);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Late requests closer together than this count as one occasion: one long prompt delays
 /// every stream at its replica, however many holders there are.
-const LATE_OCCASION: Duration = Duration::from_millis(500);
+const LATE_OCCASION_GAP: Duration = Duration::from_millis(500);
 /// Requests served in time that are assumed besides the counted ones, so that a single late
 /// request has little effect.
-const ASSUMED_IN_TIME: f64 = 4.0;
+const PRIOR_REQUESTS_IN_TIME: f64 = 4.0;
 /// Minimum share of late requests: one in a thousand is always possible.
-const LEAST_LATE_SHARE: f64 = 0.001;
+const MIN_LATE_SHARE: f64 = 0.001;
 /// Maximum share of late requests: they can be counted before the requests that they belong
 /// to, so that the share could exceed one.
-const MOST_LATE_SHARE: f64 = 0.95;
+const MAX_LATE_SHARE: f64 = 0.95;
 /// Time after which a mark of waiting requests expires unless it is renewed.
-const WAITING_FOR: Duration = Duration::from_millis(4000);
+const WAITING_EXPIRY: Duration = Duration::from_millis(4000);
 
 /// Demand for one model or adapter.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rate {
     requests: f64,
     tokens: f64,
-    /// Requests, decaying with [`BRIEF_MEMORY`].
-    brief: f64,
+    /// Requests, decaying with [`BURST_TIME_CONSTANT`].
+    burst_requests: f64,
     late: f64,
     /// Occasions on which requests were late.
     late_occasions: f64,
     last_late_occasion: Option<Moment>,
-    /// Requests, decaying with [`LASTING_MEMORY`].
-    lasting: f64,
-    /// Sum of the objectives of the requests in `lasting`, in seconds.
+    /// Requests, decaying with [`SUSTAINED_TIME_CONSTANT`].
+    sustained_requests: f64,
+    /// Sum of the objectives of the requests in `sustained_requests`, in seconds.
     objectives_s: f64,
     updated: Moment,
     first_request: Option<Moment>,
@@ -99,18 +99,18 @@
 }
 
 impl Rate {
-    fn add(&mut self, asked: &Asked, now: Moment) {
-        self.fade_to(now);
-        self.requests += asked.requests;
-        self.tokens += asked.tokens;
-        self.brief += asked.requests;
-        self.late += asked.late;
-        if asked.late > 0.0 {
+    fn add(&mut self, sample: &DemandSample, now: Moment) {
+        self.decay_to(now);
+        self.requests += sample.requests;
+        self.tokens += sample.tokens;
+        self.burst_requests += sample.requests;
+        self.late += sample.late;
+        if sample.late > 0.0 {
             self.count_late_occasion(now);
         }
-        self.lasting += asked.requests;
-        self.objectives_s += asked.requests * asked.objective.as_secs_f64();
-        if asked.requests > 0.0 {
+        self.sustained_requests += sample.requests;
+        self.objectives_s += sample.requests * sample.objective.as_secs_f64();
+        if sample.requests > 0.0 {
             self.first_request.get_or_insert(now);
             self.last_request = Some(now);
         }
@@ -118,18 +118,18 @@
 
     fn count_late_occasion(&mut self, now: Moment) {
         let last = self.last_late_occasion;
-        if last.is_none_or(|last| now.since(last) >= LATE_OCCASION) {
+        if last.is_none_or(|last| now.since(last) >= LATE_OCCASION_GAP) {
             self.late_occasions += 1.0;
             self.last_late_occasion = Some(now);
         }
     }
 
     fn requests_per_second(&self, now: Moment) -> f64 {
-        self.requests * self.fade(now) / RATE_MEMORY.as_secs_f64()
+        self.requests * self.decay(now) / RATE_TIME_CONSTANT.as_secs_f64()
     }
 
     fn tokens_per_second(&self, now: Moment) -> f64 {
-        self.tokens * self.fade(now) / RATE_MEMORY.as_secs_f64()
+        self.tokens * self.decay(now) / RATE_TIME_CONSTANT.as_secs_f64()
     }
 
     /// Returns the present requests per second. A rise shows as soon as it is statistically
@@ -137,12 +137,14 @@
     /// long requests have been counted.
     fn present_per_second(&self, observed: Duration, now: Moment) -> f64 {
         let Some(last) = self.last_request else { return 0.0 };
-        let steady = self.requests * self.fade(now) / observed_weight_s(RATE_MEMORY, observed);
-        let brief = self.brief * fade(BRIEF_MEMORY, now.since(self.updated));
-        let surely = (brief - CHANCE_DEVIATIONS * brief.sqrt()).max(0.0);
-        let risen = surely / observed_weight_s(BRIEF_MEMORY, observed);
-        let silence = now.since(last).saturating_sub(TOLD_EVERY).as_secs_f64();
-        steady.max(risen).min(SILENT_REQUESTS / silence.max(f64::EPSILON))
+        let steady = self.requests * self.decay(now) / rate_divisor_s(RATE_TIME_CONSTANT, observed);
+        let burst_requests = self.burst_requests * decay(BURST_TIME_CONSTANT, now.since(self.updated));
+        let significant = (burst_requests - NOISE_DEVIATIONS * burst_requests.sqrt()).max(0.0);
+        let rise = significant / rate_divisor_s(BURST_TIME_CONSTANT, observed);
+        let silence_s = now.since(last).saturating_sub(MAX_REPORT_INTERVAL).as_secs_f64();
+        steady
+            .max(rise)
+            .min(MAX_OVERDUE_REQUESTS / silence_s.max(f64::EPSILON))
     }
 
     /// Returns the mean cost of a request in tokens.
@@ -156,69 +158,71 @@
 
     /// Returns the larger of the long-term rate and the usual rate, bounded from above by the
     /// time without a request. `observed` is how long requests have been counted.
-    fn lasting_per_second(&self, observed: Duration, now: Moment) -> f64 {
+    fn sustained_per_second(&self, observed: Duration, now: Moment) -> f64 {
         let Some(last) = self.last_request else { return 0.0 };
-        let memory_s = LASTING_MEMORY.as_secs_f64();
-        let observed_s = observed.max(LEAST_OBSERVATION).as_secs_f64();
-        let weight_s = memory_s * (1.0 - (-observed_s / memory_s).exp());
-        let lasting = self.lasting * fade(LASTING_MEMORY, now.since(self.updated)) / weight_s;
+        let time_constant_s = SUSTAINED_TIME_CONSTANT.as_secs_f64();
+        let observed_s = observed.max(MIN_OBSERVATION).as_secs_f64();
+        let divisor_s = time_constant_s * (1.0 - (-observed_s / time_constant_s).exp());
+        let sustained_rate =
+            self.sustained_requests * decay(SUSTAINED_TIME_CONSTANT, now.since(self.updated)) / divisor_s;
         let silence_s = now.since(last).as_secs_f64().max(f64::EPSILON);
-        lasting
+        sustained_rate
             .max(self.requests_per_second(now))
-            .min(SILENT_REQUESTS / silence_s)
+            .min(MAX_OVERDUE_REQUESTS / silence_s)
     }
 
     /// Returns the share of late requests, lowered by one standard deviation of the number of
     /// occasions, since a few occasions may be chance.
     fn late_share(&self, now: Moment) -> f64 {
-        let fade = self.fade(now);
-        let late = self.late * fade;
-        let occasions = (self.late_occasions * fade).max(1.0);
-        let surely_late = late * (1.0 - 1.0 / occasions.sqrt());
-        let requests = self.requests * fade + ASSUMED_IN_TIME;
-        (surely_late / requests).clamp(LEAST_LATE_SHARE, MOST_LATE_SHARE)
+        let decay = self.decay(now);
+        let late = self.late * decay;
+        let occasions = (self.late_occasions * decay).max(1.0);
+        let significant_late = late * (1.0 - 1.0 / occasions.sqrt());
+        let requests = self.requests * decay + PRIOR_REQUESTS_IN_TIME;
+        (significant_late / requests).clamp(MIN_LATE_SHARE, MAX_LATE_SHARE)
     }
 
     fn objective(&self) -> Option<Duration> {
-        (self.lasting > 0.0).then(|| Duration::from_secs_f64(self.objectives_s / self.lasting))
+        (self.sustained_requests > 0.0)
+            .then(|| Duration::from_secs_f64(self.objectives_s / self.sustained_requests))
     }
 
-    fn fade(&self, now: Moment) -> f64 {
-        fade(RATE_MEMORY, now.since(self.updated))
+    fn decay(&self, now: Moment) -> f64 {
+        decay(RATE_TIME_CONSTANT, now.since(self.updated))
     }
 
-    fn fade_to(&mut self, now: Moment) {
-        let short = self.fade(now);
-        let long = fade(LASTING_MEMORY, now.since(self.updated));
+    fn decay_to(&mut self, now: Moment) {
+        let short = self.decay(now);
+        let long = decay(SUSTAINED_TIME_CONSTANT, now.since(self.updated));
         self.requests *= short;
         self.tokens *= short;
-        self.brief *= fade(BRIEF_MEMORY, now.since(self.updated));
+        self.burst_requests *= decay(BURST_TIME_CONSTANT, now.since(self.updated));
         self.late *= short;
         self.late_occasions *= short;
-        self.lasting *= long;
+        self.sustained_requests *= long;
         self.objectives_s *= long;
         self.updated = now;
     }
 }
 
 /// Returns the fraction of a quantity that is left after `elapsed`.
-fn fade(memory: Duration, elapsed: Duration) -> f64 {
-    (-elapsed.as_secs_f64() / memory.as_secs_f64()).exp()
+fn decay(time_constant: Duration, elapsed: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
 
 /// Returns the seconds by which a decaying count must be divided to give a rate, if requests
 /// have been counted for `observed`.
-fn observed_weight_s(memory: Duration, observed: Duration) -> f64 {
-    let observed_s = observed.max(LEAST_SILENCE).as_secs_f64();
-    let memory_s = memory.as_secs_f64();
-    memory_s * (1.0 - (-observed_s / memory_s).exp())
+fn rate_divisor_s(time_constant: Duration, observed: Duration) -> f64 {
+    let observed_s = observed.max(MIN_SILENCE).as_secs_f64();
+    let time_constant_s = time_constant.as_secs_f64();
+    time_constant_s * (1.0 - (-observed_s / time_constant_s).exp())
 }
 
 /// Demand reported by all nodes.
 #[derive(Debug, Default)]
 pub struct Demand {
     /// When the first request was counted.
-    began: Option<Moment>,
+    started: Option<Moment>,
     rates: HashMap<ModelKey, Rate>,
     /// Total demand for the adapters of each model.
     adapters_of: HashMap<ModelKey, Rate>,
@@ -233,24 +237,24 @@
     }
 
     /// Counts requests. Requests for an adapter count for its model too.
-    pub fn count(&mut self, key: &ModelKey, asked: &Asked, now: Moment) {
-        self.began.get_or_insert(now);
+    pub fn count(&mut self, key: &ModelKey, sample: &DemandSample, now: Moment) {
+        self.started.get_or_insert(now);
         if key.adapter.is_some() {
-            self.count(&key.base(), asked, now);
-            self.adapters_of.entry(key.base()).or_default().add(asked, now);
+            self.count(&key.base(), sample, now);
+            self.adapters_of.entry(key.base()).or_default().add(sample, now);
         } else if let Some(service) = self.services.get_mut(&key.service) {
-            service.add(asked, now);
+            service.add(sample, now);
         } else {
             let mut service = Rate::default();
-            service.add(asked, now);
+            service.add(sample, now);
             self.services.insert(key.service.clone(), service);
         }
-        self.rates.entry(key.clone()).or_default().add(asked, now);
+        self.rates.entry(key.clone()).or_default().add(sample, now);
     }
 
     /// Returns how long requests have been counted.
     pub fn observed(&self, now: Moment) -> Duration {
-        self.began.map_or(Duration::ZERO, |began| now.since(began))
+        self.started.map_or(Duration::ZERO, |started| now.since(started))
     }
 
     /// Records that requests are waiting for this model or adapter to be loaded.
@@ -260,7 +264,7 @@
         if over {
             rate.waiting_since = Some(now);
         }
-        rate.waiting_until = Some(now + WAITING_FOR);
+        rate.waiting_until = Some(now + WAITING_EXPIRY);
     }
 
     /// Records that the model or adapter has been loaded.
@@ -320,15 +324,15 @@
         let observed = rate
             .first_request
             .map_or(Duration::ZERO, |first| now.since(first));
-        rate.tokens * rate.fade(now) / observed_weight_s(RATE_MEMORY, observed)
+        rate.tokens * rate.decay(now) / rate_divisor_s(RATE_TIME_CONSTANT, observed)
     }
 
     /// Returns the requests per second that are likely to continue.
-    pub fn lasting_requests_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
+    pub fn sustained_requests_per_second(&self, key: &ModelKey, now: Moment) -> f64 {
         let observed = self.observed(now);
         let seen = self.rates.get(key).filter(|rate| rate.last_request.is_some());
         match seen {
-            Some(rate) => rate.lasting_per_second(observed, now),
+            Some(rate) => rate.sustained_per_second(observed, now),
             None => self.unseen_per_second(observed),
         }
     }
@@ -336,9 +340,9 @@
     /// Returns the expected requests per second for a model that was never requested; zero
     /// while no model was requested at all.
     fn unseen_per_second(&self, observed: Duration) -> f64 {
-        match self.began {
+        match self.started {
             None => 0.0,
-            Some(_) => UNSEEN_REQUESTS / observed.max(LEAST_SILENCE).as_secs_f64(),
+            Some(_) => UNSEEN_REQUESTS / observed.max(MIN_SILENCE).as_secs_f64(),
         }
     }
 
@@ -346,14 +350,17 @@
     pub fn late_share(&self, key: &ModelKey, now: Moment) -> f64 {
         self.rates
             .get(key)
-            .map_or(LEAST_LATE_SHARE, |rate| rate.late_share(now))
+            .map_or(MIN_LATE_SHARE, |rate| rate.late_share(now))
     }
 
     /// Returns the recent requests, and how many of them the holders served too late.
     pub fn requests_and_late(&self, key: &ModelKey, now: Moment) -> (f64, f64) {
         self.rates.get(key).map_or((0.0, 0.0), |rate| {
-            let fade = rate.fade(now);
-            (rate.requests * fade, (rate.late * fade).min(rate.requests * fade))
+            let decay = rate.decay(now);
+            (
+                rate.requests * decay,
+                (rate.late * decay).min(rate.requests * decay),
+            )
         })
     }
 
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -23,7 +23,7 @@
 use self::work::WorkMeter;
 use crate::capacity::{Capacity, ReplicaLoad};
 use crate::catalog::{Configuration, EngineSpec, ModelName, Service, ServiceName};
-use crate::demand::{Asked, Demand, ModelKey};
+use crate::demand::{Demand, DemandSample, ModelKey};
 use crate::hand_over::{HandOver, OrderHistory, PastLoad, ReceivedResignation};
 use crate::load_ceiling::LoadCeiling;
 use crate::load_concurrency::LoadConcurrency;
@@ -376,7 +376,7 @@
     }
 
     /// Nodes count requests.
-    pub fn count_demand(&mut self, key: &ModelKey, asked: &Asked, now: Moment) {
+    pub fn count_demand(&mut self, key: &ModelKey, asked: &DemandSample, now: Moment) {
         self.demand.count(key, asked, now);
     }
 
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -31,7 +31,7 @@
     /// Returns the requests per second for a model that are likely to continue.
     pub(super) fn lasting_rate(&self, model: &ModelName) -> f64 {
         self.demand
-            .lasting_requests_per_second(&self.key(model), self.now)
+            .sustained_requests_per_second(&self.key(model), self.now)
     }
 
     /// Returns the shortest time in which a replica can load the model.
--- a/crates/croftrill-scheduler/tests/demand.rs
+++ b/crates/croftrill-scheduler/tests/demand.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_scheduler::demand::{Asked, Demand, ModelKey};
+use croftrill_scheduler::demand::{Demand, DemandSample, ModelKey};
 use croftrill_scheduler::placement::missed_share;
 use croftrill_scheduler::time::Moment;
 
@@ -18,8 +18,8 @@
     }
 }
 
-fn asked(objective_ms: u64) -> Asked {
-    Asked {
+fn asked(objective_ms: u64) -> DemandSample {
+    DemandSample {
         requests: 1.0,
         tokens: 1000.0,
         objective: Duration::from_millis(objective_ms),
@@ -39,7 +39,7 @@
     for millis in [15_000, 16_500, 29_000] {
         let mut demand = Demand::new();
         ask(&mut demand, "rare", 3000, 0, millis);
-        let rate = demand.lasting_requests_per_second(&key("rare"), at(millis));
+        let rate = demand.sustained_requests_per_second(&key("rare"), at(millis));
         assert!((0.2..0.5).contains(&rate), "{rate} at {millis} ms");
     }
 }
@@ -52,7 +52,7 @@
     ask(&mut demand, "rare", 6000, 0, 60_001);
     let late = at(65_900);
     let fast = demand.requests_per_second(&key("rare"), late);
-    let lasting = demand.lasting_requests_per_second(&key("rare"), late);
+    let lasting = demand.sustained_requests_per_second(&key("rare"), late);
     assert!(lasting > 1.2 * fast, "lasting {lasting}, fast {fast}");
 }
 
@@ -62,10 +62,10 @@
     let mut demand = Demand::new();
     ask(&mut demand, "busy", 50, 0, 20_000);
     ask(&mut demand, "rare", 3000, 0, 28_000);
-    let busy = demand.lasting_requests_per_second(&key("busy"), at(20_000));
+    let busy = demand.sustained_requests_per_second(&key("busy"), at(20_000));
     assert!(busy > 15.0, "{busy}");
-    let silent = demand.lasting_requests_per_second(&key("busy"), at(28_000));
-    let rare = demand.lasting_requests_per_second(&key("rare"), at(28_000));
+    let silent = demand.sustained_requests_per_second(&key("busy"), at(28_000));
+    let rare = demand.sustained_requests_per_second(&key("rare"), at(28_000));
     assert!(silent < rare, "silent {silent}, rare {rare}");
 }
 
@@ -95,7 +95,7 @@
     assert!(untouched > 0.0 && untouched < 0.1);
     ask(&mut demand, "m1", 100, 0, 5000);
     assert!(demand.late_share(&key("m1"), at(5000)) <= untouched);
-    let late = Asked {
+    let late = DemandSample {
         requests: 0.0,
         late: 5.0,
         ..asked(1000)
@@ -115,7 +115,7 @@
     let mut demand = Demand::new();
     ask(&mut demand, "m1", 100, 0, 5000);
     let calm = demand.late_share(&key("m1"), at(5000));
-    let late = Asked {
+    let late = DemandSample {
         requests: 0.0,
         late: 5.0,
         ..asked(1000)
@@ -129,7 +129,7 @@
 #[test]
 fn count_of_late_requests_alone_is_no_request() {
     let mut demand = Demand::new();
-    let late = Asked {
+    let late = DemandSample {
         requests: 0.0,
         late: 3.0,
         ..asked(1000)
@@ -162,7 +162,7 @@
 #[test]
 fn present_requests_per_second_whole_between_two_accounts() {
     let mut demand = Demand::new();
-    let batch = Asked {
+    let batch = DemandSample {
         requests: 15.0,
         tokens: 15_000.0,
         ..asked(1000)
--- a/crates/croftrill-scheduler/tests/placement.rs
+++ b/crates/croftrill-scheduler/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use croftrill_scheduler::capacity::{Capacity, ReplicaLoad};
 use croftrill_scheduler::catalog::{EngineSpec, ModelName, ModelSpec, ServiceName};
-use croftrill_scheduler::demand::{Asked, Demand, ModelKey};
+use croftrill_scheduler::demand::{Demand, DemandSample, ModelKey};
 use croftrill_scheduler::placement::{
     CandidateScope, ControlCalls, LateShares, OrderedBy, PlacementConfig, ServicePlacement, ServiceWork,
     TrackedReplica, TrackedReplicas,
@@ -78,7 +78,7 @@
             model: model.into(),
             adapter: None,
         };
-        let asked = Asked {
+        let asked = DemandSample {
             requests: 1.0,
             tokens: 100.0,
             objective: OBJECTIVE,
@@ -110,7 +110,7 @@
             model: model.into(),
             adapter: None,
         };
-        let asked = Asked {
+        let asked = DemandSample {
             requests: 0.0,
             tokens: 0.0,
             objective: OBJECTIVE,
