--- a/crates/croftrill-scheduler/src/demand.rs
+++ b/crates/croftrill-scheduler/src/demand.rs
@@ -275,7 +275,7 @@
     }
 
     /// Returns the models and adapters that requests are waiting for, the longest wait first.
-    pub fn waiting(&self, now: Moment) -> Vec<ModelKey> {
+    pub fn awaited_models(&self, now: Moment) -> Vec<ModelKey> {
         let mut waiting: Vec<(Moment, &ModelKey)> = self
             .rates
             .iter()
@@ -287,7 +287,7 @@
     }
 
     /// Returns how long requests have been waiting for the model or adapter.
-    pub fn waited(&self, key: &ModelKey, now: Moment) -> Duration {
+    pub fn wait_time(&self, key: &ModelKey, now: Moment) -> Duration {
         let since = self.rates.get(key).and_then(|rate| rate.waiting_since);
         since.map_or(Duration::ZERO, |since| now.since(since))
     }
--- a/crates/croftrill-scheduler/src/orderer/adapters.rs
+++ b/crates/croftrill-scheduler/src/orderer/adapters.rs
@@ -32,7 +32,7 @@
             }
             let view = self.placement_of(service, engine, now);
             let home = view.adapter_home(&key.model, &adapter);
-            let waited = self.demand.waited(key, now);
+            let waited = self.demand.wait_time(key, now);
             if !self.config.scope.may_act(home, waited, ADAPTER_PATIENCE) {
                 continue;
             }
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -70,7 +70,7 @@
                     adapter: None,
                 };
                 let objective = self.demand.objective(&key).unwrap_or_default();
-                let waited = self.demand.waited(&key, now);
+                let waited = self.demand.wait_time(&key, now);
                 let left = objective.saturating_sub(waited);
                 let had_turn = self.waiting_tried.contains(model);
                 (had_turn, left.is_zero(), left, model.clone())
@@ -104,7 +104,7 @@
             adapter: None,
         };
         let best = view.best_target(model, store_allowed, CandidateScope::All);
-        let waited = self.demand.waited(&key, now);
+        let waited = self.demand.wait_time(&key, now);
         let home = best.as_ref().map(|place| &place.replica);
         if !self.config.scope.may_act(home, waited, MODEL_PATIENCE) {
             return;
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -420,7 +420,7 @@
         if !may_order {
             return actions;
         }
-        let waiting = self.demand.waiting(now);
+        let waiting = self.demand.awaited_models(now);
         let balances = now >= self.next_balance;
         if balances {
             self.next_balance = now + BALANCE_EVERY;
--- a/crates/croftrill-scheduler/src/placement/value.rs
+++ b/crates/croftrill-scheduler/src/placement/value.rs
@@ -74,7 +74,7 @@
     /// Returns the same for a model that requests wait for. The longer they have waited, the
     /// less a load can be expected to be ready for each request.
     fn value_of_waiting(&self, model: &ModelName) -> f64 {
-        let waited = self.demand.waited(&self.key(model), self.now);
+        let waited = self.demand.wait_time(&self.key(model), self.now);
         let ready_in = self.reload_time(model) + LOAD_OVERHEAD + waited;
         self.lasting_rate(model) * missed_share(ready_in, self.objective(model))
     }
