--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -385,10 +385,10 @@
         for (model, adapter, pause) in wishes {
             let model = format!("m{model}");
             let adapter = (adapter > 0).then(|| format!("a{adapter}"));
-            let wished = key(&model, adapter.as_deref());
-            world.orderer.count_demand(&wished, &asked(1.0, 3000.0), world.now);
-            world.orderer.mark_waiting(&wished.base(), world.now);
-            world.orderer.mark_waiting(&wished, world.now);
+            let requested = key(&model, adapter.as_deref());
+            world.orderer.count_demand(&requested, &asked(1.0, 3000.0), world.now);
+            world.orderer.mark_waiting(&requested.base(), world.now);
+            world.orderer.mark_waiting(&requested, world.now);
             world.run(pause);
         }
         world.run(12_000);
--- a/crates/croftrill-cli/src/main.rs
+++ b/crates/croftrill-cli/src/main.rs
@@ -111,12 +111,12 @@
         }
         ["plan", file] => {
             let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {file}"))?;
-            let wished: Value = toml_edit::de::from_str(&text).with_context(|| file.to_string())?;
+            let desired: Value = toml_edit::de::from_str(&text).with_context(|| file.to_string())?;
             let plan = ask(
                 node,
                 Method::POST,
                 "/v1/plan",
-                serde_json::to_vec(&wished)?.into(),
+                serde_json::to_vec(&desired)?.into(),
             )
             .await?;
             print!("{}", render::plan(&plan));
--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -1,6 +1,6 @@
 //! The operators' API: status, metrics, and intent, plan, confirmation.
 //!
-//! An operator sends a wished document and gets a plan: the steps it would
+//! An operator sends a desired document and gets a plan: the steps it would
 //! take, and the revision of the document it was made for. Nothing changes
 //! until the plan is confirmed; the confirmation is a conditional write at that
 //! revision. If another change came first, it is rejected with a new plan.
@@ -41,7 +41,7 @@
 pub const STATUS_PATH: &str = "/v1/status";
 /// The document in force.
 pub const DOCUMENT_PATH: &str = "/v1/document";
-/// Makes a plan for a wished document.
+/// Makes a plan for a desired document.
 pub const PLAN_PATH: &str = "/v1/plan";
 /// Confirms a plan.
 pub const CONFIRM_PATH: &str = "/v1/confirm";
@@ -59,7 +59,7 @@
 pub struct PlanDocument {
     /// Revision of the document in force; 0: none.
     pub base_revision: u64,
-    /// The wished document.
+    /// The desired document.
     pub document: Document,
     /// Steps, in words.
     pub steps: Vec<String>,
@@ -188,8 +188,8 @@
 }
 
 async fn make_plan(node: &OwnNode, body: &Bytes) -> Answer {
-    let wished: Document = match serde_json::from_slice(body) {
-        Ok(wished) => wished,
+    let desired: Document = match serde_json::from_slice(body) {
+        Ok(desired) => desired,
         Err(error) => {
             let findings = vec![error.to_string()];
             return failure(
@@ -200,7 +200,7 @@
             );
         }
     };
-    let findings = wished.findings();
+    let findings = desired.findings();
     if !findings.is_empty() {
         return failure(
             StatusCode::BAD_REQUEST,
@@ -209,21 +209,21 @@
             None,
         );
     }
-    match plan_for(node, wished).await {
+    match plan_for(node, desired).await {
         Ok(plan) => json(StatusCode::OK, &plan),
         Err(error) => store_failure(&error),
     }
 }
 
-async fn plan_for(node: &OwnNode, wished: Document) -> Result<PlanDocument, StoreError> {
+async fn plan_for(node: &OwnNode, desired: Document) -> Result<PlanDocument, StoreError> {
     let (present, base_revision) = match present(node).await? {
         Some((document, revision)) => (document.configuration(), revision),
         None => (Default::default(), 0),
     };
-    let steps = plan(&present, &wished.configuration(), &node.state.borrow().replicas);
+    let steps = plan(&present, &desired.configuration(), &node.state.borrow().replicas);
     Ok(PlanDocument {
         base_revision,
-        document: wished,
+        document: desired,
         steps: steps.iter().map(in_words).collect(),
     })
 }
@@ -297,7 +297,7 @@
         }
         PlannedStep::RemoveModel { model, .. } => format!("remove model {model}"),
         PlannedStep::ChangeModel { model, .. } => format!("change model {model}"),
-        PlannedStep::StopReplica { replica, model } => {
+        PlannedStep::StopModelOnReplica { replica, model } => {
             format!("stop using model {model} on replica {replica}")
         }
     }
--- a/crates/croftrill-daemon/tests/operators.rs
+++ b/crates/croftrill-daemon/tests/operators.rs
@@ -54,8 +54,8 @@
             .expect("an answer")
     }
 
-    async fn plan(&self, wished: &Document) -> PlanDocument {
-        read(&self.call(Method::POST, "/v1/plan", Some(wished)).await)
+    async fn plan(&self, desired: &Document) -> PlanDocument {
+        read(&self.call(Method::POST, "/v1/plan", Some(desired)).await)
     }
 }
 
@@ -63,14 +63,14 @@
     serde_json::from_slice(answer.body()).expect("it can be read")
 }
 
-fn wished(name: &str) -> Document {
-    let mut wished = document();
+fn desired(name: &str) -> Document {
+    let mut desired = document();
     let model = ModelDocument {
         name: name.to_string(),
-        ..wished.models[0].clone()
+        ..desired.models[0].clone()
     };
-    wished.models.push(model);
-    wished
+    desired.models.push(model);
+    desired
 }
 
 fn run<F: std::future::Future<Output = ()>>(test: F) {
@@ -85,7 +85,7 @@
 fn nothing_changes_until_a_plan_is_confirmed() {
     run(async {
         let fixture = Fixture::start().await;
-        let plan = fixture.plan(&wished("willow")).await;
+        let plan = fixture.plan(&desired("willow")).await;
         assert_eq!(plan.steps.len(), 1, "{:?}", plan.steps);
         assert!(plan.steps[0].contains("willow"));
         let before: Document = read(&fixture.call::<()>(Method::GET, "/v1/document", None).await);
@@ -108,8 +108,8 @@
     run(async {
         let fixture = Fixture::start().await;
         let (first, second) = (
-            fixture.plan(&wished("willow")).await,
-            fixture.plan(&wished("aspen")).await,
+            fixture.plan(&desired("willow")).await,
+            fixture.plan(&desired("aspen")).await,
         );
         assert_eq!(
             fixture
@@ -144,7 +144,7 @@
 fn findings_of_a_document_are_told_together() {
     run(async {
         let fixture = Fixture::start().await;
-        let mut bad = wished("too/large");
+        let mut bad = desired("too/large");
         bad.models[0].weights_mb = 1e9;
         let answer = fixture.call(Method::POST, "/v1/plan", Some(&bad)).await;
         assert_eq!(answer.status(), 400);
@@ -156,7 +156,7 @@
 fn while_the_store_is_away_operators_are_told_that_nothing_is_known_to_have_changed() {
     run(async {
         let fixture = Fixture::start().await;
-        let plan = fixture.plan(&wished("willow")).await;
+        let plan = fixture.plan(&desired("willow")).await;
         fixture.store.set_fault(StoreFault::Refusing);
         let answer = fixture.call(Method::POST, "/v1/confirm", Some(&plan)).await;
         assert_eq!(answer.status(), 503);
--- a/crates/croftrill-scheduler/src/planner.rs
+++ b/crates/croftrill-scheduler/src/planner.rs
@@ -32,7 +32,7 @@
     },
     /// A replica holds a model that is no longer served; the model is evicted when its memory
     /// is needed.
-    StopReplica {
+    StopModelOnReplica {
         /// The replica.
         replica: ReplicaId,
         /// The model.
@@ -41,9 +41,9 @@
 }
 
 /// Returns the steps from the present to the desired configuration, in a fixed order.
-pub fn plan(present: &Configuration, wished: &Configuration, replicas: &ReplicaTable) -> Vec<PlannedStep> {
+pub fn plan(present: &Configuration, desired: &Configuration, replicas: &ReplicaTable) -> Vec<PlannedStep> {
     let mut steps = BTreeSet::new();
-    for (service, engine) in engines(wished) {
+    for (service, engine) in engines(desired) {
         let before = engine_of(present, service);
         for (model, spec) in &engine.models {
             let step = match before.and_then(|before| before.models.get(model)) {
@@ -61,7 +61,7 @@
         }
     }
     for (service, engine) in engines(present) {
-        let after = engine_of(wished, service);
+        let after = engine_of(desired, service);
         for model in engine.models.keys() {
             if after.is_some_and(|after| after.models.contains_key(model)) {
                 continue;
@@ -74,7 +74,7 @@
                 .of_service(service)
                 .filter(|entry| entry.serves(model, None))
             {
-                steps.insert(PlannedStep::StopReplica {
+                steps.insert(PlannedStep::StopModelOnReplica {
                     replica: entry.listing.id.clone(),
                     model: model.clone(),
                 });
--- a/crates/croftrill-scheduler/tests/shares_and_plans.rs
+++ b/crates/croftrill-scheduler/tests/shares_and_plans.rs
@@ -129,7 +129,7 @@
             service,
             model: "changed".into(),
         },
-        PlannedStep::StopReplica {
+        PlannedStep::StopModelOnReplica {
             replica: "r1".into(),
             model: "removed".into(),
         },
