--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -167,12 +167,12 @@
         rows.collect()
     };
     for node in 0..REPORTING_NODES {
-        ledger.take_report(&format!("n{node}"), report_of(node), at(1));
+        ledger.apply_report(&format!("n{node}"), report_of(node), at(1));
     }
     let report = report_of(0);
     let started = Instant::now();
     for round in 0..PLANS {
-        ledger.take_report("n0", report.clone(), at(2));
+        ledger.apply_report("n0", report.clone(), at(2));
         ledger.verdict(Fingerprint(u128::from(round)), at(2));
     }
     CrashReportCost {
--- a/crates/croftrill-node/src/crash_reports.rs
+++ b/crates/croftrill-node/src/crash_reports.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_scheduler::crash_ledger::{CrashLedger, EndedReplica, Fingerprint, Verdict, KEEP};
+use croftrill_scheduler::crash_ledger::{CrashLedger, EndedReplica, Fingerprint, Verdict, REPORT_RETENTION};
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
 use rand::Rng;
@@ -51,7 +51,7 @@
     };
     let now = node.clock.now();
     let ledger = &mut node.state.borrow_mut().crash_ledger;
-    ledger.take_report(&item.key, report.into_report(), now);
+    ledger.apply_report(&item.key, report.into_report(), now);
 }
 
 /// A key of the store was removed: if it held this node's report, that is told anew.
@@ -188,7 +188,7 @@
     let usable = match usable {
         Some(lease) => lease,
         None => ReportLease {
-            number: store.grant_lease(KEEP).await?,
+            number: store.grant_lease(REPORT_RETENTION).await?,
             granted_at: now,
         },
     };
--- a/crates/croftrill-scheduler/src/crash_ledger.rs
+++ b/crates/croftrill-scheduler/src/crash_ledger.rs
@@ -51,11 +51,11 @@
 
 /// Number of blamed ends at which a request is refused: users accept that three replicas
 /// end under one request.
-const ENDS_TO_REFUSE: usize = 3;
+const BLAMED_ENDS_TO_REFUSE: usize = 3;
 /// Total number of ends at which a request is refused, whichever other requests were there.
 /// Two crashing requests that always run together would shield one another, and users
 /// accept three sends after the third end.
-const ENDS_TO_REFUSE_IN_COMPANY: usize = 5;
+const TOTAL_ENDS_TO_REFUSE: usize = 5;
 /// Number of ends at which a request is held back if it alone had the most ends at these
 /// replicas. A crash costs all streams of a replica, while two independent ends within the
 /// first seconds of both runs of an innocent request are rare.
@@ -63,25 +63,25 @@
 /// How long such a request is held back, so that an innocent one is served eventually. Twice
 /// the longest time that callers of the known routes wait (15 s): a crashing request that its
 /// caller keeps retrying ends no third replica meanwhile.
-pub const HOLD: Duration = Duration::from_secs(30);
+pub const HOLD_DURATION: Duration = Duration::from_secs(30);
 /// Maximum number of requests that had just started at an ended replica for which each is
 /// sent one at a time. Of more requests each is hardly suspect, and they would cause many
 /// store calls: a rack of full replicas leaves hundreds of requests.
-const MOST_BEGUN_TO_TRY: usize = 8;
+const MAX_STARTED_FOR_ONE_AT_A_TIME: usize = 8;
 /// Minimum interval between two merges of other nodes' reports: merging those of 380 nodes
 /// takes 0.7 ms usually, and 66 ms if all are full (`croftrill-bench capacity`).
-const UNITE_EVERY: Duration = Duration::from_millis(100);
+const MERGE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a node reports a request after it last ended a replica or was refused, and how
 /// long another node's report counts after it was last received. Equals the longest lease of
 /// a store.
-pub const KEEP: Duration = Duration::from_secs(600);
-/// Interval at which expired reports are removed; short compared with [`KEEP`].
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+pub const REPORT_RETENTION: Duration = Duration::from_secs(600);
+/// Interval at which expired reports are removed; short compared with [`REPORT_RETENTION`].
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(60);
 /// Maximum number of requests in a node's report, at about 100 bytes each: those that had
 /// just started at two full replicas.
-const MOST_REPORTED: usize = 128;
+const MAX_REPORTED_REQUESTS: usize = 128;
 /// Maximum number of ends of one request in a report: more would not change a verdict.
-const MOST_ENDS: usize = 8;
+const MAX_ENDS_PER_REQUEST: usize = 8;
 
 /// Evidence against one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -93,7 +93,7 @@
 }
 
 impl Suspicion {
-    fn unite(&mut self, other: &Suspicion) {
+    fn merge(&mut self, other: &Suspicion) {
         self.ended.extend(&other.ended);
         self.cleared.extend(&other.cleared);
     }
@@ -129,7 +129,7 @@
     /// Number of these replicas at which every other request had fewer ends.
     pub alone: usize,
     /// Minimum over these replicas of the number of requests that had just started there.
-    pub fewest_begun: usize,
+    pub fewest_started: usize,
     /// When the newest end became known to this node.
     pub known_at: Moment,
 }
@@ -137,14 +137,14 @@
 impl Suspect {
     /// Returns the verdict on the request.
     pub fn verdict(&self, now: Moment) -> Verdict {
-        if self.blamed >= ENDS_TO_REFUSE || self.ends.len() >= ENDS_TO_REFUSE_IN_COMPANY {
+        if self.blamed >= BLAMED_ENDS_TO_REFUSE || self.ends.len() >= TOTAL_ENDS_TO_REFUSE {
             return Verdict::Refused;
         }
         let held_for = now.since(self.known_at);
-        if self.alone >= ENDS_TO_HOLD && held_for < HOLD {
-            return Verdict::Held(HOLD - held_for);
+        if self.alone >= ENDS_TO_HOLD && held_for < HOLD_DURATION {
+            return Verdict::Held(HOLD_DURATION - held_for);
         }
-        if self.ends.len() >= ENDS_TO_HOLD || self.fewest_begun <= MOST_BEGUN_TO_TRY {
+        if self.ends.len() >= ENDS_TO_HOLD || self.fewest_started <= MAX_STARTED_FOR_ONE_AT_A_TIME {
             return Verdict::OneAtATime;
         }
         Verdict::Free
@@ -152,15 +152,15 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct Own {
+struct OwnEvidence {
     suspicion: Suspicion,
-    touched: Moment,
+    refreshed_at: Moment,
 }
 
 /// The report of another node. It is retained when its key disappears from the store: the
 /// store may lose keys, which does not invalidate the evidence.
 #[derive(Debug, Clone)]
-struct Told {
+struct ReceivedReport {
     report: CrashReport,
     at: Moment,
 }
@@ -168,14 +168,14 @@
 /// All evidence known to a node about requests that crash replicas.
 #[derive(Debug, Default)]
 pub struct CrashLedger {
-    own: BTreeMap<Fingerprint, Own>,
-    reports: BTreeMap<String, Told>,
+    own: BTreeMap<Fingerprint, OwnEvidence>,
+    reports: BTreeMap<String, ReceivedReport>,
     suspects: HashMap<Fingerprint, Suspect>,
     /// Time of the latest change that `suspects` does not include yet.
     changed_at: Option<Moment>,
     /// True if this node's own report changed; such a change takes effect at once.
     own_changed: bool,
-    united_at: Moment,
+    merged_at: Moment,
 }
 
 impl CrashLedger {
@@ -186,8 +186,8 @@
 
     /// Records that a replica ended when this request had just started there.
     pub fn record_end(&mut self, fingerprint: Fingerprint, replica: EndedReplica, now: Moment) {
-        let own = self.touch(fingerprint, now);
-        if own.suspicion.ended.len() < MOST_ENDS {
+        let own = self.refresh(fingerprint, now);
+        if own.suspicion.ended.len() < MAX_ENDS_PER_REQUEST {
             own.suspicion.ended.insert(replica);
         }
         self.own_report_changed(now);
@@ -200,7 +200,7 @@
         let Some(suspect) = self.suspect(fingerprint).cloned() else {
             return false;
         };
-        let own = self.touch(fingerprint, now);
+        let own = self.refresh(fingerprint, now);
         own.suspicion.ended.extend(&suspect.ends);
         own.suspicion.cleared.extend(&suspect.ends);
         self.own_report_changed(now);
@@ -213,14 +213,15 @@
         let known: Vec<Suspicion> = self
             .reports
             .values()
-            .filter_map(|told| told.report.get(&fingerprint))
+            .filter_map(|received| received.report.get(&fingerprint))
             .cloned()
             .collect();
-        let touched_before = self.own.get(&fingerprint).map(|own| own.touched);
-        let own = self.touch(fingerprint, now);
+        let refreshed_before = self.own.get(&fingerprint).map(|own| own.refreshed_at);
+        let own = self.refresh(fingerprint, now);
         let before = own.suspicion.clone();
-        known.iter().for_each(|known| own.suspicion.unite(known));
-        let is_old = touched_before.is_none_or(|touched| now.since(touched) > KEEP / 2);
+        known.iter().for_each(|known| own.suspicion.merge(known));
+        let is_old =
+            refreshed_before.is_none_or(|refreshed_at| now.since(refreshed_at) > REPORT_RETENTION / 2);
         is_old || own.suspicion != before
     }
 
@@ -229,9 +230,9 @@
     pub fn adopt_report(&mut self, report: &CrashReport, now: Moment) -> bool {
         let mut is_changed = false;
         for (fingerprint, suspicion) in report {
-            let own = self.touch(*fingerprint, now);
+            let own = self.refresh(*fingerprint, now);
             let before = own.suspicion.clone();
-            own.suspicion.unite(suspicion);
+            own.suspicion.merge(suspicion);
             is_changed |= own.suspicion != before;
         }
         if is_changed {
@@ -241,10 +242,11 @@
     }
 
     /// Replaces the report of another node by a new, complete one.
-    pub fn take_report(&mut self, source: &str, report: CrashReport, now: Moment) {
-        self.reports.retain(|_, told| now.since(told.at) <= KEEP);
-        let told = Told { report, at: now };
-        self.reports.insert(source.to_string(), told);
+    pub fn apply_report(&mut self, source: &str, report: CrashReport, now: Moment) {
+        self.reports
+            .retain(|_, received| now.since(received.at) <= REPORT_RETENTION);
+        let received = ReceivedReport { report, at: now };
+        self.reports.insert(source.to_string(), received);
         self.changed_at = Some(now);
     }
 
@@ -252,12 +254,13 @@
     pub fn reports(&self) -> impl Iterator<Item = (&str, &CrashReport)> {
         self.reports
             .iter()
-            .map(|(source, told)| (source.as_str(), &told.report))
+            .map(|(source, received)| (source.as_str(), &received.report))
     }
 
     /// Returns this node's own report.
     pub fn own_report(&mut self, now: Moment) -> CrashReport {
-        self.own.retain(|_, own| now.since(own.touched) <= KEEP);
+        self.own
+            .retain(|_, own| now.since(own.refreshed_at) <= REPORT_RETENTION);
         let own = self.own.iter();
         own.map(|(fingerprint, own)| (*fingerprint, own.suspicion.clone()))
             .collect()
@@ -265,12 +268,12 @@
 
     /// Returns whether a request may be sent.
     pub fn verdict(&mut self, fingerprint: Fingerprint, now: Moment) -> Verdict {
-        if now.since(self.united_at) >= FORGET_EVERY {
+        if now.since(self.merged_at) >= EXPIRY_INTERVAL {
             self.changed_at.get_or_insert(now);
         }
-        if self.own_changed || now.since(self.united_at) >= UNITE_EVERY {
-            self.unite();
-            self.united_at = now;
+        if self.own_changed || now.since(self.merged_at) >= MERGE_INTERVAL {
+            self.merge();
+            self.merged_at = now;
         }
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(Verdict::Free, |suspect| suspect.verdict(now))
@@ -278,13 +281,13 @@
 
     /// Returns the evidence against a request; `None` if no replica ended under it.
     pub fn suspect(&mut self, fingerprint: Fingerprint) -> Option<&Suspect> {
-        self.unite();
+        self.merge();
         self.suspects.get(&fingerprint)
     }
 
     /// Iterates over all requests under which replicas ended.
     pub fn suspects(&mut self) -> impl Iterator<Item = (Fingerprint, &Suspect)> {
-        self.unite();
+        self.merge();
         self.suspects
             .iter()
             .map(|(fingerprint, suspect)| (*fingerprint, suspect))
@@ -295,19 +298,19 @@
         self.own_changed = true;
     }
 
-    fn touch(&mut self, fingerprint: Fingerprint, now: Moment) -> &mut Own {
-        if self.own.len() >= MOST_REPORTED && !self.own.contains_key(&fingerprint) {
-            self.drop_least();
+    fn refresh(&mut self, fingerprint: Fingerprint, now: Moment) -> &mut OwnEvidence {
+        if self.own.len() >= MAX_REPORTED_REQUESTS && !self.own.contains_key(&fingerprint) {
+            self.evict_least_suspect();
         }
         let own = self.own.entry(fingerprint).or_default();
-        own.touched = now;
+        own.refreshed_at = now;
         own
     }
 
     /// Removes the request with the fewest ends, and among equals the least recently seen one.
     /// A caller can thus displace a refused request only by as many crashes.
-    fn drop_least(&mut self) {
-        let weight = |own: &Own| (own.suspicion.open().count(), own.touched);
+    fn evict_least_suspect(&mut self) {
+        let weight = |own: &OwnEvidence| (own.suspicion.open().count(), own.refreshed_at);
         let least = self.own.iter().min_by_key(|(_, own)| weight(own));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
             self.own.remove(&fingerprint);
@@ -315,30 +318,39 @@
     }
 
     /// Merges all reports into `suspects` if any has changed.
-    fn unite(&mut self) {
+    fn merge(&mut self) {
         let Some(changed_at) = self.changed_at.take() else {
             return;
         };
         self.own_changed = false;
-        self.own.retain(|_, own| changed_at.since(own.touched) <= KEEP);
-        let mut united: CrashReport = BTreeMap::new();
+        self.own
+            .retain(|_, own| changed_at.since(own.refreshed_at) <= REPORT_RETENTION);
+        let mut merged: CrashReport = BTreeMap::new();
         let own = self.own.iter().map(|(key, own)| (key, &own.suspicion));
-        self.reports.retain(|_, told| changed_at.since(told.at) <= KEEP);
-        let told = self.reports.values().flat_map(|told| &told.report);
-        for (fingerprint, suspicion) in told.chain(own) {
-            united.entry(*fingerprint).or_default().unite(suspicion);
+        self.reports
+            .retain(|_, received| changed_at.since(received.at) <= REPORT_RETENTION);
+        let received = self.reports.values().flat_map(|received| &received.report);
+        for (fingerprint, suspicion) in received.chain(own) {
+            merged.entry(*fingerprint).or_default().merge(suspicion);
         }
-        united.retain(|_, suspicion| suspicion.open().next().is_some());
-        let ranks = rank_by_replica(&united);
+        merged.retain(|_, suspicion| suspicion.open().next().is_some());
+        let ranks = rank_by_replica(&merged);
         let former = std::mem::take(&mut self.suspects);
-        for (fingerprint, suspicion) in united {
+        for (fingerprint, suspicion) in merged {
             let ends: BTreeSet<EndedReplica> = suspicion.open().collect();
             let former = former.get(&fingerprint);
             let known_at = former.filter(|former| former.ends.is_superset(&ends));
             let suspect = Suspect {
-                blamed: ends.iter().filter(|end| ranks[end].most == ends.len()).count(),
+                blamed: ends
+                    .iter()
+                    .filter(|end| ranks[end].most_ends == ends.len())
+                    .count(),
                 alone: ends.iter().filter(|end| ranks[end].is_alone(ends.len())).count(),
-                fewest_begun: ends.iter().map(|end| ranks[end].begun).min().unwrap_or_default(),
+                fewest_started: ends
+                    .iter()
+                    .map(|end| ranks[end].started)
+                    .min()
+                    .unwrap_or_default(),
                 known_at: known_at.map_or(changed_at, |former| former.known_at),
                 ends,
             };
@@ -350,30 +362,33 @@
 /// Counts of the requests that had just started at a replica when it ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct Rank {
-    begun: usize,
-    most: usize,
-    with_most: usize,
+    /// Number of these requests.
+    started: usize,
+    /// The highest number of ends of any of them.
+    most_ends: usize,
+    /// Number of requests with that many ends.
+    requests_with_most: usize,
 }
 
 impl Rank {
     fn is_alone(&self, ends: usize) -> bool {
-        self.most == ends && self.with_most == 1
+        self.most_ends == ends && self.requests_with_most == 1
     }
 }
 
-fn rank_by_replica(united: &CrashReport) -> HashMap<EndedReplica, Rank> {
+fn rank_by_replica(merged: &CrashReport) -> HashMap<EndedReplica, Rank> {
     let mut ranks: HashMap<EndedReplica, Rank> = HashMap::new();
-    for suspicion in united.values() {
+    for suspicion in merged.values() {
         let count = suspicion.open().count();
         for replica in suspicion.open() {
             let rank = ranks.entry(replica).or_default();
-            rank.begun += 1;
-            match count.cmp(&rank.most) {
+            rank.started += 1;
+            match count.cmp(&rank.most_ends) {
                 std::cmp::Ordering::Greater => {
-                    rank.most = count;
-                    rank.with_most = 1;
+                    rank.most_ends = count;
+                    rank.requests_with_most = 1;
                 }
-                std::cmp::Ordering::Equal => rank.with_most += 1,
+                std::cmp::Ordering::Equal => rank.requests_with_most += 1,
                 std::cmp::Ordering::Less => {}
             }
         }
--- a/crates/croftrill-scheduler/tests/crash_ledger.rs
+++ b/crates/croftrill-scheduler/tests/crash_ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::crash_ledger::{
-    CrashLedger, CrashReport, EndedReplica, Fingerprint, Suspicion, Verdict, HOLD,
+    CrashLedger, CrashReport, EndedReplica, Fingerprint, Suspicion, Verdict, HOLD_DURATION,
 };
 use croftrill_scheduler::time::Moment;
 use proptest::prelude::*;
@@ -37,8 +37,11 @@
     ledger.record_end(CRASHER, replica(1), at(1));
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::OneAtATime);
     ledger.record_end(CRASHER, replica(2), at(2));
-    assert_eq!(ledger.verdict(CRASHER, at(2)), Verdict::Held(HOLD));
-    assert_eq!(ledger.verdict(CRASHER, at(2) + HOLD), Verdict::OneAtATime);
+    assert_eq!(ledger.verdict(CRASHER, at(2)), Verdict::Held(HOLD_DURATION));
+    assert_eq!(
+        ledger.verdict(CRASHER, at(2) + HOLD_DURATION),
+        Verdict::OneAtATime
+    );
     ledger.record_end(CRASHER, replica(3), at(20));
     assert_eq!(ledger.verdict(CRASHER, at(20)), Verdict::Refused);
     assert_eq!(ledger.verdict(CRASHER, at(620)), Verdict::Refused);
@@ -50,7 +53,7 @@
     for number in 1..4 {
         ledger.record_end(CRASHER, replica(number), at(1));
     }
-    ledger.take_report("a", report(&[(CRASHER, &[4])]), at(2));
+    ledger.apply_report("a", report(&[(CRASHER, &[4])]), at(2));
     assert_eq!(ledger.verdict(CRASHER, at(3)), Verdict::Refused);
     assert_eq!(ledger.verdict(CRASHER, at(700)), Verdict::Free);
     assert!(ledger.is_empty());
@@ -59,13 +62,13 @@
 #[test]
 fn verdict_counts_ends_of_several_nodes_once_each() {
     let mut ledger = CrashLedger::default();
-    ledger.take_report("a", report(&[(CRASHER, &[1, 2])]), at(1));
-    ledger.take_report("b", report(&[(CRASHER, &[2])]), at(1));
-    ledger.take_report("b", report(&[(CRASHER, &[2])]), at(2));
+    ledger.apply_report("a", report(&[(CRASHER, &[1, 2])]), at(1));
+    ledger.apply_report("b", report(&[(CRASHER, &[2])]), at(1));
+    ledger.apply_report("b", report(&[(CRASHER, &[2])]), at(2));
     assert!(matches!(ledger.verdict(CRASHER, at(2)), Verdict::Held(_)));
     ledger.record_end(CRASHER, replica(2), at(3));
     assert!(matches!(ledger.verdict(CRASHER, at(3)), Verdict::Held(_)));
-    ledger.take_report("c", report(&[(CRASHER, &[3])]), at(4));
+    ledger.apply_report("c", report(&[(CRASHER, &[3])]), at(4));
     assert_eq!(ledger.verdict(CRASHER, at(4)), Verdict::Refused);
 }
 
@@ -74,8 +77,8 @@
     let mut ledger = CrashLedger::default();
     let (once, twice) = (Fingerprint(2), Fingerprint(3));
     // Other requests run at each ended replica; one of them is retried and runs at another.
-    ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3]), (once, &[1])]), at(1));
-    ledger.take_report("b", report(&[(twice, &[2, 3])]), at(1));
+    ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3]), (once, &[1])]), at(1));
+    ledger.apply_report("b", report(&[(twice, &[2, 3])]), at(1));
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::Refused);
     assert_eq!(ledger.verdict(once, at(1)), Verdict::OneAtATime);
     assert_eq!(ledger.verdict(twice, at(1)), Verdict::OneAtATime);
@@ -85,15 +88,15 @@
 fn verdict_refuses_two_crashing_requests_that_come_together() {
     let mut ledger = CrashLedger::default();
     let other = Fingerprint(2);
-    ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3]), (other, &[1, 2, 3])]), at(1));
+    ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3]), (other, &[1, 2, 3])]), at(1));
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::Refused);
     assert_eq!(ledger.verdict(other, at(1)), Verdict::Refused);
     // A request that always runs beside one with more ends is refused too.
     let shielded = Fingerprint(3);
-    ledger.take_report("b", report(&[(Fingerprint(4), &[4, 5, 6, 7, 8, 9])]), at(2));
-    ledger.take_report("c", report(&[(shielded, &[4, 5, 6, 7])]), at(2));
+    ledger.apply_report("b", report(&[(Fingerprint(4), &[4, 5, 6, 7, 8, 9])]), at(2));
+    ledger.apply_report("c", report(&[(shielded, &[4, 5, 6, 7])]), at(2));
     assert_eq!(ledger.verdict(shielded, at(2)), Verdict::OneAtATime);
-    ledger.take_report("c", report(&[(shielded, &[4, 5, 6, 7, 8])]), at(3));
+    ledger.apply_report("c", report(&[(shielded, &[4, 5, 6, 7, 8])]), at(3));
     assert_eq!(ledger.verdict(shielded, at(3)), Verdict::Refused);
 }
 
@@ -106,7 +109,10 @@
     assert_eq!(ledger.verdict(Fingerprint(0), at(1)), Verdict::Free);
     // A request that is retried and ends another replica becomes a suspect.
     ledger.record_end(Fingerprint(0), replica(2), at(2));
-    assert_eq!(ledger.verdict(Fingerprint(0), at(2)), Verdict::Held(HOLD));
+    assert_eq!(
+        ledger.verdict(Fingerprint(0), at(2)),
+        Verdict::Held(HOLD_DURATION)
+    );
 }
 
 #[test]
@@ -114,11 +120,11 @@
     let mut here = CrashLedger::default();
     let mut there = CrashLedger::default();
     let evidence = report(&[(CRASHER, &[1, 2, 3])]);
-    here.take_report("a", evidence.clone(), at(1));
-    there.take_report("a", evidence, at(1));
+    here.apply_report("a", evidence.clone(), at(1));
+    there.apply_report("a", evidence, at(1));
     assert!(here.clear(CRASHER, at(2)));
     assert_eq!(here.verdict(CRASHER, at(2)), Verdict::Free);
-    there.take_report("here", here.own_report(at(2)), at(3));
+    there.apply_report("here", here.own_report(at(2)), at(3));
     assert_eq!(there.verdict(CRASHER, at(3)), Verdict::Free);
     for number in 4..7 {
         there.record_end(CRASHER, replica(number), at(4));
@@ -129,12 +135,12 @@
 #[test]
 fn adopt_keeps_what_is_known_of_a_request_while_it_comes() {
     let mut ledger = CrashLedger::default();
-    ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
+    ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
     assert!(ledger.adopt(CRASHER, at(2)));
     assert!(!ledger.adopt(CRASHER, at(3)));
     assert!(ledger.adopt(CRASHER, at(400)));
     // The other node's report has expired by now; this node's has not.
-    ledger.take_report("b", CrashReport::new(), at(700));
+    ledger.apply_report("b", CrashReport::new(), at(700));
     assert_eq!(ledger.verdict(CRASHER, at(700)), Verdict::Refused);
     assert!(ledger.own_report(at(1000)).contains_key(&CRASHER));
     assert!(ledger.own_report(at(2000)).is_empty());
@@ -143,10 +149,10 @@
 #[test]
 fn take_report_forgets_reports_that_were_told_long_ago() {
     let mut ledger = CrashLedger::default();
-    ledger.take_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
-    ledger.take_report("b", CrashReport::new(), at(500));
+    ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
+    ledger.apply_report("b", CrashReport::new(), at(500));
     assert_eq!(ledger.verdict(CRASHER, at(500)), Verdict::Refused);
-    ledger.take_report("b", CrashReport::new(), at(700));
+    ledger.apply_report("b", CrashReport::new(), at(700));
     assert_eq!(ledger.verdict(CRASHER, at(700)), Verdict::Free);
 }
 
@@ -182,15 +188,15 @@
         }
         let mut straight = CrashLedger::default();
         for (source, told) in &reports {
-            straight.take_report(source, told.clone(), at(1));
+            straight.apply_report(source, told.clone(), at(1));
         }
         let mut shuffled = CrashLedger::default();
         for pick in order {
             let (source, told) = &reports[pick % reports.len()];
-            shuffled.take_report(source, told.clone(), at(1));
+            shuffled.apply_report(source, told.clone(), at(1));
         }
         for (source, told) in reports.iter().rev() {
-            shuffled.take_report(source, told.clone(), at(1));
+            shuffled.apply_report(source, told.clone(), at(1));
         }
         for fingerprint in 0..6 {
             let fingerprint = Fingerprint(fingerprint);
