--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -52,11 +52,11 @@
     table
 }
 
-fn request<'a>(model: Option<&'a str>, adapter: Option<&'a str>, part: u64) -> RoutingRequest<'a> {
+fn request<'a>(model: Option<&'a str>, adapter: Option<&'a str>, prefix_hash: u64) -> RoutingRequest<'a> {
     let need = model.map(|model| ModelNeed {
         model,
         adapter,
-        shared_prefix_hash: Some(part),
+        shared_prefix_hash: Some(prefix_hash),
         shared_prefix_tokens: 5000,
     });
     RoutingRequest {
@@ -64,7 +64,7 @@
         need,
         zone: "a",
         tried: &[],
-        salt: part,
+        salt: prefix_hash,
         work: RequestWork::default(),
         objective_left: Duration::from_millis(400),
         pause_objective: Some(Duration::from_millis(200)),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn only_holders_of_model_and_adapter_are_chosen() {
+fn choose_only_holders_of_model_and_adapter() {
     let table = table(&[
         listing("r0", &[("m1", &[])]),
         listing("r1", &[("m1", &["a1"])]),
@@ -88,21 +88,21 @@
 }
 
 #[test]
-fn requests_that_share_a_part_go_to_the_same_replica_on_every_node() {
+fn choose_same_home_for_shared_prefix_on_all_nodes() {
     let listings: Vec<_> = (0..4)
         .map(|index| listing(&format!("r{index}"), &[("m1", &[])]))
         .collect();
     let (first, mut reversed) = (table(&listings), listings.clone());
     reversed.reverse();
     let second = table(&reversed);
-    for part in 0..50 {
-        let request = request(Some("m1"), None, part);
+    for prefix_hash in 0..50 {
+        let request = request(Some("m1"), None, prefix_hash);
         assert_eq!(choose(&first, &request, now()), choose(&second, &request, now()));
     }
 }
 
 #[test]
-fn a_loaded_home_gives_way() {
+fn choose_other_holder_when_home_is_loaded() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
     let request = request(Some("m1"), None, 3);
     let home = choose(&table, &request, now()).expect("a replica");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_draining_or_tried_replica_is_not_chosen() {
+fn choose_skips_draining_and_tried_replicas() {
     let mut draining = listing("r0", &[("m1", &[])]);
     draining.state = ReplicaState::Draining;
     let table = table(&[draining, listing("r1", &[("m1", &[])])]);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_unreachable_replica_is_the_last_choice() {
+fn choose_unreachable_replica_last() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
     let request = request(Some("m1"), None, 3);
     let home = choose(&table, &request, now()).expect("a replica");
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_replica_that_lacks_the_model_by_its_own_word_is_passed_over_until_it_is_told_anew() {
+fn choose_skips_replica_without_model_until_listed_again() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
     table.mark_absent("r0", "m1".into(), None);
     assert_eq!(choose(&table, &request(Some("m1"), None, 1), now()), None);
@@ -150,7 +150,7 @@
 /// A listing can be older than the orderer's last order, and its sequence number counts
 /// heartbeats rather than orders, so it does not override the orderer while that is reachable.
 #[test]
-fn a_listing_does_not_replace_what_the_orderer_tells() {
+fn apply_listing_keeps_holdings_from_orderer() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
     let usable = Holdings {
         sequence: 3,
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn services_without_models_take_the_least_loaded_replica() {
+fn choose_least_loaded_replica_without_models() {
     let mut table = table(&[listing("r0", &[]), listing("r1", &[])]);
     table.begin_send("r0", prompt(0), now());
     assert_eq!(
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_failing_replica_is_passed_over_when_its_peers_are_well() {
+fn choose_skips_failing_replica_among_healthy_peers() {
     let mut table = table(&[listing("r0", &[]), listing("r1", &[])]);
     for _ in 0..3 {
         table.record_outcome("r0", SendOutcome::Failure, now());
@@ -207,7 +207,7 @@
     );
 }
 
-fn told(running: u32, waiting: u32, work_time_pct: Option<u32>) -> ReplicaLoad {
+fn load(running: u32, waiting: u32, work_time_pct: Option<u32>) -> ReplicaLoad {
     ReplicaLoad {
         running,
         waiting,
@@ -228,10 +228,10 @@
 
 /// Each replica runs 8 streams concurrently; one is full, the slower one has free slots.
 #[test]
-fn full_replica_is_passed_over_while_another_has_room() {
+fn choose_skips_full_replica_while_another_has_free_slots() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.record_load("r0", told(8, 0, Some(60)), now());
-    table.record_load("r1", told(6, 0, Some(160)), now());
+    table.record_load("r0", load(8, 0, Some(60)), now());
+    table.record_load("r1", load(6, 0, Some(160)), now());
     for salt in 0..50 {
         assert_eq!(choose(&table, &stream(salt), now()).as_deref(), Some("r1"));
     }
@@ -242,11 +242,11 @@
 
 /// The expected time to the first event at a full replica includes the wait for a free slot.
 #[test]
-fn room_of_full_replicas_tells_when_a_place_is_free() {
+fn free_capacity_of_full_replicas_includes_wait_for_slot() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
-    table.record_load("r0", told(8, 4, Some(100)), now());
+    table.record_load("r0", load(8, 4, Some(100)), now());
     let full = free_capacity(&table, &stream(1), now());
-    table.record_load("r0", told(2, 0, Some(100)), now());
+    table.record_load("r0", load(2, 0, Some(100)), now());
     let free = free_capacity(&table, &stream(1), now());
     assert_eq!((full.free_candidates, free.free_candidates), (0, 1));
     assert!(full.first_event_after.expect("a holder") > Duration::from_millis(500));
@@ -255,14 +255,14 @@
 
 /// Only one of the two services has a replica that reports its work time.
 #[test]
-fn goes_by_capacity_only_where_a_replica_tells_its_work_time() {
+fn goes_by_capacity_only_with_reported_work_time() {
     let other = ReplicaListing {
         service: "app".into(),
         ..listing("a0", &[])
     };
     let mut table = table(&[listing("r0", &[]), other]);
-    table.record_load("r0", told(1, 0, None), now());
-    table.record_load("a0", told(1, 0, Some(100)), now());
+    table.record_load("r0", load(1, 0, None), now());
+    table.record_load("a0", load(1, 0, Some(100)), now());
     assert!(table.routes_by_capacity("app") && !table.routes_by_capacity("llm"));
     table.remove("a0");
     assert!(!table.routes_by_capacity("app"));
@@ -283,10 +283,10 @@
 
 /// Of two replicas with free slots one takes 2.7 times as long; requests are shared by speed.
 #[test]
-fn slow_replica_gets_its_part_of_the_work() {
+fn choose_slow_replica_in_proportion_to_speed() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.record_load("r0", told(2, 0, Some(60)), now());
-    table.record_load("r1", told(2, 0, Some(160)), now());
+    table.record_load("r0", load(2, 0, Some(60)), now());
+    table.record_load("r1", load(2, 0, Some(160)), now());
     let slow = times_chosen(&table, "r1", 1000, stream);
     assert!((180..330).contains(&slow), "{slow} of 1000 at a speed of 27 %");
 }
@@ -294,10 +294,10 @@
 /// Streams at the usual speed pause for 0.15 s, so at a replica that takes 1.6 times as long
 /// nearly all of them would exceed the pause objective of 0.2 s.
 #[test]
-fn streams_go_where_their_pauses_are_borne() {
+fn choose_replica_within_pause_objective() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.record_load("r0", told(4, 0, Some(100)), now());
-    table.record_load("r1", told(0, 0, Some(160)), now());
+    table.record_load("r0", load(4, 0, Some(100)), now());
+    table.record_load("r1", load(0, 0, Some(160)), now());
     for _ in 0..10 {
         table.begin_send("r0", stream(0).work, now());
         table.record_pause("r0", Duration::from_millis(150));
@@ -305,16 +305,16 @@
     }
     let held_up = times_chosen(&table, "r1", 1000, stream);
     assert!(held_up < 50, "{held_up} of 1000");
-    table.record_load("r0", told(8, 0, Some(100)), now());
+    table.record_load("r0", load(8, 0, Some(100)), now());
     assert_eq!(times_chosen(&table, "r1", 200, stream), 200, "the other is full");
 }
 
 /// If all holders are full, the one with the shorter queue takes more requests, but not all.
 #[test]
-fn full_replicas_share_what_is_sent_anyway() {
+fn choose_among_full_replicas_by_queue_length() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
-    table.record_load("r0", told(8, 0, Some(100)), now());
-    table.record_load("r1", told(8, 24, Some(100)), now());
+    table.record_load("r0", load(8, 0, Some(100)), now());
+    table.record_load("r1", load(8, 24, Some(100)), now());
     let fuller = times_chosen(&table, "r1", 1000, stream);
     assert!((130..270).contains(&fuller), "{fuller} of 1000");
 }
@@ -322,25 +322,25 @@
 /// A node's own requests count as soon as they are sent, even if a load sample taken before
 /// arrives later by way of another node.
 #[test]
-fn own_sends_count_beside_an_account_that_is_older() {
+fn running_load_counts_own_sends_after_sample() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
     for _ in 0..3 {
         table.begin_send("r0", stream(0).work, now());
     }
-    table.record_load("r0", told(5, 0, Some(100)), now() - Duration::from_millis(200));
+    table.record_load("r0", load(5, 0, Some(100)), now() - Duration::from_millis(200));
     let entry = table.get("r0").expect("it is listed");
     assert!(entry.running_load(now()) > 7.0);
 }
 
 /// The KV cache holds two such requests and is full, so a third one would preempt them.
 #[test]
-fn overfilled_memory_is_passed_over() {
+fn choose_skips_replica_with_full_kv_cache() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
     for _ in 0..2 {
         table.begin_send("r0", stream(0).work, now());
     }
-    table.record_load("r0", told(2, 0, Some(60)), now());
-    table.record_load("r1", told(0, 0, Some(160)), now());
+    table.record_load("r0", load(2, 0, Some(60)), now());
+    table.record_load("r1", load(0, 0, Some(160)), now());
     assert!(times_chosen(&table, "r0", 100, stream) > 50);
     let tight = |salt| RoutingRequest {
         kv_cache_tokens: 2 * 980,
@@ -351,13 +351,13 @@
 
 /// Without models, a replica that is slow at the moment gets fewer requests.
 #[test]
-fn services_without_models_go_by_slots_and_speed() {
+fn choose_by_slots_and_speed_without_models() {
     let mut table = table(&[listing("r0", &[]), listing("r1", &[])]);
-    table.record_load("r0", told(7, 1, Some(100)), now());
-    table.record_load("r1", told(3, 0, Some(100)), now());
+    table.record_load("r0", load(7, 1, Some(100)), now());
+    table.record_load("r1", load(3, 0, Some(100)), now());
     let plain = |salt| request(None, None, salt);
     assert_eq!(times_chosen(&table, "r0", 100, plain), 0, "it is full");
-    table.record_load("r0", told(0, 0, Some(250)), now());
+    table.record_load("r0", load(0, 0, Some(250)), now());
     let disturbed = times_chosen(&table, "r0", 1000, plain);
     assert!(disturbed < 600, "{disturbed} of 1000 though it has more places");
 }
@@ -365,7 +365,7 @@
 /// If replicas report running, waiting and slots but no work time, the one with fewer requests
 /// is chosen, regardless of its slots and of what was learned from streams.
 #[test]
-fn replicas_that_tell_no_work_time_are_chosen_by_requests_alone() {
+fn choose_by_requests_alone_without_work_time() {
     let mut table = table(&[listing("r0", &[("m1", &[])]), listing("r1", &[("m1", &[])])]);
     let unshared = |salt| {
         let mut request = stream(salt);
@@ -381,8 +381,8 @@
         table.record_pause("r0", Duration::from_secs(1));
         table.end_send("r0");
     }
-    table.record_load("r0", told(8, 1, None), now());
-    table.record_load("r1", told(10, 0, None), now());
+    table.record_load("r0", load(8, 1, None), now());
+    table.record_load("r1", load(10, 0, None), now());
     assert!(!table.routes_by_capacity("llm"));
     assert_eq!(times_chosen(&table, "r0", 200, unshared), 200);
 }
@@ -390,7 +390,7 @@
 /// A replica may report the largest numbers that its header can hold; estimated times stay
 /// bounded even for very long answers.
 #[test]
-fn room_at_a_replica_that_tells_a_boundless_load_is_bounded() {
+fn free_capacity_is_bounded_at_any_reported_load() {
     let mut table = table(&[listing("r0", &[("m1", &[])])]);
     let load = ReplicaLoad {
         running: u32::MAX,
