--- a/crates/croftrill-scheduler/tests/catalog.rs
+++ b/crates/croftrill-scheduler/tests/catalog.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn route_prefers_longest_prefix_of_host() {
     let routes = vec![
         route("short", "a", "/x/"),
         route("long", "a", "/x/y/"),
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn only_resumable_streams_and_safe_requests_are_idempotent() {
+fn is_idempotent_for_streaming_only_if_resumable() {
     let mut stream = route("s", "a", "/");
     stream.kind = RouteKind::Streaming;
     assert!(!stream.is_idempotent());
--- a/crates/croftrill-scheduler/tests/demand.rs
+++ b/crates/croftrill-scheduler/tests/demand.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn asked(objective_ms: u64) -> DemandSample {
+fn sample(objective_ms: u64) -> DemandSample {
     DemandSample {
         requests: 1.0,
         tokens: 1000.0,
@@ -28,17 +28,17 @@
 }
 
 /// Counts a request every `every_ms` from `from_ms` to `until_ms`.
-fn ask(demand: &mut Demand, model: &str, every_ms: u64, from_ms: u64, until_ms: u64) {
+fn count_requests(demand: &mut Demand, model: &str, every_ms: u64, from_ms: u64, until_ms: u64) {
     for millis in (from_ms..until_ms).step_by(every_ms as usize) {
-        demand.count(&key(model), &asked(1000), at(millis));
+        demand.count(&key(model), &sample(1000), at(millis));
     }
 }
 
 #[test]
-fn lasting_rate_steady() {
+fn sustained_requests_per_second_is_steady_for_rare_model() {
     for millis in [15_000, 16_500, 29_000] {
         let mut demand = Demand::new();
-        ask(&mut demand, "rare", 3000, 0, millis);
+        count_requests(&mut demand, "rare", 3000, 0, millis);
         let rate = demand.sustained_requests_per_second(&key("rare"), at(millis));
         assert!((0.2..0.5).contains(&rate), "{rate} at {millis} ms");
     }
@@ -47,21 +47,21 @@
 /// Guards against replacing rare models by one another on noise alone: the rate with the short
 /// time constant falls by half between two requests for a rare model.
 #[test]
-fn lasting_rate_swings_less_than_the_fast_one() {
+fn sustained_requests_per_second_varies_less_than_fast_rate() {
     let mut demand = Demand::new();
-    ask(&mut demand, "rare", 6000, 0, 60_001);
+    count_requests(&mut demand, "rare", 6000, 0, 60_001);
     let late = at(65_900);
     let fast = demand.requests_per_second(&key("rare"), late);
-    let lasting = demand.sustained_requests_per_second(&key("rare"), late);
-    assert!(lasting > 1.2 * fast, "lasting {lasting}, fast {fast}");
+    let sustained = demand.sustained_requests_per_second(&key("rare"), late);
+    assert!(sustained > 1.2 * fast, "sustained {sustained}, fast {fast}");
 }
 
 /// A busy model without further requests must not keep its replicas because of past demand.
 #[test]
-fn lasting_rate_busy_falls_silent() {
+fn sustained_requests_per_second_falls_when_requests_stop() {
     let mut demand = Demand::new();
-    ask(&mut demand, "busy", 50, 0, 20_000);
-    ask(&mut demand, "rare", 3000, 0, 28_000);
+    count_requests(&mut demand, "busy", 50, 0, 20_000);
+    count_requests(&mut demand, "rare", 3000, 0, 28_000);
     let busy = demand.sustained_requests_per_second(&key("busy"), at(20_000));
     assert!(busy > 15.0, "{busy}");
     let silent = demand.sustained_requests_per_second(&key("busy"), at(28_000));
@@ -73,8 +73,8 @@
 fn objective_is_the_mean() {
     let mut demand = Demand::new();
     assert_eq!(demand.objective(&key("m")), None);
-    demand.count(&key("m"), &asked(500), at(0));
-    demand.count(&key("m"), &asked(1500), at(0));
+    demand.count(&key("m"), &sample(500), at(0));
+    demand.count(&key("m"), &sample(1500), at(0));
     assert_eq!(demand.objective(&key("m")), Some(Duration::from_secs(1)));
 }
 
@@ -89,16 +89,16 @@
 }
 
 #[test]
-fn late_share_follows_what_holders_serve_late_and_begins_small() {
+fn late_share_starts_small_and_follows_late_requests() {
     let mut demand = Demand::new();
     let untouched = demand.late_share(&key("m1"), at(0));
     assert!(untouched > 0.0 && untouched < 0.1);
-    ask(&mut demand, "m1", 100, 0, 5000);
+    count_requests(&mut demand, "m1", 100, 0, 5000);
     assert!(demand.late_share(&key("m1"), at(5000)) <= untouched);
     let late = DemandSample {
         requests: 0.0,
         late: 5.0,
-        ..asked(1000)
+        ..sample(1000)
     };
     for millis in [3000, 3500, 4000, 4500, 5000] {
         demand.count(&key("m1"), &late, at(millis));
@@ -111,14 +111,14 @@
 /// One long prompt delays all streams at its replica, which another holder would not change.
 /// Counting each late stream made models with few slots evict one another.
 #[test]
-fn late_share_of_one_occasion_is_the_least() {
+fn late_share_of_one_occasion_is_the_minimum() {
     let mut demand = Demand::new();
-    ask(&mut demand, "m1", 100, 0, 5000);
+    count_requests(&mut demand, "m1", 100, 0, 5000);
     let calm = demand.late_share(&key("m1"), at(5000));
     let late = DemandSample {
         requests: 0.0,
         late: 5.0,
-        ..asked(1000)
+        ..sample(1000)
     };
     for millis in [4800, 4900, 5000] {
         demand.count(&key("m1"), &late, at(millis));
@@ -127,12 +127,12 @@
 }
 
 #[test]
-fn count_of_late_requests_alone_is_no_request() {
+fn count_late_requests_alone_is_no_request() {
     let mut demand = Demand::new();
     let late = DemandSample {
         requests: 0.0,
         late: 3.0,
-        ..asked(1000)
+        ..sample(1000)
     };
     demand.count(&key("m1"), &late, at(0));
     assert_eq!(demand.last_request(&key("m1")), None);
@@ -143,10 +143,10 @@
 #[test]
 fn present_requests_per_second_shows_a_rise_within_a_second() {
     let mut demand = Demand::new();
-    ask(&mut demand, "m1", 2000, 0, 20_000);
-    ask(&mut demand, "m2", 2000, 0, 20_000);
-    ask(&mut demand, "m1", 50, 20_000, 21_000);
-    ask(&mut demand, "m2", 300, 20_000, 21_000);
+    count_requests(&mut demand, "m1", 2000, 0, 20_000);
+    count_requests(&mut demand, "m2", 2000, 0, 20_000);
+    count_requests(&mut demand, "m1", 50, 20_000, 21_000);
+    count_requests(&mut demand, "m2", 300, 20_000, 21_000);
     let risen = demand.present_requests_per_second(&key("m1"), at(21_000));
     let memory = demand.requests_per_second(&key("m1"), at(21_000));
     assert!(risen > 1.5 * memory, "{risen} and {memory}");
@@ -160,12 +160,12 @@
 /// Nodes report demand four times a second, so the pause between two reports is not a lack of
 /// requests. Counting it as one capped the rate of every busy model at 10 requests per second.
 #[test]
-fn present_requests_per_second_whole_between_two_accounts() {
+fn present_requests_per_second_is_stable_between_reports() {
     let mut demand = Demand::new();
     let batch = DemandSample {
         requests: 15.0,
         tokens: 15_000.0,
-        ..asked(1000)
+        ..sample(1000)
     };
     for millis in (0..20_000).step_by(250) {
         demand.count(&key("m1"), &batch, at(millis));
