--- a/crates/croftrill-scheduler/tests/crash_ledger.rs
+++ b/crates/croftrill-scheduler/tests/crash_ledger.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn verdict_is_one_at_a_time_after_one_end_held_after_two_refused_after_three() {
+fn verdict_by_number_of_ends() {
     let mut ledger = CrashLedger::default();
     assert_eq!(ledger.verdict(CRASHER, at(1)), Verdict::Free);
     ledger.record_end(CRASHER, replica(1), at(1));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn verdict_is_free_again_once_a_request_has_not_come_for_long() {
+fn verdict_is_free_again_after_retention() {
     let mut ledger = CrashLedger::default();
     for number in 1..4 {
         ledger.record_end(CRASHER, replica(number), at(1));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn verdict_counts_ends_of_several_nodes_once_each() {
+fn verdict_counts_ends_reported_by_several_nodes_once() {
     let mut ledger = CrashLedger::default();
     ledger.apply_report("a", report(&[(CRASHER, &[1, 2])]), at(1));
     ledger.apply_report("b", report(&[(CRASHER, &[2])]), at(1));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn verdict_spares_requests_beside_the_one_with_most_ends() {
+fn verdict_spares_bystanders_of_request_with_most_ends() {
     let mut ledger = CrashLedger::default();
     let (once, twice) = (Fingerprint(2), Fingerprint(3));
     // Other requests run at each ended replica; one of them is retried and runs at another.
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn verdict_refuses_two_crashing_requests_that_come_together() {
+fn verdict_refuses_two_crashing_requests_that_run_together() {
     let mut ledger = CrashLedger::default();
     let other = Fingerprint(2);
     ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3]), (other, &[1, 2, 3])]), at(1));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn verdict_leaves_many_requests_of_one_full_replica_free() {
+fn verdict_is_free_for_many_requests_of_one_replica() {
     let mut ledger = CrashLedger::default();
     for number in 0..9 {
         ledger.record_end(Fingerprint(number), replica(1), at(1));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn clear_frees_a_request_everywhere_of_the_ends_so_far() {
+fn clear_applies_to_earlier_ends_on_all_nodes() {
     let mut here = CrashLedger::default();
     let mut there = CrashLedger::default();
     let evidence = report(&[(CRASHER, &[1, 2, 3])]);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn adopt_keeps_what_is_known_of_a_request_while_it_comes() {
+fn adopt_retains_evidence_while_request_is_retried() {
     let mut ledger = CrashLedger::default();
     ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
     assert!(ledger.adopt(CRASHER, at(2)));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn take_report_forgets_reports_that_were_told_long_ago() {
+fn apply_report_drops_expired_reports() {
     let mut ledger = CrashLedger::default();
     ledger.apply_report("a", report(&[(CRASHER, &[1, 2, 3])]), at(1));
     ledger.apply_report("b", CrashReport::new(), at(500));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn own_report_keeps_refused_requests_when_a_caller_fills_it() {
+fn own_report_keeps_refused_requests_when_full() {
     let mut ledger = CrashLedger::default();
     for number in 1..4 {
         ledger.record_end(CRASHER, replica(number), at(1));
@@ -174,46 +174,46 @@
 proptest! {
     /// Duplicate, delayed and reordered reports lead to the same verdicts.
     #[test]
-    fn take_report_comes_to_the_same_verdicts_in_any_order(
+    fn apply_report_gives_same_verdicts_in_any_order(
         rows in prop::collection::vec((0u128..6, 0u64..8, 0usize..4), 1..40),
         order in prop::collection::vec(0usize..1000, 40),
     ) {
         let mut reports: Vec<(String, CrashReport)> = Vec::new();
         for node in 0..4 {
-            let mut told = CrashReport::new();
+            let mut node_report = CrashReport::new();
             for (fingerprint, ended, _) in rows.iter().filter(|row| row.2 == node) {
-                told.entry(Fingerprint(*fingerprint)).or_default().ended.insert(replica(*ended));
+                node_report.entry(Fingerprint(*fingerprint)).or_default().ended.insert(replica(*ended));
             }
-            reports.push((format!("n{node}"), told));
+            reports.push((format!("n{node}"), node_report));
         }
-        let mut straight = CrashLedger::default();
-        for (source, told) in &reports {
-            straight.apply_report(source, told.clone(), at(1));
+        let mut in_order = CrashLedger::default();
+        for (source, node_report) in &reports {
+            in_order.apply_report(source, node_report.clone(), at(1));
         }
         let mut shuffled = CrashLedger::default();
         for pick in order {
-            let (source, told) = &reports[pick % reports.len()];
-            shuffled.apply_report(source, told.clone(), at(1));
+            let (source, node_report) = &reports[pick % reports.len()];
+            shuffled.apply_report(source, node_report.clone(), at(1));
         }
-        for (source, told) in reports.iter().rev() {
-            shuffled.apply_report(source, told.clone(), at(1));
+        for (source, node_report) in reports.iter().rev() {
+            shuffled.apply_report(source, node_report.clone(), at(1));
         }
         for fingerprint in 0..6 {
             let fingerprint = Fingerprint(fingerprint);
-            prop_assert_eq!(straight.verdict(fingerprint, at(100)), shuffled.verdict(fingerprint, at(100)));
+            prop_assert_eq!(in_order.verdict(fingerprint, at(100)), shuffled.verdict(fingerprint, at(100)));
         }
     }
 
     /// Innocent requests that run beside a crashing one at most twice each, as their callers
     /// give up or are served, are never refused. The crashing one is refused at its third end.
     #[test]
-    fn verdict_never_refuses_requests_that_were_beside_twice(
-        beside in prop::collection::vec((10u128..30, 0u64..3), 0..60),
+    fn verdict_never_refuses_bystander_of_two_ends(
+        bystanders in prop::collection::vec((10u128..30, 0u64..3), 0..60),
     ) {
         let mut ledger = CrashLedger::default();
         for end in 0..3 {
             ledger.record_end(CRASHER, replica(end), at(end));
-            for (innocent, _) in beside.iter().filter(|row| row.1 == end) {
+            for (innocent, _) in bystanders.iter().filter(|row| row.1 == end) {
                 let hits = ledger.suspect(Fingerprint(*innocent)).map_or(0, |suspect| suspect.ends.len());
                 if hits < 2 {
                     ledger.record_end(Fingerprint(*innocent), replica(end), at(end));
