--- a/crates/croftrill-scheduler/src/crash_ledger.rs
+++ b/crates/croftrill-scheduler/src/crash_ledger.rs
@@ -5,7 +5,7 @@
 //!
 //! - A request that receives a complete answer anywhere is cleared of all earlier ends.
 //! - Of the requests that had just started at a replica, those with the most ends are
-//!   blamed for its end; the others are taken for bystanders.
+//!   blamed for its end; the others count as bystanders.
 //!
 //! Ends are counted per replica incarnation. The reports of the nodes are merged as sets, so
 //! duplicate and delayed reports change nothing and all nodes arrive at the same counts.
--- a/crates/croftrill-scheduler/src/demand.rs
+++ b/crates/croftrill-scheduler/src/demand.rs
@@ -44,11 +44,11 @@
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(6);
 /// Time constant of the rate that detects a sudden rise.
 const BURST_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// Standard deviations of the short-term count that are attributed to chance.
+/// Standard deviations of the burst count that are attributed to chance.
 const NOISE_DEVIATIONS: f64 = 2.0;
 /// Time constant of the rate that smooths rare demand.
 const SUSTAINED_TIME_CONSTANT: Duration = Duration::from_secs(20);
-/// Minimum time over which the long-term rate is averaged.
+/// Minimum time over which the sustained rate is averaged.
 const MIN_OBSERVATION: Duration = Duration::from_secs(3);
 /// Requests assumed for a model that was never requested: the absence of requests over a
 /// time only bounds a Poisson rate to about this number in that time.
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Returns the larger of the long-term rate and the usual rate, bounded from above by the
+    /// Returns the larger of the sustained and the usual rate, bounded from above by the
     /// time without a request. `observed` is how long requests have been counted.
     fn sustained_per_second(&self, observed: Duration, now: Moment) -> f64 {
         let Some(last) = self.last_request else { return 0.0 };
--- a/crates/croftrill-scheduler/tests/routing.rs
+++ b/crates/croftrill-scheduler/tests/routing.rs
@@ -359,7 +359,10 @@
     assert_eq!(times_chosen(&table, "r0", 100, plain), 0, "it is full");
     table.record_load("r0", load(0, 0, Some(250)), now());
     let disturbed = times_chosen(&table, "r0", 1000, plain);
-    assert!(disturbed < 600, "{disturbed} of 1000 though it has more places");
+    assert!(
+        disturbed < 600,
+        "{disturbed} of 1000 though it has more free slots"
+    );
 }
 
 /// If replicas report running, waiting and slots but no work time, the one with fewer requests
