--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -22,7 +22,7 @@
 use croftrill_scheduler::quota::keeper::{KeeperConfig, Ruling, Want};
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LoneTurns, Standing};
-use croftrill_scheduler::quota::waiting::WaitPlaces;
+use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::Quota;
 use croftrill_scheduler::time::Moment;
 use prometheus_client::metrics::counter::Counter;
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -5,7 +5,7 @@
 
 use croftrill_scheduler::catalog::{Configuration, Route};
 use croftrill_scheduler::quota::keeper::Want;
-use croftrill_scheduler::quota::turn::{patience, TurnWait};
+use croftrill_scheduler::quota::reservation::{patience, TurnWait};
 use croftrill_scheduler::time::Moment;
 use http::header::{self, HeaderMap, HeaderValue};
 use http::StatusCode;
--- a/crates/croftrill-scheduler/src/catalog.rs
+++ b/crates/croftrill-scheduler/src/catalog.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::quota::turn::AheadLimits;
+use crate::quota::reservation::AheadLimits;
 use crate::tenants::{Tenant, Tenants};
 
 /// Name of a model.
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::returning::Returning;
-use super::ruling::{KeeperConfig, Ruling, Want, MOST_AHEAD};
+use super::decision::{KeeperConfig, Ruling, Want, MOST_AHEAD};
+use super::expected_retries::Returning;
 use crate::tenants::Quota;
 
 /// Fraction of the income set aside for non-urgent requests while the tenant sends any.
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::account::{Account, AccountBounds};
-pub use super::ruling::{KeeperConfig, Ruling, Want};
+pub use super::decision::{KeeperConfig, Ruling, Want};
 use crate::tenants::{Quota, Tenant};
 use crate::time::Moment;
 
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::ruling::Ruling;
+use super::decision::Ruling;
 use crate::replica::{Incarnation, RequestRate, StartedMs};
 use crate::time::Moment;
 
--- a/crates/croftrill-scheduler/src/quota/mod.rs
+++ b/crates/croftrill-scheduler/src/quota/mod.rs
@@ -6,13 +6,13 @@
 //! listening to it. So when a network partition leaves two keepers for the same tenants, they
 //! spend no more together than a single keeper would. Limits reported by overloaded replicas
 //! ([`limits`]) have partitions of their own. The requesting node decides how long a request
-//! waits for its reservation and how far ahead it may be granted ([`turn`]).
+//! waits for its reservation and how far ahead it may be granted ([`reservation`]).
 
 mod account;
+mod decision;
+mod expected_retries;
 pub mod keeper;
 pub mod keepers;
 pub mod limits;
-mod returning;
-mod ruling;
-pub mod turn;
-pub mod waiting;
+pub mod reservation;
+pub mod wait_slots;
--- a/crates/croftrill-scheduler/src/quota/turn.rs
+++ b/crates/croftrill-scheduler/src/quota/reservation.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::ruling::MOST_AHEAD;
+use super::decision::MOST_AHEAD;
 use crate::time::Moment;
 
 /// A request waits for its reservation for the time left after reading its prompt, divided by
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, Ruling, Want};
-use croftrill_scheduler::quota::turn::{patience, AheadLimits, TurnWait};
-use croftrill_scheduler::quota::waiting::WaitPlaces;
+use croftrill_scheduler::quota::reservation::{patience, AheadLimits, TurnWait};
+use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
 use proptest::prelude::*;
