--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keeper::Ruling;
+use croftrill_scheduler::quota::keeper::ReservationDecision;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
@@ -262,10 +262,10 @@
     RequestRate::from_millis_per_s((per_s * 1000.0) as u64)
 }
 
-fn granted(ruling: Ruling) -> Option<Duration> {
-    match ruling {
-        Ruling::Granted { after } => Some(after),
-        Ruling::Refused { .. } => None,
+fn granted(decision: ReservationDecision) -> Option<Duration> {
+    match decision {
+        ReservationDecision::Granted { after } => Some(after),
+        ReservationDecision::Refused { .. } => None,
     }
 }
 
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keeper::Ruling;
+use croftrill_scheduler::quota::keeper::ReservationDecision;
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LimitWant, NamedLimit};
 use croftrill_scheduler::replica::StartedMs;
@@ -68,7 +68,7 @@
         })
     }
 
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<Ruling> {
+    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
         let PartKeeper::Limits(keeper) = keeper else {
             return None;
         };
@@ -86,17 +86,19 @@
         state.limit_asked_at.set(Some(now));
         state.limit_wanted.notify_one();
         let give_up = now + ask.want.patience.clamp(ANSWER_LIMIT, LINK_PATIENCE);
-        let ruling = if self.is_alone(part) {
+        let decision = if self.is_alone(part) {
             None
         } else {
             self.ask_keeper(part, &ask, give_up).await
         };
-        let Some(ruling) = ruling else {
+        let Some(decision) = decision else {
             return self.own_turn(&ask);
         };
-        match ruling {
-            Ruling::Granted { after } => LimitVerdict::Granted(Some(self.granted(part, &ask, after)), after),
-            Ruling::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
+        match decision {
+            ReservationDecision::Granted { after } => {
+                LimitVerdict::Granted(Some(self.granted(part, &ask, after)), after)
+            }
+            ReservationDecision::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
         }
     }
 
@@ -118,8 +120,8 @@
             ask.want.patience,
             now,
         ) {
-            Ruling::Granted { after } => LimitVerdict::Granted(None, after),
-            Ruling::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
+            ReservationDecision::Granted { after } => LimitVerdict::Granted(None, after),
+            ReservationDecision::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
         }
     }
 
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use croftrill_scheduler::quota::keeper::{QuotaKeeper, Ruling, Want};
+use croftrill_scheduler::quota::keeper::{QuotaKeeper, ReservationDecision, Want};
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, NamedLimit};
 use croftrill_scheduler::replica::RequestRate;
@@ -252,11 +252,11 @@
 /// Takes a keeper's answer. What was granted to a request that is gone goes back.
 fn take_answer(quotas: &Quotas, part: QuotaPart, frame: &BytesMut) -> io::Result<()> {
     let message = decode::<FromKeeper>(frame)?;
-    let (id, ruling) = match message {
+    let (id, decision) = match message {
         FromKeeper::Alive => return Ok(()),
         FromKeeper::Granted { id, after_ms } => {
             let after = Duration::from_millis(u64::from(after_ms));
-            (id, Ruling::Granted { after })
+            (id, ReservationDecision::Granted { after })
         }
         FromKeeper::Refused {
             id,
@@ -264,13 +264,13 @@
             balance,
         } => {
             let again_after = Duration::from_millis(u64::from(again_after_ms));
-            (id, Ruling::Refused { again_after, balance })
+            (id, ReservationDecision::Refused { again_after, balance })
         }
     };
     let asked = quotas.parts[part.index()].asked.borrow_mut().remove(&id);
     if let Some(asked) = asked {
-        let unheard = asked.answer.send(ruling);
-        if matches!(unheard, Err(Ruling::Granted { .. })) {
+        let unheard = asked.answer.send(decision);
+        if matches!(unheard, Err(ReservationDecision::Granted { .. })) {
             quotas.give_back(part, &asked.subject, asked.cost);
         }
     }
@@ -297,7 +297,7 @@
 fn answer(quotas: &Quotas, part: QuotaPart, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
     let now = quotas.clock.now();
     let mut keeper = quotas.parts[part.index()].keeper.borrow_mut();
-    let (id, ruling) = match (message, &mut *keeper) {
+    let (id, decision) = match (message, &mut *keeper) {
         (ToKeeper::Alive, _) => return Ok(Some(FromKeeper::Alive)),
         (ToKeeper::GiveBack { tenant, cost }, keeper) => {
             keeper.give_back(&tenant, cost, now);
@@ -311,13 +311,13 @@
         (ToKeeper::AskLimit(ask), PartKeeper::Limits(keeper)) => (ask.id, rule_on_limit(keeper, &ask, now)),
         (ToKeeper::Ask(_) | ToKeeper::AskLimit(_), _) => return Err(io::ErrorKind::InvalidData.into()),
     };
-    Ok(Some(match ruling {
-        Ruling::Granted { after } => FromKeeper::Granted {
+    Ok(Some(match decision {
+        ReservationDecision::Granted { after } => FromKeeper::Granted {
             id,
             // Rounded up: by then the balance has surely paid.
             after_ms: after.as_micros().div_ceil(1000) as u32,
         },
-        Ruling::Refused { again_after, balance } => FromKeeper::Refused {
+        ReservationDecision::Refused { again_after, balance } => FromKeeper::Refused {
             id,
             again_after_ms: again_after.as_millis() as u32 + 1,
             balance,
@@ -325,7 +325,7 @@
     }))
 }
 
-fn rule_on_quota(keeper: &mut QuotaKeeper, ask: WireAsk, now: Moment) -> Ruling {
+fn rule_on_quota(keeper: &mut QuotaKeeper, ask: WireAsk, now: Moment) -> ReservationDecision {
     let want = Want {
         cost: ask.cost,
         patience: Duration::from_millis(u64::from(ask.patience_ms)),
@@ -336,7 +336,7 @@
     keeper.ask(tenant, want, now)
 }
 
-fn rule_on_limit(keeper: &mut LimitKeeper, ask: &WireLimitAsk, now: Moment) -> Ruling {
+fn rule_on_limit(keeper: &mut LimitKeeper, ask: &WireLimitAsk, now: Moment) -> ReservationDecision {
     let want = LimitWant {
         patience: Duration::from_millis(u64::from(ask.patience_ms)),
         is_urgent: ask.is_urgent,
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::catalog::Configuration;
-use croftrill_scheduler::quota::keeper::{KeeperConfig, Ruling, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, ReservationDecision, Want};
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LoneTurns, Standing};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
@@ -88,7 +88,7 @@
         })
     }
 
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<Ruling> {
+    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
         let PartKeeper::Quotas(keeper) = keeper else {
             return None;
         };
@@ -132,8 +132,8 @@
     fn cost(&self) -> u64;
     /// The message to a keeper elsewhere.
     fn message(&self, id: u64, now: Moment) -> ToKeeper;
-    /// The ruling of this node's own keeper.
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<Ruling>;
+    /// The decision of this node's own keeper.
+    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision>;
 }
 
 /// A node's side of one part.
@@ -166,7 +166,7 @@
 
 /// A question on its way to a keeper and back.
 struct Asked {
-    answer: oneshot::Sender<Ruling>,
+    answer: oneshot::Sender<ReservationDecision>,
     subject: Arc<str>,
     cost: u64,
 }
@@ -210,7 +210,7 @@
         let part = QuotaPart::of_tenant(ask.tenant);
         let give_up = until.min(self.clock.now() + LINK_PATIENCE);
         match self.ask_keeper(part, &ask, give_up).await {
-            Some(ruling) => self.verdict(part, &ask, ruling),
+            Some(decision) => self.verdict(part, &ask, decision),
             None => QuotaVerdict::Unreachable,
         }
     }
@@ -229,18 +229,23 @@
         })
     }
 
-    /// The ruling of whichever keeper answers by `give_up`.
-    async fn ask_keeper(&self, part: QuotaPart, question: &impl Question, give_up: Moment) -> Option<Ruling> {
+    /// The decision of whichever keeper answers by `give_up`.
+    async fn ask_keeper(
+        &self,
+        part: QuotaPart,
+        question: &impl Question,
+        give_up: Moment,
+    ) -> Option<ReservationDecision> {
         for _ in 0..MOST_ASKED {
-            let ruling = match self.linked_uplink(part, give_up).await? {
+            let decision = match self.linked_uplink(part, give_up).await? {
                 Uplink::Linked(link) => self.ask_linked(part, &link, question).await,
                 Uplink::Own | Uplink::Connecting => {
                     let keeper = &self.parts[part.index()].keeper;
                     return question.ask_here(&mut keeper.borrow_mut(), self.clock.now());
                 }
             };
-            if ruling.is_some() || self.clock.now() >= give_up {
-                return ruling;
+            if decision.is_some() || self.clock.now() >= give_up {
+                return decision;
             }
         }
         None
@@ -259,13 +264,13 @@
         }
     }
 
-    /// The keeper's ruling; `None` if it did not answer, and is given up.
+    /// The keeper's decision; `None` if it did not answer, and is given up.
     async fn ask_linked(
         &self,
         part: QuotaPart,
         link: &mpsc::Sender<ToKeeper>,
         question: &impl Question,
-    ) -> Option<Ruling> {
+    ) -> Option<ReservationDecision> {
         let state = &self.parts[part.index()];
         let id = state.next_id.get();
         state.next_id.set(id + 1);
@@ -283,7 +288,7 @@
             Err(_) => None,
         };
         match answer {
-            Some(Ok(ruling)) => Some(ruling),
+            Some(Ok(decision)) => Some(decision),
             // The link ended, and its questions with it.
             Some(Err(_)) => None,
             None => {
@@ -302,14 +307,23 @@
         }
     }
 
-    fn verdict(self: &Rc<Self>, part: QuotaPart, ask: &QuotaAsk<'_>, ruling: Ruling) -> QuotaVerdict {
+    fn verdict(
+        self: &Rc<Self>,
+        part: QuotaPart,
+        ask: &QuotaAsk<'_>,
+        decision: ReservationDecision,
+    ) -> QuotaVerdict {
         let is_own = matches!(*self.parts[part.index()].uplink.borrow(), Uplink::Own);
         let is_alone = is_own && !self.parts[part.index()].is_keeper.get();
-        match ruling {
-            Ruling::Granted { after } => QuotaVerdict::Granted(self.granted(part, ask, after), after),
+        match decision {
+            ReservationDecision::Granted { after } => {
+                QuotaVerdict::Granted(self.granted(part, ask, after), after)
+            }
             // Another node may have what this one's small part lacks.
-            Ruling::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
-            Ruling::Refused { again_after, balance } => QuotaVerdict::Beyond { again_after, balance },
+            ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
+            ReservationDecision::Refused { again_after, balance } => {
+                QuotaVerdict::Beyond { again_after, balance }
+            }
         }
     }
 
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::decision::{KeeperConfig, Ruling, Want, MOST_AHEAD};
+use super::decision::{KeeperConfig, ReservationDecision, Want, MOST_AHEAD};
 use super::expected_retries::Returning;
 use crate::tenants::Quota;
 
@@ -156,13 +156,13 @@
     }
 
     /// Decides on a request and charges the account if it is granted.
-    pub(super) fn ask(&mut self, want: Want, bounds: &AccountBounds) -> Ruling {
+    pub(super) fn ask(&mut self, want: Want, bounds: &AccountBounds) -> ReservationDecision {
         let cost = want.cost as f64;
         self.note_asked(&want);
         let ahead = want.patience.min(self.most_ahead(want.is_urgent, bounds));
         let left_to_others = self.returning.most_before(ahead);
         if !want.is_urgent && self.pay_with_kept(cost, left_to_others, bounds) {
-            return Ruling::Granted {
+            return ReservationDecision::Granted {
                 after: Duration::ZERO,
             };
         }
@@ -170,14 +170,14 @@
         let left_to_others = left_to_others.min(self.most_left(cost, bounds));
         if bounds.time_to_gain(missing + left_to_others) <= ahead {
             self.balance -= cost;
-            return Ruling::Granted {
+            return ReservationDecision::Granted {
                 after: bounds.time_to_gain(missing),
             };
         }
         let again_after = bounds.time_to_gain(missing + self.refused);
         self.refused += cost;
         self.returning.note(ahead, cost, again_after);
-        Ruling::Refused {
+        ReservationDecision::Refused {
             again_after,
             balance: self.balance(),
         }
--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -70,7 +70,7 @@
 
 /// A keeper's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ruling {
+pub enum ReservationDecision {
     /// The request may run after this time, when the balance covers its cost.
     Granted {
         /// Zero if the balance covers the cost now.
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::account::{Account, AccountBounds};
-pub use super::decision::{KeeperConfig, Ruling, Want};
+pub use super::decision::{KeeperConfig, ReservationDecision, Want};
 use crate::tenants::{Quota, Tenant};
 use crate::time::Moment;
 
@@ -123,11 +123,11 @@
     /// Decides on a request of a tenant. A request that the balance can pay for within its
     /// patience is granted ahead: a wait of tens of milliseconds serves the caller better than a
     /// refusal, after which it would retry against the same balance.
-    pub fn ask(&mut self, name: &str, want: Want, now: Moment) -> Ruling {
+    pub fn ask(&mut self, name: &str, want: Want, now: Moment) -> ReservationDecision {
         self.settle(now);
         let share = self.share();
         let Some(account) = self.accounts.get_mut(name) else {
-            return Ruling::Granted {
+            return ReservationDecision::Granted {
                 after: Duration::ZERO,
             };
         };
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::decision::Ruling;
+use super::decision::ReservationDecision;
 use crate::replica::{Incarnation, RequestRate, StartedMs};
 use crate::time::Moment;
 
@@ -171,7 +171,7 @@
         self.urgent_asked *= (-elapsed_s / URGENT_MEMORY_S).exp();
     }
 
-    fn ask(&mut self, want: LimitWant, standing: Standing, now: Moment) -> Ruling {
+    fn ask(&mut self, want: LimitWant, standing: Standing, now: Moment) -> ReservationDecision {
         self.asked_at = now;
         if want.is_urgent {
             self.urgent_asked += 1.0;
@@ -184,13 +184,13 @@
             let after = self.urgent.turn_in(urgent_per_s, 0.0);
             if after <= patience && after <= self.usual.turn_in(usual_per_s, 0.0) {
                 self.urgent.balance -= 1.0;
-                return Ruling::Granted { after };
+                return ReservationDecision::Granted { after };
             }
         }
         let after = self.usual.turn_in(usual_per_s, 0.0);
         if after <= patience {
             self.usual.balance -= 1.0;
-            return Ruling::Granted { after };
+            return ReservationDecision::Granted { after };
         }
         let (lane, lane_per_s) = if want.is_urgent {
             (&mut self.urgent, urgent_per_s)
@@ -199,7 +199,7 @@
         };
         let again_after = lane.turn_in(lane_per_s, lane.refused);
         lane.refused += 1.0;
-        Ruling::Refused {
+        ReservationDecision::Refused {
             again_after,
             balance: self.usual.balance + self.urgent.balance,
         }
@@ -252,7 +252,7 @@
         limit: NamedLimit,
         want: LimitWant,
         now: Moment,
-    ) -> Ruling {
+    ) -> ReservationDecision {
         if !self.accounts.contains_key(replica) {
             self.accounts
                 .retain(|_, account| now.since(account.asked_at) < ACCOUNT_MEMORY);
@@ -312,7 +312,7 @@
         unit: f64,
         patience: Duration,
         now: Moment,
-    ) -> Ruling {
+    ) -> ReservationDecision {
         let part_per_s = rate.per_s().max(LEAST_PER_S) / nodes.max(1) as f64;
         let interval = Duration::from_secs_f64(1.0 / part_per_s);
         self.turns.retain(|_, turn| now.since(turn.next) < ACCOUNT_MEMORY);
@@ -330,9 +330,9 @@
         if after > patience.min(MOST_AHEAD) {
             let again_after = after.min(LONGEST_RETURN);
             let balance = 0.0;
-            return Ruling::Refused { again_after, balance };
+            return ReservationDecision::Refused { again_after, balance };
         }
         turn.next = turn.next + interval;
-        Ruling::Granted { after }
+        ReservationDecision::Granted { after }
     }
 }
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::candidacy::Candidate;
-use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, Ruling, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, ReservationDecision, Want};
 use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPart};
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
@@ -56,7 +56,7 @@
 }
 
 fn granted(keeper: &mut QuotaKeeper, cost: u64, now: Moment) -> bool {
-    let at_once = Ruling::Granted {
+    let at_once = ReservationDecision::Granted {
         after: Duration::ZERO,
     };
     keeper.ask("t", want(cost, Duration::ZERO), now) == at_once
@@ -68,8 +68,8 @@
     let mut spent = 0;
     let again_after = loop {
         match keeper.ask("t", want(COST, Duration::ZERO), at(5_000)) {
-            Ruling::Granted { .. } => spent += COST,
-            Ruling::Refused { again_after, .. } => break again_after,
+            ReservationDecision::Granted { .. } => spent += COST,
+            ReservationDecision::Refused { again_after, .. } => break again_after,
         }
     };
     assert!(spent as f64 <= QUOTA.burst + CONFIG.debt());
@@ -86,8 +86,8 @@
     let mut times = Vec::new();
     for _ in 0..5 {
         match keeper.ask("t", want(COST, Duration::ZERO), at(5_000)) {
-            Ruling::Refused { again_after, .. } => times.push(again_after),
-            Ruling::Granted { .. } => panic!("granted beyond the quota"),
+            ReservationDecision::Refused { again_after, .. } => times.push(again_after),
+            ReservationDecision::Granted { .. } => panic!("granted beyond the quota"),
         }
     }
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]));
@@ -131,8 +131,8 @@
         let requests = if millis < 500 { 2 } else { 1 };
         for _ in 0..requests {
             match keeper.ask("t", want(COST, Duration::from_millis(1_200)), at(millis)) {
-                Ruling::Granted { after } => longest = longest.max(after),
-                Ruling::Refused { .. } => panic!("refused at {millis} ms"),
+                ReservationDecision::Granted { after } => longest = longest.max(after),
+                ReservationDecision::Refused { .. } => panic!("refused at {millis} ms"),
             }
         }
     }
@@ -148,13 +148,17 @@
     let (mut patient, mut hasty) = (0, 0);
     for millis in (5_000..13_000).step_by(20) {
         let now = at(millis);
-        if let Ruling::Granted { after } = keeper.ask("t", want(COST, Duration::from_millis(1_200)), now) {
+        if let ReservationDecision::Granted { after } =
+            keeper.ask("t", want(COST, Duration::from_millis(1_200)), now)
+        {
             patient += 1;
             let runs_at = Duration::from_millis(millis) + after;
             assert!(runs_at >= granted_until, "granted out of order");
             granted_until = runs_at;
         }
-        if let Ruling::Granted { .. } = keeper.ask("t", want(COST, Duration::from_millis(120)), now) {
+        if let ReservationDecision::Granted { .. } =
+            keeper.ask("t", want(COST, Duration::from_millis(120)), now)
+        {
             hasty += 1;
         }
     }
@@ -189,7 +193,7 @@
     let patience = Duration::from_millis(1_200);
     let mut old = full(84);
     let mut ahead = 0;
-    while let Ruling::Granted { after } = old.ask("t", want(COST, patience), at(5_000)) {
+    while let ReservationDecision::Granted { after } = old.ask("t", want(COST, patience), at(5_000)) {
         ahead += if after.is_zero() { 0 } else { COST };
     }
     let mut new = keeper(at(5_000));
@@ -219,7 +223,10 @@
         let now = at(millis);
         if millis % 50 == 0 {
             let review = want(COST, Duration::from_millis(1_200));
-            reviews += usize::from(matches!(keeper.ask("t", review, now), Ruling::Granted { .. }));
+            reviews += usize::from(matches!(
+                keeper.ask("t", review, now),
+                ReservationDecision::Granted { .. }
+            ));
         }
         if millis % 90 == 0 {
             let question = Want {
@@ -227,7 +234,10 @@
                 ..want(1_050, Duration::from_millis(200))
             };
             questions += 1;
-            passed += usize::from(matches!(keeper.ask("t", question, now), Ruling::Granted { .. }));
+            passed += usize::from(matches!(
+                keeper.ask("t", question, now),
+                ReservationDecision::Granted { .. }
+            ));
         }
     }
     assert!(passed * 10 >= questions * 9, "{passed} of {questions}");
@@ -261,11 +271,16 @@
     }
     let mut told = Duration::ZERO;
     for millis in (14_000..18_000).step_by(20) {
-        let ruling = keeper.ask("t", want(120, Duration::ZERO), at(millis));
-        assert!(matches!(ruling, Ruling::Granted { .. }), "at {millis} ms");
+        let decision = keeper.ask("t", want(120, Duration::ZERO), at(millis));
+        assert!(
+            matches!(decision, ReservationDecision::Granted { .. }),
+            "at {millis} ms"
+        );
     }
-    while let Ruling::Granted { .. } = keeper.ask("t", want(COST, Duration::ZERO), at(18_000)) {}
-    if let Ruling::Refused { again_after, .. } = keeper.ask("t", want(COST, Duration::ZERO), at(18_000)) {
+    while let ReservationDecision::Granted { .. } = keeper.ask("t", want(COST, Duration::ZERO), at(18_000)) {}
+    if let ReservationDecision::Refused { again_after, .. } =
+        keeper.ask("t", want(COST, Duration::ZERO), at(18_000))
+    {
         told = again_after;
     }
     // Two such requests at 0.9 of the income of 32,900 units per second.
@@ -476,7 +491,7 @@
     fn ask_all(&mut self, want: Want, now: u64) {
         for node in 0..NODES {
             let keeper = &mut self.keepers[self.choice[node]];
-            if let Ruling::Granted { after } = keeper.ask("t", want, at(now)) {
+            if let ReservationDecision::Granted { after } = keeper.ask("t", want, at(now)) {
                 let runs_at = now + after.as_millis() as u64;
                 self.grants.push((runs_at, want.cost));
                 self.ahead.push((node, want.cost, runs_at));
@@ -609,7 +624,7 @@
                     continue;
                 }
                 let want = Want { cost: *cost, patience: Duration::from_millis(*patience_ms), is_urgent: *is_urgent };
-                if let Ruling::Granted { after } = keeper.ask("t", want, at(now)) {
+                if let ReservationDecision::Granted { after } = keeper.ask("t", want, at(now)) {
                     runs.push((now, now + after.as_micros().div_ceil(1000) as u64, *cost));
                 }
             }
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, Ruling, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, ReservationDecision, Want};
 use croftrill_scheduler::quota::reservation::{patience, AheadLimits, TurnWait};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
@@ -118,12 +118,12 @@
             is_urgent: Some(kind.rank) == most_urgent,
         };
         match keeper.ask("t", want, now) {
-            Ruling::Granted { after } => {
+            ReservationDecision::Granted { after } => {
                 outcome.granted += 1;
                 outcome.longest_wait = outcome.longest_wait.max((now + after).since(request.came_at));
                 play.runs.push((now + after, kind.cost));
             }
-            Ruling::Refused { again_after, .. } => match request.wait.pause(again_after, now) {
+            ReservationDecision::Refused { again_after, .. } => match request.wait.pause(again_after, now) {
                 Some(pause) => {
                     queue.insert((now + pause, number), request);
                     number += 1;
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keeper::Ruling;
+use croftrill_scheduler::quota::keeper::ReservationDecision;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
@@ -176,8 +176,8 @@
     }
 }
 
-fn is_granted(ruling: Ruling) -> bool {
-    matches!(ruling, Ruling::Granted { .. })
+fn is_granted(decision: ReservationDecision) -> bool {
+    matches!(decision, ReservationDecision::Granted { .. })
 }
 
 /// Returns the number of calls granted when one is requested every 10 ms.
@@ -248,8 +248,8 @@
     let mut times = Vec::new();
     for _ in 0..5 {
         match keeper.ask(&replica(), None, limit, want(0, false), at(0)) {
-            Ruling::Refused { again_after, .. } => times.push(again_after),
-            Ruling::Granted { .. } => panic!("granted without savings"),
+            ReservationDecision::Refused { again_after, .. } => times.push(again_after),
+            ReservationDecision::Granted { .. } => panic!("granted without savings"),
         }
     }
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
@@ -293,8 +293,8 @@
         for (index, turns) in nodes.iter_mut().enumerate() {
             let unit = index as f64 / NODES as f64;
             let patience = Duration::from_millis(500);
-            let ruling = turns.ask(&name, rate(1.0), NODES, unit, patience, at(now));
-            granted += usize::from(is_granted(ruling));
+            let decision = turns.ask(&name, rate(1.0), NODES, unit, patience, at(now));
+            granted += usize::from(is_granted(decision));
         }
     }
     assert!(granted <= 2, "{granted}");
