--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
+use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use rand::rngs::SmallRng;
@@ -193,7 +193,7 @@
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitWant,
+        want: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
         match self.run.way {
@@ -209,7 +209,7 @@
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitWant,
+        want: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
         self.settle_keepers(now);
@@ -224,19 +224,19 @@
             Ruler::Nobody => return None,
         };
         self.questions += 1;
-        granted(keeper.ask(&self.replica, None, limit, want, at(now)))
+        granted(keeper.reserve(&self.replica, None, limit, want, at(now)))
     }
 
     fn own_turn(
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitWant,
+        want: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
         let (rate, nodes, unit) = (rate(self.run.limit_per_s), self.run.nodes, random.random());
         let turns = &mut self.lone[node];
-        granted(turns.ask(&self.replica, rate, nodes, unit, want.patience, at(now)))
+        granted(turns.reserve(&self.replica, rate, nodes, unit, want.patience, at(now)))
     }
 
     /// A request of what a node saved up as one of so many.
@@ -283,7 +283,7 @@
             break;
         }
         let node = random.random_range(0..run.nodes);
-        let want = LimitWant {
+        let want = LimitRequest {
             patience: Duration::from_millis(random.random_range(0..PATIENCE_MS)),
             is_urgent: random.random_bool(URGENT_PART),
         };
--- a/crates/croftrill-node/src/orderer_task/limited.rs
+++ b/crates/croftrill-node/src/orderer_task/limited.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::limits::{LimitWant, LEAST_PER_S};
+use croftrill_scheduler::quota::limits::{LimitRequest, LEAST_PER_S};
 use croftrill_scheduler::replica::ReplicaId;
 use croftrill_scheduler::time::Moment;
 
@@ -66,7 +66,7 @@
     patience: Duration,
     is_urgent: bool,
 ) -> ControlTurn {
-    let want = LimitWant { patience, is_urgent };
+    let want = LimitRequest { patience, is_urgent };
     let Some(turn) = replica_turn::ask(node, replica, call, want).await else {
         return ControlTurn::Taken(None);
     };
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -6,7 +6,7 @@
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
 use croftrill_scheduler::quota::keepers::QuotaPart;
-use croftrill_scheduler::quota::limits::{LimitWant, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitRequest, NamedLimit};
 use croftrill_scheduler::replica::StartedMs;
 use croftrill_scheduler::time::Moment;
 use rand::Rng;
@@ -29,7 +29,7 @@
     /// The limit as this node heard it.
     pub limit: NamedLimit,
     /// What the call wants.
-    pub want: LimitWant,
+    pub want: LimitRequest,
     /// Number of nodes that are listed.
     pub nodes: usize,
 }
@@ -72,7 +72,7 @@
         let PartKeeper::Limits(keeper) = keeper else {
             return None;
         };
-        Some(keeper.ask(self.replica, self.started_ms, self.limit, self.want, now))
+        Some(keeper.reserve(self.replica, self.started_ms, self.limit, self.want, now))
     }
 }
 
@@ -112,7 +112,7 @@
         let unit = rand::rng().random_range(0.0..1.0);
         let mut turns = self.lone_turns.borrow_mut();
         let now = self.clock.now();
-        match turns.ask(
+        match turns.reserve(
             ask.replica,
             ask.limit.rate,
             ask.nodes,
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use croftrill_scheduler::quota::keeper::{QuotaKeeper, ReservationDecision, Want};
+use croftrill_scheduler::quota::keeper::{QuotaKeeper, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPart;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, NamedLimit};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
@@ -326,18 +326,18 @@
 }
 
 fn rule_on_quota(keeper: &mut QuotaKeeper, ask: WireAsk, now: Moment) -> ReservationDecision {
-    let want = Want {
+    let want = QuotaRequest {
         cost: ask.cost,
         patience: Duration::from_millis(u64::from(ask.patience_ms)),
         is_urgent: ask.is_urgent,
     };
     let tenant = ask.tenant.as_str();
     keeper.learn(&tenant.into(), ask.quota.to_quota(), ask.version, now);
-    keeper.ask(tenant, want, now)
+    keeper.reserve(tenant, want, now)
 }
 
 fn rule_on_limit(keeper: &mut LimitKeeper, ask: &WireLimitAsk, now: Moment) -> ReservationDecision {
-    let want = LimitWant {
+    let want = LimitRequest {
         patience: Duration::from_millis(u64::from(ask.patience_ms)),
         is_urgent: ask.is_urgent,
     };
@@ -345,7 +345,7 @@
         rate: RequestRate::from_millis_per_s(ask.limit_millis_per_s),
         heard_at: now - Duration::from_millis(ask.heard_ms_ago),
     };
-    keeper.ask(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
+    keeper.reserve(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
 }
 
 /// Counts a node as a listener of this one's keeper while it lives.
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::catalog::Configuration;
-use croftrill_scheduler::quota::keeper::{KeeperConfig, ReservationDecision, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPart;
 use croftrill_scheduler::quota::limits::{LoneTurns, Standing};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
@@ -64,7 +64,7 @@
     /// Version of the configuration that tells it.
     pub version: u64,
     /// What it wants.
-    pub want: Want,
+    pub want: QuotaRequest,
 }
 
 impl Question for QuotaAsk<'_> {
@@ -93,7 +93,7 @@
             return None;
         };
         keeper.learn(self.tenant, self.quota, self.version, now);
-        Some(keeper.ask(self.tenant, self.want, now))
+        Some(keeper.reserve(self.tenant, self.want, now))
     }
 }
 
--- a/crates/croftrill-node/src/replica_turn.rs
+++ b/crates/croftrill-node/src/replica_turn.rs
@@ -1,6 +1,6 @@
 //! Asks whether a call may go to a replica that named a limit.
 
-use croftrill_scheduler::quota::limits::{LimitWant, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitRequest, NamedLimit};
 use croftrill_scheduler::replica::ReplicaId;
 
 use crate::metrics::Metrics;
@@ -20,7 +20,7 @@
     node: &Node<P>,
     replica: &ReplicaId,
     call: &'static str,
-    want: LimitWant,
+    want: LimitRequest,
 ) -> Option<Turn> {
     let (known, nodes) = {
         let state = node.state.borrow();
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use croftrill_scheduler::catalog::{Configuration, Route};
-use croftrill_scheduler::quota::keeper::Want;
+use croftrill_scheduler::quota::keeper::QuotaRequest;
 use croftrill_scheduler::quota::reservation::{patience, TurnWait};
 use croftrill_scheduler::time::Moment;
 use http::header::{self, HeaderMap, HeaderValue};
@@ -167,7 +167,7 @@
         tenant: &tenant.name,
         quota,
         version: configuration.version,
-        want: Want {
+        want: QuotaRequest {
             cost: quota.unit.cost(facts.metered_tokens),
             patience: wait.ahead(asked_at),
             is_urgent: configuration.tenants.is_most_urgent(route.priority),
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::admission::{decide_resting, retry_after_cooldown, ColdDecision, ColdRequest};
-use croftrill_scheduler::quota::limits::LimitWant;
+use croftrill_scheduler::quota::limits::LimitRequest;
 use croftrill_scheduler::replica::ReplicaId;
 use croftrill_scheduler::time::Moment;
 
@@ -29,7 +29,7 @@
     /// streams that go on. A replica that named no limit costs nothing.
     pub(super) async fn take_turn(&mut self, replica: &ReplicaId) -> bool {
         self.turn = None;
-        let want = LimitWant {
+        let want = LimitRequest {
             patience: self.turn_patience(),
             is_urgent: self
                 .configuration
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::decision::{KeeperConfig, ReservationDecision, Want, MOST_AHEAD};
+use super::decision::{KeeperConfig, QuotaRequest, ReservationDecision, MOST_AHEAD};
 use super::expected_retries::Returning;
 use crate::tenants::Quota;
 
@@ -156,12 +156,12 @@
     }
 
     /// Decides on a request and charges the account if it is granted.
-    pub(super) fn ask(&mut self, want: Want, bounds: &AccountBounds) -> ReservationDecision {
-        let cost = want.cost as f64;
-        self.note_asked(&want);
-        let ahead = want.patience.min(self.most_ahead(want.is_urgent, bounds));
+    pub(super) fn reserve(&mut self, request: QuotaRequest, bounds: &AccountBounds) -> ReservationDecision {
+        let cost = request.cost as f64;
+        self.note_asked(&request);
+        let ahead = request.patience.min(self.most_ahead(request.is_urgent, bounds));
         let left_to_others = self.returning.most_before(ahead);
-        if !want.is_urgent && self.pay_with_kept(cost, left_to_others, bounds) {
+        if !request.is_urgent && self.pay_with_kept(cost, left_to_others, bounds) {
             return ReservationDecision::Granted {
                 after: Duration::ZERO,
             };
@@ -184,13 +184,13 @@
     }
 
     /// Updates the averages with a request, whether or not it is granted.
-    fn note_asked(&mut self, want: &Want) {
-        self.mean_cost += (want.cost as f64 - self.mean_cost) / MEAN_OVER;
-        if !want.is_urgent {
+    fn note_asked(&mut self, request: &QuotaRequest) {
+        self.mean_cost += (request.cost as f64 - self.mean_cost) / MEAN_OVER;
+        if !request.is_urgent {
             self.since_others = Some(Duration::ZERO);
             return;
         }
-        let patience_s = want.patience.min(MOST_AHEAD).as_secs_f64();
+        let patience_s = request.patience.min(MOST_AHEAD).as_secs_f64();
         let mean_s = self.urgent_patience_s.get_or_insert(patience_s);
         *mean_s += (patience_s - *mean_s) / MEAN_OVER;
     }
--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -59,7 +59,7 @@
 
 /// A request for units of a tenant's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Want {
+pub struct QuotaRequest {
     /// Cost in units.
     pub cost: u64,
     /// Time for which the request may be granted ahead; one that can wait longer retries.
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::account::{Account, AccountBounds};
-pub use super::decision::{KeeperConfig, ReservationDecision, Want};
+pub use super::decision::{KeeperConfig, QuotaRequest, ReservationDecision};
 use crate::tenants::{Quota, Tenant};
 use crate::time::Moment;
 
@@ -123,7 +123,7 @@
     /// Decides on a request of a tenant. A request that the balance can pay for within its
     /// patience is granted ahead: a wait of tens of milliseconds serves the caller better than a
     /// refusal, after which it would retry against the same balance.
-    pub fn ask(&mut self, name: &str, want: Want, now: Moment) -> ReservationDecision {
+    pub fn reserve(&mut self, name: &str, request: QuotaRequest, now: Moment) -> ReservationDecision {
         self.settle(now);
         let share = self.share();
         let Some(account) = self.accounts.get_mut(name) else {
@@ -132,7 +132,7 @@
             };
         };
         let bounds = AccountBounds::new(&self.config, &account.quota, share);
-        account.ask(want, &bounds)
+        account.reserve(request, &bounds)
     }
 
     /// Charges units that another keeper granted ahead to a listener that has moved here, since
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -56,7 +56,7 @@
 
 /// A request to send one call to a replica that has a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LimitWant {
+pub struct LimitRequest {
     /// Time that the call can wait for its reservation.
     pub patience: Duration,
     /// True if no other calls are more urgent.
@@ -171,16 +171,16 @@
         self.urgent_asked *= (-elapsed_s / URGENT_MEMORY_S).exp();
     }
 
-    fn ask(&mut self, want: LimitWant, standing: Standing, now: Moment) -> ReservationDecision {
+    fn reserve(&mut self, request: LimitRequest, standing: Standing, now: Moment) -> ReservationDecision {
         self.asked_at = now;
-        if want.is_urgent {
+        if request.is_urgent {
             self.urgent_asked += 1.0;
         }
         let gain_per_s = self.gain_per_s(standing);
         let urgent_per_s = gain_per_s * self.urgent_part(gain_per_s);
         let usual_per_s = gain_per_s - urgent_per_s;
-        let patience = want.patience.min(MOST_AHEAD);
-        if want.is_urgent {
+        let patience = request.patience.min(MOST_AHEAD);
+        if request.is_urgent {
             let after = self.urgent.turn_in(urgent_per_s, 0.0);
             if after <= patience && after <= self.usual.turn_in(usual_per_s, 0.0) {
                 self.urgent.balance -= 1.0;
@@ -192,7 +192,7 @@
             self.usual.balance -= 1.0;
             return ReservationDecision::Granted { after };
         }
-        let (lane, lane_per_s) = if want.is_urgent {
+        let (lane, lane_per_s) = if request.is_urgent {
             (&mut self.urgent, urgent_per_s)
         } else {
             (&mut self.usual, usual_per_s)
@@ -245,12 +245,12 @@
 
     /// Decides on a call to a replica. `limit` is the limit that the calling node received from
     /// the incarnation started at `started_ms`.
-    pub fn ask(
+    pub fn reserve(
         &mut self,
         replica: &Arc<str>,
         started_ms: Option<StartedMs>,
         limit: NamedLimit,
-        want: LimitWant,
+        request: LimitRequest,
         now: Moment,
     ) -> ReservationDecision {
         if !self.accounts.contains_key(replica) {
@@ -261,7 +261,7 @@
         let account = account.or_insert_with(|| Account::new(started_ms, limit, now));
         account.settle(self.standing, now);
         account.learn(started_ms, limit);
-        account.ask(want, self.standing, now)
+        account.reserve(request, self.standing, now)
     }
 
     /// Charges calls that another keeper granted and that are still to be sent.
@@ -304,7 +304,7 @@
 impl LoneTurns {
     /// Decides on a call to a replica with this limit, shared evenly by `nodes` nodes. `unit` is
     /// drawn uniformly from 0 to 1.
-    pub fn ask(
+    pub fn reserve(
         &mut self,
         replica: &Arc<str>,
         rate: RequestRate,
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::candidacy::Candidate;
-use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, ReservationDecision, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPart};
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
@@ -47,8 +47,8 @@
     keeper
 }
 
-fn want(cost: u64, patience: Duration) -> Want {
-    Want {
+fn request(cost: u64, patience: Duration) -> QuotaRequest {
+    QuotaRequest {
         cost,
         patience,
         is_urgent: false,
@@ -59,7 +59,7 @@
     let at_once = ReservationDecision::Granted {
         after: Duration::ZERO,
     };
-    keeper.ask("t", want(cost, Duration::ZERO), now) == at_once
+    keeper.reserve("t", request(cost, Duration::ZERO), now) == at_once
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut keeper = full(84);
     let mut spent = 0;
     let again_after = loop {
-        match keeper.ask("t", want(COST, Duration::ZERO), at(5_000)) {
+        match keeper.reserve("t", request(COST, Duration::ZERO), at(5_000)) {
             ReservationDecision::Granted { .. } => spent += COST,
             ReservationDecision::Refused { again_after, .. } => break again_after,
         }
@@ -85,7 +85,7 @@
     while granted(&mut keeper, COST, at(5_000)) {}
     let mut times = Vec::new();
     for _ in 0..5 {
-        match keeper.ask("t", want(COST, Duration::ZERO), at(5_000)) {
+        match keeper.reserve("t", request(COST, Duration::ZERO), at(5_000)) {
             ReservationDecision::Refused { again_after, .. } => times.push(again_after),
             ReservationDecision::Granted { .. } => panic!("granted beyond the quota"),
         }
@@ -130,7 +130,7 @@
         // Twice the usual demand in the first half second.
         let requests = if millis < 500 { 2 } else { 1 };
         for _ in 0..requests {
-            match keeper.ask("t", want(COST, Duration::from_millis(1_200)), at(millis)) {
+            match keeper.reserve("t", request(COST, Duration::from_millis(1_200)), at(millis)) {
                 ReservationDecision::Granted { after } => longest = longest.max(after),
                 ReservationDecision::Refused { .. } => panic!("refused at {millis} ms"),
             }
@@ -149,7 +149,7 @@
     for millis in (5_000..13_000).step_by(20) {
         let now = at(millis);
         if let ReservationDecision::Granted { after } =
-            keeper.ask("t", want(COST, Duration::from_millis(1_200)), now)
+            keeper.reserve("t", request(COST, Duration::from_millis(1_200)), now)
         {
             patient += 1;
             let runs_at = Duration::from_millis(millis) + after;
@@ -157,7 +157,7 @@
             granted_until = runs_at;
         }
         if let ReservationDecision::Granted { .. } =
-            keeper.ask("t", want(COST, Duration::from_millis(120)), now)
+            keeper.reserve("t", request(COST, Duration::from_millis(120)), now)
         {
             hasty += 1;
         }
@@ -176,7 +176,7 @@
         let now = at(millis);
         // 60 reviews per second and 8 alerts per second: 1,600 tokens of 29,000.
         if millis % 16 == 0 {
-            keeper.ask("t", want(COST, Duration::from_millis(1_200)), now);
+            keeper.reserve("t", request(COST, Duration::from_millis(1_200)), now);
         }
         if millis % 125 == 0 {
             alerts += 1;
@@ -193,7 +193,7 @@
     let patience = Duration::from_millis(1_200);
     let mut old = full(84);
     let mut ahead = 0;
-    while let ReservationDecision::Granted { after } = old.ask("t", want(COST, patience), at(5_000)) {
+    while let ReservationDecision::Granted { after } = old.reserve("t", request(COST, patience), at(5_000)) {
         ahead += if after.is_zero() { 0 } else { COST };
     }
     let mut new = keeper(at(5_000));
@@ -222,20 +222,20 @@
     for millis in 5_000..15_000 {
         let now = at(millis);
         if millis % 50 == 0 {
-            let review = want(COST, Duration::from_millis(1_200));
+            let review = request(COST, Duration::from_millis(1_200));
             reviews += usize::from(matches!(
-                keeper.ask("t", review, now),
+                keeper.reserve("t", review, now),
                 ReservationDecision::Granted { .. }
             ));
         }
         if millis % 90 == 0 {
-            let question = Want {
+            let question = QuotaRequest {
                 is_urgent: true,
-                ..want(1_050, Duration::from_millis(200))
+                ..request(1_050, Duration::from_millis(200))
             };
             questions += 1;
             passed += usize::from(matches!(
-                keeper.ask("t", question, now),
+                keeper.reserve("t", question, now),
                 ReservationDecision::Granted { .. }
             ));
         }
@@ -266,20 +266,22 @@
     let mut keeper = full(84);
     for millis in 5_000..11_000 {
         if millis % 52 == 0 {
-            keeper.ask("t", want(COST, Duration::ZERO), at(millis));
+            keeper.reserve("t", request(COST, Duration::ZERO), at(millis));
         }
     }
     let mut told = Duration::ZERO;
     for millis in (14_000..18_000).step_by(20) {
-        let decision = keeper.ask("t", want(120, Duration::ZERO), at(millis));
+        let decision = keeper.reserve("t", request(120, Duration::ZERO), at(millis));
         assert!(
             matches!(decision, ReservationDecision::Granted { .. }),
             "at {millis} ms"
         );
     }
-    while let ReservationDecision::Granted { .. } = keeper.ask("t", want(COST, Duration::ZERO), at(18_000)) {}
+    while let ReservationDecision::Granted { .. } =
+        keeper.reserve("t", request(COST, Duration::ZERO), at(18_000))
+    {}
     if let ReservationDecision::Refused { again_after, .. } =
-        keeper.ask("t", want(COST, Duration::ZERO), at(18_000))
+        keeper.reserve("t", request(COST, Duration::ZERO), at(18_000))
     {
         told = again_after;
     }
@@ -488,13 +490,13 @@
         }
     }
 
-    fn ask_all(&mut self, want: Want, now: u64) {
+    fn reserve_all(&mut self, request: QuotaRequest, now: u64) {
         for node in 0..NODES {
             let keeper = &mut self.keepers[self.choice[node]];
-            if let ReservationDecision::Granted { after } = keeper.ask("t", want, at(now)) {
+            if let ReservationDecision::Granted { after } = keeper.reserve("t", request, at(now)) {
                 let runs_at = now + after.as_millis() as u64;
-                self.grants.push((runs_at, want.cost));
-                self.ahead.push((node, want.cost, runs_at));
+                self.grants.push((runs_at, request.cost));
+                self.ahead.push((node, request.cost, runs_at));
             }
         }
     }
@@ -534,10 +536,10 @@
                 fleet.strike(fault, now);
             }
             fleet.count(now);
-            fleet.ask_all(want(cost, patience), now);
+            fleet.reserve_all(request(cost, patience), now);
             if let Some(cost) = urgent_cost {
-                let urgent = Want { is_urgent: true, ..want(cost, Duration::from_millis(240)) };
-                fleet.ask_all(urgent, now);
+                let urgent = QuotaRequest { is_urgent: true, ..request(cost, Duration::from_millis(240)) };
+                fleet.reserve_all(urgent, now);
             }
         }
         let window = WINDOW.as_millis() as u64;
@@ -623,8 +625,8 @@
                 if now % gap_ms != 0 {
                     continue;
                 }
-                let want = Want { cost: *cost, patience: Duration::from_millis(*patience_ms), is_urgent: *is_urgent };
-                if let ReservationDecision::Granted { after } = keeper.ask("t", want, at(now)) {
+                let request = QuotaRequest { cost: *cost, patience: Duration::from_millis(*patience_ms), is_urgent: *is_urgent };
+                if let ReservationDecision::Granted { after } = keeper.reserve("t", request, at(now)) {
                     runs.push((now, now + after.as_micros().div_ceil(1000) as u64, *cost));
                 }
             }
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, ReservationDecision, Want};
+use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::reservation::{patience, AheadLimits, TurnWait};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
@@ -112,12 +112,12 @@
         request.asks += 1;
         outcome.asked += u64::from(request.asks == 1);
         outcome.most_asks = outcome.most_asks.max(request.asks);
-        let want = Want {
+        let quota_request = QuotaRequest {
             cost: kind.cost,
             patience: request.wait.ahead(now),
             is_urgent: Some(kind.rank) == most_urgent,
         };
-        match keeper.ask("t", want, now) {
+        match keeper.reserve("t", quota_request, now) {
             ReservationDecision::Granted { after } => {
                 outcome.granted += 1;
                 outcome.longest_wait = outcome.longest_wait.max((now + after).since(request.came_at));
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitWant, LoneTurns, NamedLimit, Standing};
+use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, LoneTurns, NamedLimit, Standing};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
 };
@@ -169,8 +169,8 @@
     }
 }
 
-fn want(patience_ms: u64, is_urgent: bool) -> LimitWant {
-    LimitWant {
+fn request(patience_ms: u64, is_urgent: bool) -> LimitRequest {
+    LimitRequest {
         patience: Duration::from_millis(patience_ms),
         is_urgent,
     }
@@ -184,19 +184,19 @@
 fn granted_of(
     keeper: &mut LimitKeeper,
     limit: NamedLimit,
-    want: LimitWant,
+    request: LimitRequest,
     millis: std::ops::Range<u64>,
 ) -> usize {
     let asked = millis.step_by(10);
     asked
-        .filter(|now| is_granted(keeper.ask(&replica(), None, limit, want, at(*now))))
+        .filter(|now| is_granted(keeper.reserve(&replica(), None, limit, request, at(*now))))
         .count()
 }
 
 #[test]
 fn ask_of_none_a_second_is_granted_once_in_four_seconds() {
     let mut keeper = keeper(Standing::First);
-    let granted = granted_of(&mut keeper, named(0.0, 0), want(0, true), 0..40_000);
+    let granted = granted_of(&mut keeper, named(0.0, 0), request(0, true), 0..40_000);
     // Some call has to discover that the overload is over.
     assert!((5..=11).contains(&granted), "{granted}");
 }
@@ -205,11 +205,16 @@
 fn ask_goes_by_the_newest_limit_that_any_node_heard() {
     let mut keeper = keeper(Standing::First);
     let older = named(50.0, 0);
-    granted_of(&mut keeper, named(1.0, 100), want(0, false), 1_000..2_000);
-    let granted = granted_of(&mut keeper, older, want(0, false), 2_000..12_000);
+    granted_of(&mut keeper, named(1.0, 100), request(0, false), 1_000..2_000);
+    let granted = granted_of(&mut keeper, older, request(0, false), 2_000..12_000);
     assert!(granted <= 12, "{granted}");
-    granted_of(&mut keeper, named(50.0, 12_000), want(0, false), 12_000..13_000);
-    let raised = granted_of(&mut keeper, older, want(0, false), 13_000..15_000);
+    granted_of(
+        &mut keeper,
+        named(50.0, 12_000),
+        request(0, false),
+        12_000..13_000,
+    );
+    let raised = granted_of(&mut keeper, older, request(0, false), 13_000..15_000);
     assert!(raised >= 80, "{raised}");
 }
 
@@ -219,19 +224,19 @@
     let limit = named(2.0, 0);
     let (mut urgent, mut usual) = (0, 0);
     for now in (0..60_000).step_by(100) {
-        usual += usize::from(is_granted(keeper.ask(
+        usual += usize::from(is_granted(keeper.reserve(
             &replica(),
             None,
             limit,
-            want(400, false),
+            request(400, false),
             at(now),
         )));
         if now % 1_000 == 500 {
-            urgent += usize::from(is_granted(keeper.ask(
+            urgent += usize::from(is_granted(keeper.reserve(
                 &replica(),
                 None,
                 limit,
-                want(400, true),
+                request(400, true),
                 at(now),
             )));
         }
@@ -247,7 +252,7 @@
     let limit = named(1.0, 0);
     let mut times = Vec::new();
     for _ in 0..5 {
-        match keeper.ask(&replica(), None, limit, want(0, false), at(0)) {
+        match keeper.reserve(&replica(), None, limit, request(0, false), at(0)) {
             ReservationDecision::Refused { again_after, .. } => times.push(again_after),
             ReservationDecision::Granted { .. } => panic!("granted without savings"),
         }
@@ -256,7 +261,7 @@
     for time in times {
         let then = at(0) + time + Duration::from_millis(1);
         assert!(
-            is_granted(keeper.ask(&replica(), None, limit, want(0, false), then)),
+            is_granted(keeper.reserve(&replica(), None, limit, request(0, false), then)),
             "{time:?}"
         );
     }
@@ -265,7 +270,7 @@
 #[test]
 fn ask_of_a_second_keeper_is_ruled_on_a_quarter() {
     let mut keeper = keeper(Standing::Second);
-    let granted = granted_of(&mut keeper, named(10.0, 0), want(0, false), 0..20_000);
+    let granted = granted_of(&mut keeper, named(10.0, 0), request(0, false), 0..20_000);
     assert!((40..=52).contains(&granted), "{granted}");
 }
 
@@ -273,12 +278,13 @@
 fn give_back_of_a_turn_that_was_not_used_serves_another_call() {
     let mut keeper = keeper(Standing::First);
     let limit = named(1.0, 0);
-    let ask = |keeper: &mut LimitKeeper, now| keeper.ask(&replica(), None, limit, want(0, false), at(now));
-    ask(&mut keeper, 0);
-    assert!(is_granted(ask(&mut keeper, 2_000)));
-    assert!(!is_granted(ask(&mut keeper, 2_001)));
+    let reserve =
+        |keeper: &mut LimitKeeper, now| keeper.reserve(&replica(), None, limit, request(0, false), at(now));
+    reserve(&mut keeper, 0);
+    assert!(is_granted(reserve(&mut keeper, 2_000)));
+    assert!(!is_granted(reserve(&mut keeper, 2_001)));
     keeper.give_back("r1", at(2_002));
-    assert!(is_granted(ask(&mut keeper, 2_003)));
+    assert!(is_granted(reserve(&mut keeper, 2_003)));
 }
 
 /// Nodes that are standalone for long save up nothing: together they send what the limit allows.
@@ -293,7 +299,7 @@
         for (index, turns) in nodes.iter_mut().enumerate() {
             let unit = index as f64 / NODES as f64;
             let patience = Duration::from_millis(500);
-            let decision = turns.ask(&name, rate(1.0), NODES, unit, patience, at(now));
+            let decision = turns.reserve(&name, rate(1.0), NODES, unit, patience, at(now));
             granted += usize::from(is_granted(decision));
         }
     }
