--- a/crates/croftrill-node/src/orderer_task/limited.rs
+++ b/crates/croftrill-node/src/orderer_task/limited.rs
@@ -75,9 +75,9 @@
             node.clock.sleep_until(node.clock.now() + after).await;
             ControlTurn::Taken(credit)
         }
-        LimitVerdict::Refused { again_after } => {
+        LimitVerdict::Refused { retry_after } => {
             tracing::info!(target: "limit", call, replica = &**replica, outcome = "refused",
-                limit_per_s = turn.limit.rate.per_s(), again_after_ms = again_after.as_millis() as u64);
+                limit_per_s = turn.limit.rate.per_s(), again_after_ms = retry_after.as_millis() as u64);
             ControlTurn::Refused
         }
     }
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -43,7 +43,7 @@
     /// The replica takes no more now.
     Refused {
         /// Time until it would be this call's turn, of all nodes' calls.
-        again_after: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -98,7 +98,7 @@
             ReservationDecision::Granted { after } => {
                 LimitVerdict::Granted(Some(self.granted(part, &ask, after)), after)
             }
-            ReservationDecision::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
+            ReservationDecision::Refused { retry_after, .. } => LimitVerdict::Refused { retry_after },
         }
     }
 
@@ -121,7 +121,7 @@
             now,
         ) {
             ReservationDecision::Granted { after } => LimitVerdict::Granted(None, after),
-            ReservationDecision::Refused { again_after, .. } => LimitVerdict::Refused { again_after },
+            ReservationDecision::Refused { retry_after, .. } => LimitVerdict::Refused { retry_after },
         }
     }
 
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -263,8 +263,8 @@
             again_after_ms,
             balance,
         } => {
-            let again_after = Duration::from_millis(u64::from(again_after_ms));
-            (id, ReservationDecision::Refused { again_after, balance })
+            let retry_after = Duration::from_millis(u64::from(again_after_ms));
+            (id, ReservationDecision::Refused { retry_after, balance })
         }
     };
     let asked = quotas.parts[part.index()].asked.borrow_mut().remove(&id);
@@ -317,9 +317,9 @@
             // Rounded up: by then the balance has surely paid.
             after_ms: after.as_micros().div_ceil(1000) as u32,
         },
-        ReservationDecision::Refused { again_after, balance } => FromKeeper::Refused {
+        ReservationDecision::Refused { retry_after, balance } => FromKeeper::Refused {
             id,
-            again_after_ms: again_after.as_millis() as u32 + 1,
+            again_after_ms: retry_after.as_millis() as u32 + 1,
             balance,
         },
     }))
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -105,7 +105,7 @@
     /// It is beyond the tenant's quota.
     Beyond {
         /// Time until the balance pays for it.
-        again_after: Duration,
+        retry_after: Duration,
         /// The tenant's balance at the keeper, in units.
         balance: f64,
     },
@@ -321,8 +321,8 @@
             }
             // Another node may have what this one's small part lacks.
             ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
-            ReservationDecision::Refused { again_after, balance } => {
-                QuotaVerdict::Beyond { again_after, balance }
+            ReservationDecision::Refused { retry_after, balance } => {
+                QuotaVerdict::Beyond { retry_after, balance }
             }
         }
     }
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -175,8 +175,8 @@
     };
     let mut verdict = node.quotas.ask(ask, until).await;
     let mut place = None;
-    while let QuotaVerdict::Beyond { again_after, .. } = verdict {
-        let Some(pause) = wait.pause(again_after, clock.now()) else {
+    while let QuotaVerdict::Beyond { retry_after, .. } = verdict {
+        let Some(pause) = wait.pause(retry_after, clock.now()) else {
             break;
         };
         place = place.or_else(|| node.quotas.wait_place(&tenant.name, &node.metrics.quota_waiting));
@@ -195,18 +195,18 @@
             clock.sleep_until(until.min(clock.now() + after)).await;
             Ok(Some(credit))
         }
-        QuotaVerdict::Beyond { again_after, balance } => {
+        QuotaVerdict::Beyond { retry_after, balance } => {
             Metrics::count(&node.metrics.denied, "quota", "beyond");
             tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "beyond the quota",
                 tenant = &*tenant.name, cost = ask.want.cost, balance = balance as i64, is_urgent = ask.want.is_urgent,
                 ahead_ms = ask.want.patience.as_millis() as u64, waited_ms = clock.now().since(asked_at).as_millis() as u64,
                 rate_per_s = quota.rate_per_s as u64, burst = quota.burst as u64,
-                again_after_ms = again_after.as_millis() as u64, version = configuration.version);
+                again_after_ms = retry_after.as_millis() as u64, version = configuration.version);
             let cause = "beyond the tenant's quota";
             Err(Box::new(refuse(
                 StatusCode::TOO_MANY_REQUESTS,
                 cause,
-                Some(again_after),
+                Some(retry_after),
             )))
         }
         QuotaVerdict::Unreachable => {
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -45,15 +45,15 @@
                 self.node.clock.sleep_until(turn_at.min(self.until)).await;
                 true
             }
-            LimitVerdict::Refused { again_after } => {
+            LimitVerdict::Refused { retry_after } => {
                 let heard_ago = self.now().since(turn.limit.heard_at);
                 tracing::info!(target: "limit", id = self.facts.id, replica = &**replica, outcome = "refused",
                     limit_per_s = turn.limit.rate.per_s(), heard_ms_ago = heard_ago.as_millis() as u64,
                     is_urgent = want.is_urgent, patience_ms = want.patience.as_millis() as u64,
-                    again_after_ms = again_after.as_millis() as u64);
+                    again_after_ms = retry_after.as_millis() as u64);
                 self.held_back.push(HeldBack {
                     replica: replica.clone(),
-                    again_at: self.now() + again_after,
+                    again_at: self.now() + retry_after,
                 });
                 false
             }
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -174,11 +174,11 @@
                 after: bounds.time_to_gain(missing),
             };
         }
-        let again_after = bounds.time_to_gain(missing + self.refused);
+        let retry_after = bounds.time_to_gain(missing + self.refused);
         self.refused += cost;
-        self.returning.note(ahead, cost, again_after);
+        self.returning.note(ahead, cost, retry_after);
         ReservationDecision::Refused {
-            again_after,
+            retry_after,
             balance: self.balance(),
         }
     }
--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -79,7 +79,7 @@
     /// The request exceeds what is available at this keeper.
     Refused {
         /// Time until the balance covers the cost, behind requests refused earlier.
-        again_after: Duration,
+        retry_after: Duration,
         /// The balance, in units.
         balance: f64,
     },
--- a/crates/croftrill-scheduler/src/quota/expected_retries.rs
+++ b/crates/croftrill-scheduler/src/quota/expected_retries.rs
@@ -27,11 +27,11 @@
     }
 
     /// Records the refusal of a request that may be granted this far ahead, and is retried after
-    /// `again_after`.
-    pub(super) fn note(&mut self, ahead: Duration, cost: f64, again_after: Duration) {
+    /// `retry_after`.
+    pub(super) fn note(&mut self, ahead: Duration, cost: f64, retry_after: Duration) {
         let step = &mut self.steps[Self::step(ahead)];
         let known = step.map_or(0.0, |(cost, _)| cost);
-        *step = Some((cost.max(known), again_after + LATE_RETURN));
+        *step = Some((cost.max(known), retry_after + LATE_RETURN));
     }
 
     /// Advances the time.
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -197,10 +197,10 @@
         } else {
             (&mut self.usual, usual_per_s)
         };
-        let again_after = lane.turn_in(lane_per_s, lane.refused);
+        let retry_after = lane.turn_in(lane_per_s, lane.refused);
         lane.refused += 1.0;
         ReservationDecision::Refused {
-            again_after,
+            retry_after,
             balance: self.usual.balance + self.urgent.balance,
         }
     }
@@ -328,9 +328,9 @@
         turn.next = turn.next + interval.mul_f64(missed.ceil());
         let after = turn.next.since(now);
         if after > patience.min(MOST_AHEAD) {
-            let again_after = after.min(LONGEST_RETURN);
+            let retry_after = after.min(LONGEST_RETURN);
             let balance = 0.0;
-            return ReservationDecision::Refused { again_after, balance };
+            return ReservationDecision::Refused { retry_after, balance };
         }
         turn.next = turn.next + interval;
         ReservationDecision::Granted { after }
--- a/crates/croftrill-scheduler/src/quota/reservation.rs
+++ b/crates/croftrill-scheduler/src/quota/reservation.rs
@@ -101,10 +101,10 @@
         left.min(self.most_ahead)
     }
 
-    /// Returns when to retry after a refusal that gave `again_after`, or `None` if that is too
+    /// Returns when to retry after a refusal that gave `retry_after`, or `None` if that is too
     /// late for the request.
-    pub fn pause(&self, again_after: Duration, now: Moment) -> Option<Duration> {
-        let pause = again_after.max(LEAST_PAUSE);
+    pub fn pause(&self, retry_after: Duration, now: Moment) -> Option<Duration> {
+        let pause = retry_after.max(LEAST_PAUSE);
         (now + pause < self.until).then_some(pause)
     }
 }
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -66,15 +66,15 @@
 fn ask_within_the_quota_is_granted_and_beyond_it_refused_with_a_time_that_is_true() {
     let mut keeper = full(84);
     let mut spent = 0;
-    let again_after = loop {
+    let retry_after = loop {
         match keeper.reserve("t", request(COST, Duration::ZERO), at(5_000)) {
             ReservationDecision::Granted { .. } => spent += COST,
-            ReservationDecision::Refused { again_after, .. } => break again_after,
+            ReservationDecision::Refused { retry_after, .. } => break retry_after,
         }
     };
     assert!(spent as f64 <= QUOTA.burst + CONFIG.debt());
     assert!(spent as f64 > QUOTA.burst / 2.0 + CONFIG.debt() - COST as f64);
-    let then = at(5_000) + again_after + Duration::from_millis(1);
+    let then = at(5_000) + retry_after + Duration::from_millis(1);
     assert!(granted(&mut keeper, COST, then));
     assert!(!granted(&mut keeper, COST, then));
 }
@@ -86,7 +86,7 @@
     let mut times = Vec::new();
     for _ in 0..5 {
         match keeper.reserve("t", request(COST, Duration::ZERO), at(5_000)) {
-            ReservationDecision::Refused { again_after, .. } => times.push(again_after),
+            ReservationDecision::Refused { retry_after, .. } => times.push(retry_after),
             ReservationDecision::Granted { .. } => panic!("granted beyond the quota"),
         }
     }
@@ -280,10 +280,10 @@
     while let ReservationDecision::Granted { .. } =
         keeper.reserve("t", request(COST, Duration::ZERO), at(18_000))
     {}
-    if let ReservationDecision::Refused { again_after, .. } =
+    if let ReservationDecision::Refused { retry_after, .. } =
         keeper.reserve("t", request(COST, Duration::ZERO), at(18_000))
     {
-        told = again_after;
+        told = retry_after;
     }
     // Two such requests at 0.9 of the income of 32,900 units per second.
     assert!(told < Duration::from_millis(700), "{told:?}");
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -123,7 +123,7 @@
                 outcome.longest_wait = outcome.longest_wait.max((now + after).since(request.came_at));
                 play.runs.push((now + after, kind.cost));
             }
-            ReservationDecision::Refused { again_after, .. } => match request.wait.pause(again_after, now) {
+            ReservationDecision::Refused { retry_after, .. } => match request.wait.pause(retry_after, now) {
                 Some(pause) => {
                     queue.insert((now + pause, number), request);
                     number += 1;
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -253,7 +253,7 @@
     let mut times = Vec::new();
     for _ in 0..5 {
         match keeper.reserve(&replica(), None, limit, request(0, false), at(0)) {
-            ReservationDecision::Refused { again_after, .. } => times.push(again_after),
+            ReservationDecision::Refused { retry_after, .. } => times.push(retry_after),
             ReservationDecision::Granted { .. } => panic!("granted without savings"),
         }
     }
