--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -271,7 +271,7 @@
     if let Some(asked) = asked {
         let unheard = asked.answer.send(decision);
         if matches!(unheard, Err(ReservationDecision::Granted { .. })) {
-            quotas.give_back(part, &asked.subject, asked.cost);
+            quotas.refund(part, &asked.subject, asked.cost);
         }
     }
     Ok(())
@@ -300,7 +300,7 @@
     let (id, decision) = match (message, &mut *keeper) {
         (ToKeeper::Alive, _) => return Ok(Some(FromKeeper::Alive)),
         (ToKeeper::GiveBack { tenant, cost }, keeper) => {
-            keeper.give_back(&tenant, cost, now);
+            keeper.refund(&tenant, cost, now);
             return Ok(None);
         }
         (ToKeeper::Carry { tenant, cost }, keeper) => {
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -376,13 +376,10 @@
     }
 
     /// What was granted goes back.
-    fn give_back(&self, part: QuotaPart, subject: &Arc<str>, cost: u64) {
+    fn refund(&self, part: QuotaPart, subject: &Arc<str>, cost: u64) {
         let part = &self.parts[part.index()];
         match &*part.uplink.borrow() {
-            Uplink::Own => part
-                .keeper
-                .borrow_mut()
-                .give_back(subject, cost, self.clock.now()),
+            Uplink::Own => part.keeper.borrow_mut().refund(subject, cost, self.clock.now()),
             Uplink::Linked(link) => {
                 let tenant = subject.to_string();
                 // Left out where too many wait: the tenant or replica has so much less.
@@ -503,7 +500,7 @@
 impl Drop for Credit {
     fn drop(&mut self) {
         if !self.is_spent.get() {
-            self.quotas.give_back(self.part, &self.subject, self.cost);
+            self.quotas.refund(self.part, &self.subject, self.cost);
         }
     }
 }
--- a/crates/croftrill-node/src/quota/part_keeper.rs
+++ b/crates/croftrill-node/src/quota/part_keeper.rs
@@ -50,10 +50,10 @@
     }
 
     /// What was granted was not used.
-    pub(super) fn give_back(&mut self, subject: &str, cost: u64, now: Moment) {
+    pub(super) fn refund(&mut self, subject: &str, cost: u64, now: Moment) {
         match self {
-            PartKeeper::Quotas(keeper) => keeper.give_back(subject, cost, now),
-            PartKeeper::Limits(keeper) => keeper.give_back(subject, now),
+            PartKeeper::Quotas(keeper) => keeper.refund(subject, cost, now),
+            PartKeeper::Limits(keeper) => keeper.refund(subject, now),
         }
     }
 
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -232,7 +232,7 @@
 
     /// Returns the units of a granted request that did not run. Units above the maximum savings
     /// are lost: otherwise they could be spent on top of the income received in the meantime.
-    pub(super) fn give_back(&mut self, cost: u64, bounds: &AccountBounds) {
+    pub(super) fn refund(&mut self, cost: u64, bounds: &AccountBounds) {
         self.save(cost as f64, bounds);
     }
 }
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -145,12 +145,12 @@
     }
 
     /// Returns the units of a granted request that did not run.
-    pub fn give_back(&mut self, name: &str, cost: u64, now: Moment) {
+    pub fn refund(&mut self, name: &str, cost: u64, now: Moment) {
         self.settle(now);
         let share = self.share();
         if let Some(account) = self.accounts.get_mut(name) {
             let bounds = AccountBounds::new(&self.config, &account.quota, share);
-            account.give_back(cost, &bounds);
+            account.refund(cost, &bounds);
         }
     }
 
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -206,7 +206,7 @@
     }
 
     /// Returns the reservation of a call that was not sent.
-    fn give_back(&mut self) {
+    fn refund(&mut self) {
         self.usual.balance += 1.0;
     }
 }
@@ -273,10 +273,10 @@
     }
 
     /// Returns the reservation of a call that was not sent.
-    pub fn give_back(&mut self, replica: &str, now: Moment) {
+    pub fn refund(&mut self, replica: &str, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
             account.settle(self.standing, now);
-            account.give_back();
+            account.refund();
         }
     }
 }
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -301,7 +301,7 @@
         }
     }
     for _ in 0..granted_cost / COST {
-        keeper.give_back("t", COST, at(14_000));
+        keeper.refund("t", COST, at(14_000));
     }
     let mut spent = 0;
     while granted(&mut keeper, COST, at(14_000)) {
@@ -314,7 +314,7 @@
 fn credit_that_did_not_run_goes_back() {
     let mut keeper = full(10);
     while granted(&mut keeper, COST, at(5_000)) {}
-    keeper.give_back("t", COST, at(5_000));
+    keeper.refund("t", COST, at(5_000));
     assert!(granted(&mut keeper, COST, at(5_000)));
 }
 
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -283,7 +283,7 @@
     reserve(&mut keeper, 0);
     assert!(is_granted(reserve(&mut keeper, 2_000)));
     assert!(!is_granted(reserve(&mut keeper, 2_001)));
-    keeper.give_back("r1", at(2_002));
+    keeper.refund("r1", at(2_002));
     assert!(is_granted(reserve(&mut keeper, 2_003)));
 }
 
