--- a/crates/croftrill-node/src/membership.rs
+++ b/crates/croftrill-node/src/membership.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use croftrill_scheduler::candidacy::Candidate;
 use croftrill_scheduler::catalog::Configuration;
-use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPart};
+use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPartition};
 use croftrill_scheduler::shard::Shard;
 use nanoserde::{DeBin, SerBin};
 use rand::Rng;
@@ -296,9 +296,9 @@
 }
 
 impl<P: Platform> Fleet for Node<P> {
-    fn keepers(&self, part: QuotaPart) -> Vec<SocketAddr> {
+    fn keepers(&self, part: QuotaPartition) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let fit = |member: &&MemberEntry| !part.is_of_replicas() || member.keeps_limits();
+        let fit = |member: &&MemberEntry| !part.covers_replicas() || member.keeps_limits();
         let nodes = state.members.nodes().filter(fit);
         let order = keeper_order(part, nodes, |member| member.candidate());
         let addresses = order.into_iter().filter_map(MemberEntry::peer_address);
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use croftrill_scheduler::followed_view::{LinkDelay, RelayOutcome};
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::shard::Shard;
 use nanoserde::SerBin;
 use tokio::net::{TcpListener, TcpStream};
@@ -86,7 +86,7 @@
             }
         }
         ToOrderer::AskQuotas(index) => {
-            if let Some(part) = QuotaPart::from_index(usize::from(index)) {
+            if let Some(part) = QuotaPartition::from_index(usize::from(index)) {
                 let ended = quota::serve_listener(node.quotas.clone(), link, part).await;
                 tracing::debug!(target: "quota", event = "a listener left", part = part.index(), ?ended);
             }
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::quota::limits::{LimitRequest, NamedLimit};
 use croftrill_scheduler::replica::StartedMs;
 use croftrill_scheduler::time::Moment;
@@ -80,7 +80,7 @@
     /// Asks whether a call may go to a replica that named a limit. Where no keeper is
     /// reached in the time that the call has, this node's own turns decide.
     pub async fn ask_limit(self: &Rc<Self>, ask: LimitAsk<'_>) -> LimitVerdict {
-        let part = QuotaPart::of_replica(ask.replica);
+        let part = QuotaPartition::of_replica(ask.replica);
         let now = self.clock.now();
         let state = &self.parts[part.index()];
         state.limit_asked_at.set(Some(now));
@@ -103,7 +103,7 @@
     }
 
     /// True if this node reaches no keeper of the part, and is none.
-    fn is_alone(&self, part: QuotaPart) -> bool {
+    fn is_alone(&self, part: QuotaPartition) -> bool {
         let state = &self.parts[part.index()];
         matches!(*state.uplink.borrow(), Uplink::Own) && !state.is_keeper.get()
     }
@@ -126,7 +126,7 @@
     }
 
     /// True if calls lately asked for a limit of the part.
-    pub(super) fn is_limit_wanted(&self, part: QuotaPart) -> bool {
+    pub(super) fn is_limit_wanted(&self, part: QuotaPartition) -> bool {
         let asked_at = self.parts[part.index()].limit_asked_at.get();
         asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < WANTED_FOR)
     }
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -10,7 +10,7 @@
 
 use bytes::{Bytes, BytesMut};
 use croftrill_scheduler::quota::keeper::{QuotaKeeper, QuotaRequest, ReservationDecision};
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, NamedLimit};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
@@ -49,7 +49,7 @@
 pub(crate) async fn follow_keeper(
     quotas: Rc<Quotas>,
     fleet: Rc<dyn Fleet>,
-    part: QuotaPart,
+    part: QuotaPartition,
     own: SocketAddr,
 ) {
     let mut failed = Failed::default();
@@ -94,9 +94,9 @@
 
 /// Waits while no keeper is wanted. Limits are rare: a node that neither asks nor is asked
 /// for any is not woken.
-async fn rest(quotas: &Quotas, part: QuotaPart) {
+async fn rest(quotas: &Quotas, part: QuotaPartition) {
     let state = &quotas.parts[part.index()];
-    if part.is_of_replicas() && state.listeners.get() == 0 {
+    if part.covers_replicas() && state.listeners.get() == 0 {
         state.limit_wanted.notified().await;
     } else {
         sleep(LOOK_EVERY).await;
@@ -105,13 +105,13 @@
 
 /// True if a tenant of the part has a quota, or a replica of it was asked for that named a
 /// limit: without any, links to keepers cost every node bytes and wake-ups for nothing.
-fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, part: QuotaPart) -> bool {
-    if part.is_of_replicas() {
+fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, part: QuotaPartition) -> bool {
+    if part.covers_replicas() {
         return quotas.is_limit_wanted(part);
     }
     fleet.configuration().is_some_and(|configuration| {
         let mut tenants = configuration.tenants.iter();
-        tenants.any(|tenant| tenant.quota.is_some() && QuotaPart::of_tenant(&tenant.name) == part)
+        tenants.any(|tenant| tenant.quota.is_some() && QuotaPartition::of_tenant(&tenant.name) == part)
     })
 }
 
@@ -131,8 +131,8 @@
 }
 
 /// The first of the keepers that did not fail lately.
-fn choice(fleet: &dyn Fleet, part: QuotaPart, failed: &mut Failed) -> Option<SocketAddr> {
-    let most_tried = if part.is_of_replicas() {
+fn choice(fleet: &dyn Fleet, part: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
+    let most_tried = if part.covers_replicas() {
         MOST_LIMIT_KEEPERS
     } else {
         MOST_TRIED
@@ -142,7 +142,7 @@
 }
 
 /// This node asks its own keeper: as the one for all, or as it reaches no other.
-fn keep_here(quotas: &Quotas, part: QuotaPart, is_keeper: bool) {
+fn keep_here(quotas: &Quotas, part: QuotaPartition, is_keeper: bool) {
     let state = &quotas.parts[part.index()];
     let is_so = matches!(*state.uplink.borrow(), Uplink::Own) && state.is_keeper.get() == is_keeper;
     if is_so {
@@ -153,7 +153,7 @@
     quotas.take_own_uplink(part, is_keeper);
 }
 
-async fn connect(address: SocketAddr, part: QuotaPart) -> io::Result<PeerLink> {
+async fn connect(address: SocketAddr, part: QuotaPartition) -> io::Result<PeerLink> {
     let connecting = async {
         let mut link = PeerLink::connect(address, SILENCE_LIMIT).await?;
         let hello = ToOrderer::AskQuotas(part.index() as u8).serialize_bin();
@@ -170,7 +170,7 @@
 async fn listen(
     quotas: &Quotas,
     fleet: &dyn Fleet,
-    part: QuotaPart,
+    part: QuotaPartition,
     (address, mut link): (SocketAddr, PeerLink),
     failed: &mut Failed,
     own: SocketAddr,
@@ -230,7 +230,7 @@
 }
 
 impl Attempt {
-    fn begin(address: SocketAddr, part: QuotaPart) -> Self {
+    fn begin(address: SocketAddr, part: QuotaPartition) -> Self {
         Attempt {
             address,
             connecting: Box::pin(connect(address, part)),
@@ -250,7 +250,7 @@
 }
 
 /// Takes a keeper's answer. What was granted to a request that is gone goes back.
-fn take_answer(quotas: &Quotas, part: QuotaPart, frame: &BytesMut) -> io::Result<()> {
+fn take_answer(quotas: &Quotas, part: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
     let message = decode::<FromKeeper>(frame)?;
     let (id, decision) = match message {
         FromKeeper::Alive => return Ok(()),
@@ -278,7 +278,11 @@
 }
 
 /// Answers a node that listens to this one's keeper, until it leaves or falls silent.
-pub(crate) async fn serve_listener(quotas: Rc<Quotas>, link: PeerLink, part: QuotaPart) -> io::Result<()> {
+pub(crate) async fn serve_listener(
+    quotas: Rc<Quotas>,
+    link: PeerLink,
+    part: QuotaPartition,
+) -> io::Result<()> {
     let mut link = link.with_silence_limit(SILENCE_LIMIT);
     let _listener = Listener::begin(&quotas, part);
     link.send(Bytes::from(FromKeeper::Alive.serialize_bin())).await?;
@@ -294,7 +298,7 @@
 }
 
 /// Errors: a question that this part's keeper does not answer.
-fn answer(quotas: &Quotas, part: QuotaPart, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
+fn answer(quotas: &Quotas, part: QuotaPartition, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
     let now = quotas.clock.now();
     let mut keeper = quotas.parts[part.index()].keeper.borrow_mut();
     let (id, decision) = match (message, &mut *keeper) {
@@ -351,11 +355,11 @@
 /// Counts a node as a listener of this one's keeper while it lives.
 struct Listener {
     quotas: Rc<Quotas>,
-    part: QuotaPart,
+    part: QuotaPartition,
 }
 
 impl Listener {
-    fn begin(quotas: &Rc<Quotas>, part: QuotaPart) -> Self {
+    fn begin(quotas: &Rc<Quotas>, part: QuotaPartition) -> Self {
         let listener = Listener {
             quotas: quotas.clone(),
             part,
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -20,7 +20,7 @@
 
 use croftrill_scheduler::catalog::Configuration;
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaRequest, ReservationDecision};
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::quota::limits::{LoneTurns, Standing};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::Quota;
@@ -47,7 +47,7 @@
 pub trait Fleet {
     /// Addresses of the nodes that should keep a part, the first choice first. Limits are
     /// kept by nodes that are known to understand questions about them.
-    fn keepers(&self, part: QuotaPart) -> Vec<SocketAddr>;
+    fn keepers(&self, part: QuotaPartition) -> Vec<SocketAddr>;
     /// Number of nodes that are listed.
     fn listed(&self) -> usize;
     /// The newest configuration.
@@ -197,7 +197,7 @@
             limit_wanted: Notify::new(),
         };
         Rc::new(Quotas {
-            parts: QuotaPart::all().map(part).collect(),
+            parts: QuotaPartition::all().map(part).collect(),
             lone_turns: RefCell::default(),
             wait_places: RefCell::default(),
             clock,
@@ -207,7 +207,7 @@
 
     /// Asks whether a request may run; answers by `until`.
     pub async fn ask(self: &Rc<Self>, ask: QuotaAsk<'_>, until: Moment) -> QuotaVerdict {
-        let part = QuotaPart::of_tenant(ask.tenant);
+        let part = QuotaPartition::of_tenant(ask.tenant);
         let give_up = until.min(self.clock.now() + LINK_PATIENCE);
         match self.ask_keeper(part, &ask, give_up).await {
             Some(decision) => self.verdict(part, &ask, decision),
@@ -232,7 +232,7 @@
     /// The decision of whichever keeper answers by `give_up`.
     async fn ask_keeper(
         &self,
-        part: QuotaPart,
+        part: QuotaPartition,
         question: &impl Question,
         give_up: Moment,
     ) -> Option<ReservationDecision> {
@@ -252,7 +252,7 @@
     }
 
     /// The uplink of a part once there is one; `None` if none comes in time.
-    async fn linked_uplink(&self, part: QuotaPart, give_up: Moment) -> Option<Uplink> {
+    async fn linked_uplink(&self, part: QuotaPartition, give_up: Moment) -> Option<Uplink> {
         let part = &self.parts[part.index()];
         loop {
             let changed = part.changed.notified();
@@ -267,7 +267,7 @@
     /// The keeper's decision; `None` if it did not answer, and is given up.
     async fn ask_linked(
         &self,
-        part: QuotaPart,
+        part: QuotaPartition,
         link: &mpsc::Sender<ToKeeper>,
         question: &impl Question,
     ) -> Option<ReservationDecision> {
@@ -300,7 +300,7 @@
 
     /// The keeper at the other end of a link does not answer. Its task sees that
     /// nobody can ask over it any more.
-    fn give_up_link(&self, part: QuotaPart, link: &mpsc::Sender<ToKeeper>) {
+    fn give_up_link(&self, part: QuotaPartition, link: &mpsc::Sender<ToKeeper>) {
         let uplink = self.parts[part.index()].uplink.borrow().clone();
         if matches!(uplink, Uplink::Linked(present) if present.same_channel(link)) {
             self.set_uplink(part, Uplink::Connecting, false);
@@ -309,7 +309,7 @@
 
     fn verdict(
         self: &Rc<Self>,
-        part: QuotaPart,
+        part: QuotaPartition,
         ask: &QuotaAsk<'_>,
         decision: ReservationDecision,
     ) -> QuotaVerdict {
@@ -328,7 +328,7 @@
     }
 
     /// What a granted question holds; it may be used `after` that time.
-    fn granted(self: &Rc<Self>, part: QuotaPart, question: &impl Question, after: Duration) -> Credit {
+    fn granted(self: &Rc<Self>, part: QuotaPartition, question: &impl Question, after: Duration) -> Credit {
         self.note_ahead(part, question, after);
         Credit {
             quotas: self.clone(),
@@ -340,7 +340,7 @@
     }
 
     /// A request waits for its turn: until then it counts wherever this node asks.
-    fn note_ahead(&self, part: QuotaPart, question: &impl Question, after: Duration) {
+    fn note_ahead(&self, part: QuotaPartition, question: &impl Question, after: Duration) {
         if after.is_zero() {
             return;
         }
@@ -355,7 +355,7 @@
     }
 
     /// Units of each tenant or replica that were granted ahead and are still to run.
-    fn granted_ahead(&self, part: QuotaPart) -> HashMap<Arc<str>, u64> {
+    fn granted_ahead(&self, part: QuotaPartition) -> HashMap<Arc<str>, u64> {
         let now = self.clock.now();
         let mut sums: HashMap<Arc<str>, u64> = HashMap::new();
         let ahead = self.parts[part.index()].ahead.borrow();
@@ -366,7 +366,7 @@
     }
 
     /// From now on this node's own keeper rules.
-    fn take_own_uplink(&self, part: QuotaPart, is_keeper: bool) {
+    fn take_own_uplink(&self, part: QuotaPartition, is_keeper: bool) {
         self.set_uplink(part, Uplink::Own, is_keeper);
         let now = self.clock.now();
         let mut keeper = self.parts[part.index()].keeper.borrow_mut();
@@ -376,7 +376,7 @@
     }
 
     /// What was granted goes back.
-    fn refund(&self, part: QuotaPart, subject: &Arc<str>, cost: u64) {
+    fn refund(&self, part: QuotaPartition, subject: &Arc<str>, cost: u64) {
         let part = &self.parts[part.index()];
         match &*part.uplink.borrow() {
             Uplink::Own => part.keeper.borrow_mut().refund(subject, cost, self.clock.now()),
@@ -391,7 +391,7 @@
         }
     }
 
-    fn set_uplink(&self, part: QuotaPart, uplink: Uplink, is_keeper: bool) {
+    fn set_uplink(&self, part: QuotaPartition, uplink: Uplink, is_keeper: bool) {
         let part = &self.parts[part.index()];
         part.uplink.replace(uplink);
         part.is_keeper.set(is_keeper);
@@ -410,7 +410,7 @@
     }
 
     /// What the fleet looks like now. `own`: this node's address.
-    fn look(&self, part: QuotaPart, fleet: &dyn Fleet, own: SocketAddr) {
+    fn look(&self, part: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
         let now = self.clock.now();
         let mut keeper = self.parts[part.index()].keeper.borrow_mut();
         let keeper = match &mut *keeper {
@@ -430,7 +430,7 @@
             let of_part = configuration
                 .tenants
                 .iter()
-                .filter(|tenant| QuotaPart::of_tenant(&tenant.name) == part);
+                .filter(|tenant| QuotaPartition::of_tenant(&tenant.name) == part);
             keeper.learn_all(of_part, configuration.version, now);
         }
     }
@@ -464,7 +464,7 @@
 /// limit. It goes back unless the request ran, or may have.
 pub struct Credit {
     quotas: Rc<Quotas>,
-    part: QuotaPart,
+    part: QuotaPartition,
     subject: Arc<str>,
     cost: u64,
     is_spent: Cell<bool>,
--- a/crates/croftrill-node/src/quota/part_keeper.rs
+++ b/crates/croftrill-node/src/quota/part_keeper.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper};
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::quota::limits::LimitKeeper;
 use croftrill_scheduler::time::Moment;
 
@@ -17,8 +17,8 @@
 }
 
 impl PartKeeper {
-    pub(super) fn new(part: QuotaPart, config: KeeperConfig, now: Moment) -> Self {
-        if part.is_of_replicas() {
+    pub(super) fn new(part: QuotaPartition, config: KeeperConfig, now: Moment) -> Self {
+        if part.covers_replicas() {
             PartKeeper::Limits(LimitKeeper::new())
         } else {
             PartKeeper::Quotas(QuotaKeeper::new(config, now))
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::keepers::QuotaPart;
+use croftrill_scheduler::quota::keepers::QuotaPartition;
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 
@@ -47,7 +47,7 @@
     spawn_local(watch_suspensions(node.clone()));
     spawn_local(watch_store_era(node.clone()));
     spawn_local(step_times::watch(node.step_times.clone()));
-    for part in QuotaPart::all() {
+    for part in QuotaPartition::all() {
         let own = node.settings.identity.peer;
         spawn_local(quota::follow_keeper(node.quotas.clone(), node.clone(), part, own));
     }
--- a/crates/croftrill-scheduler/src/quota/keepers.rs
+++ b/crates/croftrill-scheduler/src/quota/keepers.rs
@@ -9,43 +9,43 @@
 /// Number of partitions of the tenants. Each partition costs every node a link; more partitions
 /// spread the load and lose less with one keeper. With two, a keeper at 380 nodes and 3,100
 /// requests per second handles 1,600 requests per second.
-pub const QUOTA_PART_COUNT: usize = 2;
+pub const QUOTA_PARTITION_COUNT: usize = 2;
 /// Number of partitions of the replicas, two for the same reason. A node links to their keepers
 /// only while a replica of the partition reports a limit.
-pub const LIMIT_PART_COUNT: usize = 2;
+pub const LIMIT_PARTITION_COUNT: usize = 2;
 
-const PART_COUNT: usize = QUOTA_PART_COUNT + LIMIT_PART_COUNT;
+const PARTITION_COUNT: usize = QUOTA_PARTITION_COUNT + LIMIT_PARTITION_COUNT;
 
 /// A subset of the tenants or of the replicas; one node keeps all its quotas or limits.
 /// Partitions of tenants come first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct QuotaPart(u8);
+pub struct QuotaPartition(u8);
 
-impl QuotaPart {
+impl QuotaPartition {
     /// Returns all partitions.
-    pub fn all() -> impl Iterator<Item = QuotaPart> {
-        (0..PART_COUNT as u8).map(QuotaPart)
+    pub fn all() -> impl Iterator<Item = QuotaPartition> {
+        (0..PARTITION_COUNT as u8).map(QuotaPartition)
     }
 
     /// Returns the partition with this index, or `None` if there is none.
-    pub fn from_index(index: usize) -> Option<QuotaPart> {
-        (index < PART_COUNT).then_some(QuotaPart(index as u8))
+    pub fn from_index(index: usize) -> Option<QuotaPartition> {
+        (index < PARTITION_COUNT).then_some(QuotaPartition(index as u8))
     }
 
     /// Returns the partition of a tenant.
-    pub fn of_tenant(name: &str) -> QuotaPart {
-        QuotaPart((xxh3_64(name.as_bytes()) % QUOTA_PART_COUNT as u64) as u8)
+    pub fn of_tenant(name: &str) -> QuotaPartition {
+        QuotaPartition((xxh3_64(name.as_bytes()) % QUOTA_PARTITION_COUNT as u64) as u8)
     }
 
     /// Returns the partition of a replica.
-    pub fn of_replica(id: &str) -> QuotaPart {
-        let among = (xxh3_64(id.as_bytes()) % LIMIT_PART_COUNT as u64) as u8;
-        QuotaPart(QUOTA_PART_COUNT as u8 + among)
+    pub fn of_replica(id: &str) -> QuotaPartition {
+        let offset = (xxh3_64(id.as_bytes()) % LIMIT_PARTITION_COUNT as u64) as u8;
+        QuotaPartition(QUOTA_PARTITION_COUNT as u8 + offset)
     }
 
     /// Returns true if this is a partition of the replicas.
-    pub fn is_of_replicas(self) -> bool {
-        self.index() >= QUOTA_PART_COUNT
+    pub fn covers_replicas(self) -> bool {
+        self.index() >= QUOTA_PARTITION_COUNT
     }
 
     /// Returns the index, starting at zero.
@@ -58,7 +58,7 @@
 /// among equals in an order that differs between partitions. Removing a node does not change the
 /// order of the others.
 pub fn keeper_order<'a, T>(
-    part: QuotaPart,
+    partition: QuotaPartition,
     nodes: impl Iterator<Item = T>,
     candidate: impl Fn(&T) -> Candidate<'a>,
 ) -> Vec<T> {
@@ -67,7 +67,7 @@
     let mut order: Vec<T> = nodes.collect();
     order.sort_by_cached_key(|node| {
         let node = candidate(node);
-        let salted = xxh3_64_with_seed(node.name.as_bytes(), SALT + part.index() as u64);
+        let salted = xxh3_64_with_seed(node.name.as_bytes(), SALT + partition.index() as u64);
         (Reverse(node.processor_millicores), salted)
     });
     order
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -5,7 +5,7 @@
 
 use croftrill_scheduler::candidacy::Candidate;
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, QuotaRequest, ReservationDecision};
-use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPart};
+use croftrill_scheduler::quota::keepers::{keeper_order, QuotaPartition};
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
 use proptest::prelude::*;
@@ -383,10 +383,14 @@
             processor_millicores: node.1,
         }
     }
-    for part in QuotaPart::all() {
-        let all = keeper_order(part, nodes.iter(), candidate);
+    for partition in QuotaPartition::all() {
+        let all = keeper_order(partition, nodes.iter(), candidate);
         assert!(all[..4].iter().all(|node| node.1 == 500));
-        let rest = keeper_order(part, nodes.iter().filter(|node| node.0 != all[0].0), candidate);
+        let rest = keeper_order(
+            partition,
+            nodes.iter().filter(|node| node.0 != all[0].0),
+            candidate,
+        );
         assert_eq!(all[1..], rest[..]);
     }
 }
