--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, LoneTurns, NamedLimit, Standing};
+use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, NamedLimit};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use rand::rngs::SmallRng;
@@ -141,8 +141,8 @@
         Fleet {
             run,
             replica: "r".into(),
-            first: keeper(Standing::First),
-            second: keeper(Standing::Second),
+            first: keeper(KeeperRole::Primary),
+            second: keeper(KeeperRole::Secondary),
             lone: (0..run.nodes).map(|_| LoneTurns::default()).collect(),
             saved: vec![(Duration::ZERO, 0.0); run.nodes],
             questions: 0,
@@ -178,14 +178,14 @@
             Trouble::Doubled => in_trouble && now < begin + LISTS_DIFFER_FOR,
             _ => false,
         };
-        let standing = if is_first_gone {
-            Standing::First
+        let role = if is_first_gone {
+            KeeperRole::Primary
         } else {
-            Standing::Second
+            KeeperRole::Secondary
         };
-        self.second.stand(standing, at(now));
+        self.second.set_role(role, at(now));
         if self.run.trouble == Trouble::Killed && in_trouble {
-            self.first = keeper(Standing::First);
+            self.first = keeper(KeeperRole::Primary);
         }
     }
 
@@ -252,9 +252,9 @@
     }
 }
 
-fn keeper(standing: Standing) -> LimitKeeper {
+fn keeper(role: KeeperRole) -> LimitKeeper {
     let mut keeper = LimitKeeper::new();
-    keeper.stand(standing, at(Duration::ZERO));
+    keeper.set_role(role, at(Duration::ZERO));
     keeper
 }
 
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -21,7 +21,7 @@
 use croftrill_scheduler::catalog::Configuration;
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPartition;
-use croftrill_scheduler::quota::limits::{LoneTurns, Standing};
+use croftrill_scheduler::quota::limits::{KeeperRole, LoneTurns};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::Quota;
 use croftrill_scheduler::time::Moment;
@@ -417,12 +417,12 @@
             PartKeeper::Quotas(keeper) => keeper,
             PartKeeper::Limits(keeper) => {
                 let is_first = fleet.keepers(part).first() == Some(&own);
-                let standing = if is_first {
-                    Standing::First
+                let role = if is_first {
+                    KeeperRole::Primary
                 } else {
-                    Standing::Second
+                    KeeperRole::Secondary
                 };
-                return keeper.stand(standing, now);
+                return keeper.set_role(role, now);
             }
         };
         keeper.count_listed(fleet.listed(), now);
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -30,7 +30,7 @@
 /// Fraction of the limit granted by a keeper that is not the first of its list, as the first may
 /// still serve other nodes. A replica can take the sum of both for a while. Three quarters of the
 /// limit are unused until the list no longer has the first keeper.
-const SECOND_PART: f64 = 0.25;
+const SECONDARY_LIMIT_FRACTION: f64 = 0.25;
 /// Maximum time to retry after: beyond it the limit has probably changed.
 const LONGEST_RETURN: Duration = Duration::from_secs(60);
 /// Time without requests after which an account is dropped.
@@ -65,18 +65,18 @@
 
 /// Position of a keeper in its own list of the keepers of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum KeeperRole {
     /// The first choice, used by all nodes that can reach it.
-    First,
+    Primary,
     /// Used by nodes that cannot reach the first choice.
-    Second,
+    Secondary,
 }
 
-impl Standing {
-    fn part(self) -> f64 {
+impl KeeperRole {
+    fn limit_fraction(self) -> f64 {
         match self {
-            Standing::First => 1.0,
-            Standing::Second => SECOND_PART,
+            KeeperRole::Primary => 1.0,
+            KeeperRole::Secondary => SECONDARY_LIMIT_FRACTION,
         }
     }
 }
@@ -147,8 +147,8 @@
         }
     }
 
-    fn gain_per_s(&self, standing: Standing) -> f64 {
-        self.limit.rate.per_s().max(LEAST_PER_S) * standing.part()
+    fn gain_per_s(&self, role: KeeperRole) -> f64 {
+        self.limit.rate.per_s().max(LEAST_PER_S) * role.limit_fraction()
     }
 
     /// Returns the fraction of the income to set aside for urgent calls. Otherwise the other
@@ -159,10 +159,10 @@
         wanted.clamp(LEAST_URGENT_PART, MOST_URGENT_PART)
     }
 
-    fn settle(&mut self, standing: Standing, now: Moment) {
+    fn settle(&mut self, role: KeeperRole, now: Moment) {
         let elapsed_s = now.since(self.settled_at).as_secs_f64();
         self.settled_at = self.settled_at.max(now);
-        let gain_per_s = self.gain_per_s(standing);
+        let gain_per_s = self.gain_per_s(role);
         let most_saved = (gain_per_s * SAVED_FOR.as_secs_f64()).max(1.0);
         let places = gain_per_s * elapsed_s;
         let for_urgent = places * self.urgent_part(gain_per_s);
@@ -171,12 +171,12 @@
         self.urgent_asked *= (-elapsed_s / URGENT_MEMORY_S).exp();
     }
 
-    fn reserve(&mut self, request: LimitRequest, standing: Standing, now: Moment) -> ReservationDecision {
+    fn reserve(&mut self, request: LimitRequest, role: KeeperRole, now: Moment) -> ReservationDecision {
         self.asked_at = now;
         if request.is_urgent {
             self.urgent_asked += 1.0;
         }
-        let gain_per_s = self.gain_per_s(standing);
+        let gain_per_s = self.gain_per_s(role);
         let urgent_per_s = gain_per_s * self.urgent_part(gain_per_s);
         let usual_per_s = gain_per_s - urgent_per_s;
         let patience = request.patience.min(MOST_AHEAD);
@@ -214,7 +214,7 @@
 /// The limits that one node keeps for all nodes.
 #[derive(Debug)]
 pub struct LimitKeeper {
-    standing: Standing,
+    role: KeeperRole,
     accounts: HashMap<Arc<str>, Account>,
 }
 
@@ -222,25 +222,25 @@
     /// Creates a keeper without accounts.
     pub fn new() -> Self {
         LimitKeeper {
-            standing: Standing::Second,
+            role: KeeperRole::Secondary,
             accounts: HashMap::new(),
         }
     }
 
     /// Returns this keeper's position in its own list.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn role(&self) -> KeeperRole {
+        self.role
     }
 
     /// Sets this keeper's position in its own list.
-    pub fn stand(&mut self, standing: Standing, now: Moment) {
-        if standing == self.standing {
+    pub fn set_role(&mut self, role: KeeperRole, now: Moment) {
+        if role == self.role {
             return;
         }
         for account in self.accounts.values_mut() {
-            account.settle(self.standing, now);
+            account.settle(self.role, now);
         }
-        self.standing = standing;
+        self.role = role;
     }
 
     /// Decides on a call to a replica. `limit` is the limit that the calling node received from
@@ -259,15 +259,15 @@
         }
         let account = self.accounts.entry(replica.clone());
         let account = account.or_insert_with(|| Account::new(started_ms, limit, now));
-        account.settle(self.standing, now);
+        account.settle(self.role, now);
         account.learn(started_ms, limit);
-        account.reserve(request, self.standing, now)
+        account.reserve(request, self.role, now)
     }
 
     /// Charges calls that another keeper granted and that are still to be sent.
     pub fn carry(&mut self, replica: &str, calls: u64, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
-            account.settle(self.standing, now);
+            account.settle(self.role, now);
             account.usual.balance -= calls as f64;
         }
     }
@@ -275,7 +275,7 @@
     /// Returns the reservation of a call that was not sent.
     pub fn refund(&mut self, replica: &str, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
-            account.settle(self.standing, now);
+            account.settle(self.role, now);
             account.refund();
         }
     }
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, LoneTurns, NamedLimit, Standing};
+use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, NamedLimit};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
 };
@@ -156,9 +156,9 @@
     }
 }
 
-fn keeper(standing: Standing) -> LimitKeeper {
+fn keeper(role: KeeperRole) -> LimitKeeper {
     let mut keeper = LimitKeeper::new();
-    keeper.stand(standing, at(0));
+    keeper.set_role(role, at(0));
     keeper
 }
 
@@ -195,7 +195,7 @@
 
 #[test]
 fn ask_of_none_a_second_is_granted_once_in_four_seconds() {
-    let mut keeper = keeper(Standing::First);
+    let mut keeper = keeper(KeeperRole::Primary);
     let granted = granted_of(&mut keeper, named(0.0, 0), request(0, true), 0..40_000);
     // Some call has to discover that the overload is over.
     assert!((5..=11).contains(&granted), "{granted}");
@@ -203,7 +203,7 @@
 
 #[test]
 fn ask_goes_by_the_newest_limit_that_any_node_heard() {
-    let mut keeper = keeper(Standing::First);
+    let mut keeper = keeper(KeeperRole::Primary);
     let older = named(50.0, 0);
     granted_of(&mut keeper, named(1.0, 100), request(0, false), 1_000..2_000);
     let granted = granted_of(&mut keeper, older, request(0, false), 2_000..12_000);
@@ -220,7 +220,7 @@
 
 #[test]
 fn ask_of_urgent_calls_is_granted_before_the_others() {
-    let mut keeper = keeper(Standing::First);
+    let mut keeper = keeper(KeeperRole::Primary);
     let limit = named(2.0, 0);
     let (mut urgent, mut usual) = (0, 0);
     for now in (0..60_000).step_by(100) {
@@ -248,7 +248,7 @@
 
 #[test]
 fn ask_refused_in_a_row_are_told_times_one_after_the_other_that_are_true() {
-    let mut keeper = keeper(Standing::First);
+    let mut keeper = keeper(KeeperRole::Primary);
     let limit = named(1.0, 0);
     let mut times = Vec::new();
     for _ in 0..5 {
@@ -269,14 +269,14 @@
 
 #[test]
 fn ask_of_a_second_keeper_is_ruled_on_a_quarter() {
-    let mut keeper = keeper(Standing::Second);
+    let mut keeper = keeper(KeeperRole::Secondary);
     let granted = granted_of(&mut keeper, named(10.0, 0), request(0, false), 0..20_000);
     assert!((40..=52).contains(&granted), "{granted}");
 }
 
 #[test]
 fn give_back_of_a_turn_that_was_not_used_serves_another_call() {
-    let mut keeper = keeper(Standing::First);
+    let mut keeper = keeper(KeeperRole::Primary);
     let limit = named(1.0, 0);
     let reserve =
         |keeper: &mut LimitKeeper, now| keeper.reserve(&replica(), None, limit, request(0, false), at(now));
