--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, NamedLimit};
+use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, ReportedLimit};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use rand::rngs::SmallRng;
@@ -213,9 +213,9 @@
         random: &mut SmallRng,
     ) -> Option<Duration> {
         self.settle_keepers(now);
-        let limit = NamedLimit {
+        let limit = ReportedLimit {
             rate: rate(self.run.limit_per_s),
-            heard_at: at(Duration::ZERO),
+            received_at: at(Duration::ZERO),
         };
         let keeper = match self.ruler(node, now) {
             Ruler::First => &mut self.first,
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -6,7 +6,7 @@
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
 use croftrill_scheduler::quota::keepers::QuotaPartition;
-use croftrill_scheduler::quota::limits::{LimitRequest, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitRequest, ReportedLimit};
 use croftrill_scheduler::replica::StartedMs;
 use croftrill_scheduler::time::Moment;
 use rand::Rng;
@@ -27,7 +27,7 @@
     /// When the incarnation started that named it.
     pub started_ms: Option<StartedMs>,
     /// The limit as this node heard it.
-    pub limit: NamedLimit,
+    pub limit: ReportedLimit,
     /// What the call wants.
     pub want: LimitRequest,
     /// Number of nodes that are listed.
@@ -62,7 +62,7 @@
             replica: self.replica.to_string(),
             started_ms: self.started_ms,
             limit_millis_per_s: self.limit.rate.millis_per_s(),
-            heard_ms_ago: now.since(self.limit.heard_at).as_millis() as u64,
+            heard_ms_ago: now.since(self.limit.received_at).as_millis() as u64,
             patience_ms: self.want.patience.as_millis() as u32,
             is_urgent: self.want.is_urgent,
         })
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -11,7 +11,7 @@
 use bytes::{Bytes, BytesMut};
 use croftrill_scheduler::quota::keeper::{QuotaKeeper, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPartition;
-use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitKeeper, LimitRequest, ReportedLimit};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
@@ -345,9 +345,9 @@
         patience: Duration::from_millis(u64::from(ask.patience_ms)),
         is_urgent: ask.is_urgent,
     };
-    let limit = NamedLimit {
+    let limit = ReportedLimit {
         rate: RequestRate::from_millis_per_s(ask.limit_millis_per_s),
-        heard_at: now - Duration::from_millis(ask.heard_ms_ago),
+        received_at: now - Duration::from_millis(ask.heard_ms_ago),
     };
     keeper.reserve(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
 }
--- a/crates/croftrill-node/src/replica_turn.rs
+++ b/crates/croftrill-node/src/replica_turn.rs
@@ -1,6 +1,6 @@
 //! Asks whether a call may go to a replica that named a limit.
 
-use croftrill_scheduler::quota::limits::{LimitRequest, NamedLimit};
+use croftrill_scheduler::quota::limits::{LimitRequest, ReportedLimit};
 use croftrill_scheduler::replica::ReplicaId;
 
 use crate::metrics::Metrics;
@@ -10,7 +10,7 @@
 
 /// What was said of a call's turn at a replica in need, and by which limit.
 pub(crate) struct Turn {
-    pub(crate) limit: NamedLimit,
+    pub(crate) limit: ReportedLimit,
     pub(crate) verdict: LimitVerdict,
 }
 
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -46,7 +46,7 @@
                 true
             }
             LimitVerdict::Refused { retry_after } => {
-                let heard_ago = self.now().since(turn.limit.heard_at);
+                let heard_ago = self.now().since(turn.limit.received_at);
                 tracing::info!(target: "limit", id = self.facts.id, replica = &**replica, outcome = "refused",
                     limit_per_s = turn.limit.rate.per_s(), heard_ms_ago = heard_ago.as_millis() as u64,
                     is_urgent = want.is_urgent, patience_ms = want.patience.as_millis() as u64,
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -47,11 +47,11 @@
 
 /// A replica's limit as a node received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct ReportedLimit {
     /// Rate that the replica accepts from all nodes together.
     pub rate: RequestRate,
     /// When the answer with this limit arrived.
-    pub heard_at: Moment,
+    pub received_at: Moment,
 }
 
 /// A request to send one call to a replica that has a limit.
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone)]
 struct Account {
     started_ms: Option<StartedMs>,
-    limit: NamedLimit,
+    limit: ReportedLimit,
     usual: Lane,
     urgent: Lane,
     /// Urgent calls requested, decaying with [`URGENT_MEMORY_S`].
@@ -122,7 +122,7 @@
 
 impl Account {
     /// Creates an account without a balance, as a former keeper may just have used it.
-    fn new(started_ms: Option<StartedMs>, limit: NamedLimit, now: Moment) -> Self {
+    fn new(started_ms: Option<StartedMs>, limit: ReportedLimit, now: Moment) -> Self {
         Account {
             started_ms,
             limit,
@@ -135,11 +135,11 @@
     }
 
     /// Applies a limit received by a node if it is newer than the known one.
-    fn learn(&mut self, started_ms: Option<StartedMs>, limit: NamedLimit) {
+    fn learn(&mut self, started_ms: Option<StartedMs>, limit: ReportedLimit) {
         let is_newer = match Incarnation::of(started_ms, self.started_ms) {
             Incarnation::Earlier => false,
             Incarnation::Later => true,
-            Incarnation::Same => limit.heard_at > self.limit.heard_at,
+            Incarnation::Same => limit.received_at > self.limit.received_at,
         };
         if is_newer {
             self.limit = limit;
@@ -249,7 +249,7 @@
         &mut self,
         replica: &Arc<str>,
         started_ms: Option<StartedMs>,
-        limit: NamedLimit,
+        limit: ReportedLimit,
         request: LimitRequest,
         now: Moment,
     ) -> ReservationDecision {
--- a/crates/croftrill-scheduler/src/replica_table/mod.rs
+++ b/crates/croftrill-scheduler/src/replica_table/mod.rs
@@ -27,7 +27,7 @@
 use crate::catalog::{AdapterName, ModelName, ModelSpec, ServiceName};
 use crate::health::SendOutcome;
 use crate::placement::{weight_source, WeightSource};
-use crate::quota::limits::NamedLimit;
+use crate::quota::limits::ReportedLimit;
 use crate::replica::{
     Holdings, Incarnation, ReplicaId, ReplicaListing, ReplicaSignals, StartedMs, WeightCopies,
 };
@@ -177,7 +177,7 @@
 
     /// Returns the request limit that a replica reported to this node, and when the incarnation
     /// that reported it started, if known.
-    pub fn limit_of(&self, id: &str) -> Option<(NamedLimit, Option<StartedMs>)> {
+    pub fn limit_of(&self, id: &str) -> Option<(ReportedLimit, Option<StartedMs>)> {
         let signals = match self.replicas.get(id) {
             Some(entry) => entry.signals,
             None => *self.unlisted_signals.get(id)?,
--- a/crates/croftrill-scheduler/src/replica_table/replica_signals.rs
+++ b/crates/croftrill-scheduler/src/replica_table/replica_signals.rs
@@ -5,7 +5,7 @@
 //! therefore stored beside the listing, and a listing of the same incarnation doesn't
 //! override them.
 
-use crate::quota::limits::NamedLimit;
+use crate::quota::limits::ReportedLimit;
 use crate::replica::{Incarnation, LimitSignal, ReplicaSignals, StartedMs};
 use crate::time::Moment;
 
@@ -40,7 +40,7 @@
     /// Until then it wants no requests from this node.
     cooldown_until: Option<Moment>,
     /// Requests that it accepts from all nodes together.
-    limit: Option<NamedLimit>,
+    limit: Option<ReportedLimit>,
 }
 
 impl KnownSignals {
@@ -65,14 +65,14 @@
     /// arrived. Any other answer can only lower the limit.
     fn apply_limit(&mut self, call: AnsweredCall, signal: LimitSignal) -> bool {
         let known = self.limit;
-        let is_later = known.is_none_or(|known| call.sent_at >= known.heard_at);
+        let is_later = known.is_none_or(|known| call.sent_at >= known.received_at);
         match signal {
             LimitSignal::Unspecified => {}
             LimitSignal::Unlimited => self.limit = known.filter(|_| !is_later),
             LimitSignal::Limited(rate) => {
                 if is_later || known.is_some_and(|known| rate <= known.rate) {
-                    let heard_at = call.answered_at;
-                    self.limit = Some(NamedLimit { rate, heard_at });
+                    let received_at = call.answered_at;
+                    self.limit = Some(ReportedLimit { rate, received_at });
                 }
             }
         }
@@ -96,7 +96,7 @@
         self.cooldown_until.filter(|until| now < *until)
     }
 
-    pub(super) fn limit(&self) -> Option<NamedLimit> {
+    pub(super) fn limit(&self) -> Option<ReportedLimit> {
         self.limit
     }
 
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, NamedLimit};
+use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, ReportedLimit};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
 };
@@ -162,10 +162,10 @@
     keeper
 }
 
-fn named(per_s: f64, heard_ms: u64) -> NamedLimit {
-    NamedLimit {
+fn reported(per_s: f64, received_ms: u64) -> ReportedLimit {
+    ReportedLimit {
         rate: rate(per_s),
-        heard_at: at(heard_ms),
+        received_at: at(received_ms),
     }
 }
 
@@ -183,7 +183,7 @@
 /// Returns the number of calls granted when one is requested every 10 ms.
 fn granted_of(
     keeper: &mut LimitKeeper,
-    limit: NamedLimit,
+    limit: ReportedLimit,
     request: LimitRequest,
     millis: std::ops::Range<u64>,
 ) -> usize {
@@ -196,7 +196,7 @@
 #[test]
 fn ask_of_none_a_second_is_granted_once_in_four_seconds() {
     let mut keeper = keeper(KeeperRole::Primary);
-    let granted = granted_of(&mut keeper, named(0.0, 0), request(0, true), 0..40_000);
+    let granted = granted_of(&mut keeper, reported(0.0, 0), request(0, true), 0..40_000);
     // Some call has to discover that the overload is over.
     assert!((5..=11).contains(&granted), "{granted}");
 }
@@ -204,13 +204,13 @@
 #[test]
 fn ask_goes_by_the_newest_limit_that_any_node_heard() {
     let mut keeper = keeper(KeeperRole::Primary);
-    let older = named(50.0, 0);
-    granted_of(&mut keeper, named(1.0, 100), request(0, false), 1_000..2_000);
+    let older = reported(50.0, 0);
+    granted_of(&mut keeper, reported(1.0, 100), request(0, false), 1_000..2_000);
     let granted = granted_of(&mut keeper, older, request(0, false), 2_000..12_000);
     assert!(granted <= 12, "{granted}");
     granted_of(
         &mut keeper,
-        named(50.0, 12_000),
+        reported(50.0, 12_000),
         request(0, false),
         12_000..13_000,
     );
@@ -221,7 +221,7 @@
 #[test]
 fn ask_of_urgent_calls_is_granted_before_the_others() {
     let mut keeper = keeper(KeeperRole::Primary);
-    let limit = named(2.0, 0);
+    let limit = reported(2.0, 0);
     let (mut urgent, mut usual) = (0, 0);
     for now in (0..60_000).step_by(100) {
         usual += usize::from(is_granted(keeper.reserve(
@@ -249,7 +249,7 @@
 #[test]
 fn ask_refused_in_a_row_are_told_times_one_after_the_other_that_are_true() {
     let mut keeper = keeper(KeeperRole::Primary);
-    let limit = named(1.0, 0);
+    let limit = reported(1.0, 0);
     let mut times = Vec::new();
     for _ in 0..5 {
         match keeper.reserve(&replica(), None, limit, request(0, false), at(0)) {
@@ -270,14 +270,14 @@
 #[test]
 fn ask_of_a_second_keeper_is_ruled_on_a_quarter() {
     let mut keeper = keeper(KeeperRole::Secondary);
-    let granted = granted_of(&mut keeper, named(10.0, 0), request(0, false), 0..20_000);
+    let granted = granted_of(&mut keeper, reported(10.0, 0), request(0, false), 0..20_000);
     assert!((40..=52).contains(&granted), "{granted}");
 }
 
 #[test]
 fn give_back_of_a_turn_that_was_not_used_serves_another_call() {
     let mut keeper = keeper(KeeperRole::Primary);
-    let limit = named(1.0, 0);
+    let limit = reported(1.0, 0);
     let reserve =
         |keeper: &mut LimitKeeper, now| keeper.reserve(&replica(), None, limit, request(0, false), at(now));
     reserve(&mut keeper, 0);
