--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -8,7 +8,9 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, ReportedLimit};
+use croftrill_scheduler::quota::limits::{
+    KeeperRole, LimitKeeper, LimitRequest, ReportedLimit, StandaloneReservations,
+};
 use croftrill_scheduler::replica::RequestRate;
 use croftrill_scheduler::time::Moment;
 use rand::rngs::SmallRng;
@@ -122,7 +124,7 @@
     replica: Arc<str>,
     first: LimitKeeper,
     second: LimitKeeper,
-    lone: Vec<LoneTurns>,
+    lone: Vec<StandaloneReservations>,
     saved: Vec<(Duration, f64)>,
     questions: usize,
 }
@@ -143,7 +145,9 @@
             replica: "r".into(),
             first: keeper(KeeperRole::Primary),
             second: keeper(KeeperRole::Secondary),
-            lone: (0..run.nodes).map(|_| LoneTurns::default()).collect(),
+            lone: (0..run.nodes)
+                .map(|_| StandaloneReservations::default())
+                .collect(),
             saved: vec![(Duration::ZERO, 0.0); run.nodes],
             questions: 0,
         }
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -110,7 +110,7 @@
 
     fn own_turn(&self, ask: &LimitAsk<'_>) -> LimitVerdict {
         let unit = rand::rng().random_range(0.0..1.0);
-        let mut turns = self.lone_turns.borrow_mut();
+        let mut turns = self.standalone_reservations.borrow_mut();
         let now = self.clock.now();
         match turns.reserve(
             ask.replica,
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -21,7 +21,7 @@
 use croftrill_scheduler::catalog::Configuration;
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPartition;
-use croftrill_scheduler::quota::limits::{KeeperRole, LoneTurns};
+use croftrill_scheduler::quota::limits::{KeeperRole, StandaloneReservations};
 use croftrill_scheduler::quota::wait_slots::WaitPlaces;
 use croftrill_scheduler::tenants::Quota;
 use croftrill_scheduler::time::Moment;
@@ -175,7 +175,7 @@
 pub struct Quotas {
     parts: Vec<Part>,
     /// This node's turns where it reaches no keeper of limits.
-    lone_turns: RefCell<LoneTurns>,
+    standalone_reservations: RefCell<StandaloneReservations>,
     wait_places: RefCell<WaitPlaces>,
     clock: Clock,
     keepers_lost: Counter,
@@ -198,7 +198,7 @@
         };
         Rc::new(Quotas {
             parts: QuotaPartition::all().map(part).collect(),
-            lone_turns: RefCell::default(),
+            standalone_reservations: RefCell::default(),
             wait_places: RefCell::default(),
             clock,
             keepers_lost,
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -291,17 +291,17 @@
 /// that differ between nodes. A reservation that is not used expires, so nodes cannot save up a
 /// burst, no matter how many are standalone and for how long.
 #[derive(Debug, Default)]
-pub struct LoneTurns {
-    turns: HashMap<Arc<str>, Turn>,
+pub struct StandaloneReservations {
+    schedules: HashMap<Arc<str>, SendSchedule>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Turn {
+struct SendSchedule {
     interval: Duration,
     next: Moment,
 }
 
-impl LoneTurns {
+impl StandaloneReservations {
     /// Decides on a call to a replica with this limit, shared evenly by `nodes` nodes. `unit` is
     /// drawn uniformly from 0 to 1.
     pub fn reserve(
@@ -313,26 +313,27 @@
         patience: Duration,
         now: Moment,
     ) -> ReservationDecision {
-        let part_per_s = rate.per_s().max(LEAST_PER_S) / nodes.max(1) as f64;
-        let interval = Duration::from_secs_f64(1.0 / part_per_s);
-        self.turns.retain(|_, turn| now.since(turn.next) < ACCOUNT_MEMORY);
-        let drawn = Turn {
+        let share_per_s = rate.per_s().max(LEAST_PER_S) / nodes.max(1) as f64;
+        let interval = Duration::from_secs_f64(1.0 / share_per_s);
+        self.schedules
+            .retain(|_, schedule| now.since(schedule.next) < ACCOUNT_MEMORY);
+        let drawn = SendSchedule {
             interval,
             next: now + interval.mul_f64(unit),
         };
-        let turn = self.turns.entry(replica.clone()).or_insert(drawn);
-        if turn.interval != interval {
-            *turn = drawn;
+        let schedule = self.schedules.entry(replica.clone()).or_insert(drawn);
+        if schedule.interval != interval {
+            *schedule = drawn;
         }
-        let missed = now.since(turn.next).as_secs_f64() / interval.as_secs_f64();
-        turn.next = turn.next + interval.mul_f64(missed.ceil());
-        let after = turn.next.since(now);
+        let missed = now.since(schedule.next).as_secs_f64() / interval.as_secs_f64();
+        schedule.next = schedule.next + interval.mul_f64(missed.ceil());
+        let after = schedule.next.since(now);
         if after > patience.min(MOST_AHEAD) {
             let retry_after = after.min(LONGEST_RETURN);
             let balance = 0.0;
             return ReservationDecision::Refused { retry_after, balance };
         }
-        turn.next = turn.next + interval;
+        schedule.next = schedule.next + interval;
         ReservationDecision::Granted { after }
     }
 }
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::ReservationDecision;
-use croftrill_scheduler::quota::limits::{KeeperRole, LimitKeeper, LimitRequest, LoneTurns, ReportedLimit};
+use croftrill_scheduler::quota::limits::{
+    KeeperRole, LimitKeeper, LimitRequest, ReportedLimit, StandaloneReservations,
+};
 use croftrill_scheduler::replica::{
     Holdings, LimitSignal, ReplicaId, ReplicaListing, ReplicaSignals, ReplicaState, RequestRate, StartedMs,
 };
@@ -292,14 +294,15 @@
 fn ask_of_lone_nodes_after_a_long_rest_is_spread() {
     const NODES: usize = 985;
     let name: Arc<str> = replica();
-    let mut nodes: Vec<LoneTurns> = (0..NODES).map(|_| LoneTurns::default()).collect();
+    let mut nodes: Vec<StandaloneReservations> =
+        (0..NODES).map(|_| StandaloneReservations::default()).collect();
     let mut granted = 0;
     for now in [0, 3_600_000] {
         granted = 0;
-        for (index, turns) in nodes.iter_mut().enumerate() {
+        for (index, reservations) in nodes.iter_mut().enumerate() {
             let unit = index as f64 / NODES as f64;
             let patience = Duration::from_millis(500);
-            let decision = turns.reserve(&name, rate(1.0), NODES, unit, patience, at(now));
+            let decision = reservations.reserve(&name, rate(1.0), NODES, unit, patience, at(now));
             granted += usize::from(is_granted(decision));
         }
     }
