--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -22,7 +22,7 @@
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::keepers::QuotaPartition;
 use croftrill_scheduler::quota::limits::{KeeperRole, StandaloneReservations};
-use croftrill_scheduler::quota::wait_slots::WaitPlaces;
+use croftrill_scheduler::quota::wait_slots::WaitSlots;
 use croftrill_scheduler::tenants::Quota;
 use croftrill_scheduler::time::Moment;
 use prometheus_client::metrics::counter::Counter;
@@ -176,7 +176,7 @@
     parts: Vec<Part>,
     /// This node's turns where it reaches no keeper of limits.
     standalone_reservations: RefCell<StandaloneReservations>,
-    wait_places: RefCell<WaitPlaces>,
+    wait_slots: RefCell<WaitSlots>,
     clock: Clock,
     keepers_lost: Counter,
 }
@@ -199,7 +199,7 @@
         Rc::new(Quotas {
             parts: QuotaPartition::all().map(part).collect(),
             standalone_reservations: RefCell::default(),
-            wait_places: RefCell::default(),
+            wait_slots: RefCell::default(),
             clock,
             keepers_lost,
         })
@@ -217,12 +217,12 @@
 
     /// A place for a request of a tenant that waits to ask again; `None`: too many wait.
     /// `shown` counts those that wait.
-    pub fn wait_place(self: &Rc<Self>, tenant: &Arc<str>, shown: &Gauge) -> Option<WaitPlace> {
-        if !self.wait_places.borrow_mut().enter(tenant) {
+    pub fn wait_slot(self: &Rc<Self>, tenant: &Arc<str>, shown: &Gauge) -> Option<WaitSlot> {
+        if !self.wait_slots.borrow_mut().enter(tenant) {
             return None;
         }
         shown.inc();
-        Some(WaitPlace {
+        Some(WaitSlot {
             quotas: self.clone(),
             tenant: tenant.clone(),
             shown: shown.clone(),
@@ -447,15 +447,15 @@
 }
 
 /// A place of a request that waits to ask again.
-pub struct WaitPlace {
+pub struct WaitSlot {
     quotas: Rc<Quotas>,
     tenant: Arc<str>,
     shown: Gauge,
 }
 
-impl Drop for WaitPlace {
+impl Drop for WaitSlot {
     fn drop(&mut self) {
-        self.quotas.wait_places.borrow_mut().leave(&self.tenant);
+        self.quotas.wait_slots.borrow_mut().leave(&self.tenant);
         self.shown.dec();
     }
 }
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -179,7 +179,7 @@
         let Some(pause) = wait.pause(retry_after, clock.now()) else {
             break;
         };
-        place = place.or_else(|| node.quotas.wait_place(&tenant.name, &node.metrics.quota_waiting));
+        place = place.or_else(|| node.quotas.wait_slot(&tenant.name, &node.metrics.quota_waiting));
         if place.is_none() {
             break;
         }
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -6,7 +6,7 @@
 
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, QuotaRequest, ReservationDecision};
 use croftrill_scheduler::quota::reservation::{patience, AheadLimits, TurnWait};
-use croftrill_scheduler::quota::wait_slots::WaitPlaces;
+use croftrill_scheduler::quota::wait_slots::WaitSlots;
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
 use proptest::prelude::*;
@@ -307,7 +307,7 @@
 /// Requests of a tenant above its quota wait as long as they can; other tenants still get slots.
 #[test]
 fn places_to_wait_of_a_hot_tenant_leave_others_theirs() {
-    let mut waiting = WaitPlaces::default();
+    let mut waiting = WaitSlots::default();
     let tenants: Vec<Arc<str>> = (0..16).map(|index| format!("t{index}").into()).collect();
     let mut taken = Vec::new();
     for tenant in &tenants[..3] {
@@ -333,7 +333,7 @@
     fn places_to_wait_are_bounded_and_none_is_lost(
         steps in prop::collection::vec((0usize..4, prop::bool::weighted(0.7)), 0..3_000),
     ) {
-        let mut waiting = WaitPlaces::default();
+        let mut waiting = WaitSlots::default();
         let tenants: Vec<Arc<str>> = (0..4).map(|index| format!("t{index}").into()).collect();
         let mut held = [0usize; 4];
         for (tenant, enters) in steps {
