--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -5,7 +5,7 @@
 
 use croftrill_scheduler::catalog::{Configuration, Route};
 use croftrill_scheduler::quota::keeper::QuotaRequest;
-use croftrill_scheduler::quota::reservation::{patience, TurnWait};
+use croftrill_scheduler::quota::reservation::{patience, ReservationWait};
 use croftrill_scheduler::time::Moment;
 use http::header::{self, HeaderMap, HeaderValue};
 use http::StatusCode;
@@ -106,13 +106,13 @@
     route: &Route,
     now: Moment,
     until: Moment,
-) -> TurnWait {
+) -> ReservationWait {
     let reading = first_event_after(facts) * PROMPT_TIME_MARGIN;
-    let most_ahead = configuration
+    let max_ahead = configuration
         .ahead_limits
-        .most_ahead(route.priority, route.objective);
+        .max_ahead(route.priority, route.objective);
     let patience = patience(route.objective, reading).min(until.since(now));
-    TurnWait::new(now, patience, most_ahead)
+    ReservationWait::new(now, patience, max_ahead)
 }
 
 /// Waits until a moment; false if the node is asked to stop before.
--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::decision::{KeeperConfig, QuotaRequest, ReservationDecision, MOST_AHEAD};
+use super::decision::{KeeperConfig, QuotaRequest, ReservationDecision, MAX_AHEAD};
 use super::expected_retries::Returning;
 use crate::tenants::Quota;
 
@@ -159,7 +159,7 @@
     pub(super) fn reserve(&mut self, request: QuotaRequest, bounds: &AccountBounds) -> ReservationDecision {
         let cost = request.cost as f64;
         self.note_asked(&request);
-        let ahead = request.patience.min(self.most_ahead(request.is_urgent, bounds));
+        let ahead = request.patience.min(self.max_ahead(request.is_urgent, bounds));
         let left_to_others = self.returning.most_before(ahead);
         if !request.is_urgent && self.pay_with_kept(cost, left_to_others, bounds) {
             return ReservationDecision::Granted {
@@ -190,7 +190,7 @@
             self.since_others = Some(Duration::ZERO);
             return;
         }
-        let patience_s = request.patience.min(MOST_AHEAD).as_secs_f64();
+        let patience_s = request.patience.min(MAX_AHEAD).as_secs_f64();
         let mean_s = self.urgent_patience_s.get_or_insert(patience_s);
         *mean_s += (patience_s - *mean_s) / MEAN_OVER;
     }
@@ -202,8 +202,8 @@
     }
 
     /// Returns the maximum time for which a request is granted ahead.
-    fn most_ahead(&self, is_urgent: bool, bounds: &AccountBounds) -> Duration {
-        let most = MOST_AHEAD.min(bounds.window / 2);
+    fn max_ahead(&self, is_urgent: bool, bounds: &AccountBounds) -> Duration {
+        let most = MAX_AHEAD.min(bounds.window / 2);
         match self.urgent_patience_s {
             Some(patience_s) if !is_urgent => most.min(Duration::from_secs_f64(patience_s) / OTHERS_AHEAD),
             _ => most,
--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -19,7 +19,7 @@
 
 /// Maximum time for which units are granted ahead. A grant cannot be revoked, neither for a more
 /// urgent request nor by the next keeper.
-pub(super) const MOST_AHEAD: Duration = Duration::from_millis(500);
+pub(super) const MAX_AHEAD: Duration = Duration::from_millis(500);
 
 /// Bounds that apply to all keepers.
 #[derive(Debug, Clone, Copy)]
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -7,7 +7,7 @@
 //!
 //! With nodes whose lists agree, and `L` the limit, the worst sum in any time `t` is `L` x `t`
 //! plus two savings from the first keeper, a quarter of `L` x `t` plus two savings from the
-//! second, and `L` x [`MOST_AHEAD`] once when one keeper replaces the other. For limits of up to
+//! second, and `L` x [`MAX_AHEAD`] once when one keeper replaces the other. For limits of up to
 //! ten per second that is 5.5 `L` + 4 in 4 s, where 6 `L` + 5 are promised.
 
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 /// Maximum time for which a send is reserved ahead. A request that would wait longer is better
 /// refused with a time to retry after, and the next keeper does not know of reservations made at
 /// this one.
-pub const MOST_AHEAD: Duration = Duration::from_millis(500);
+pub const MAX_AHEAD: Duration = Duration::from_millis(500);
 /// Fraction of the limit granted by a keeper that is not the first of its list, as the first may
 /// still serve other nodes. A replica can take the sum of both for a while. Three quarters of the
 /// limit are unused until the list no longer has the first keeper.
@@ -179,7 +179,7 @@
         let gain_per_s = self.gain_per_s(role);
         let urgent_per_s = gain_per_s * self.urgent_part(gain_per_s);
         let usual_per_s = gain_per_s - urgent_per_s;
-        let patience = request.patience.min(MOST_AHEAD);
+        let patience = request.patience.min(MAX_AHEAD);
         if request.is_urgent {
             let after = self.urgent.turn_in(urgent_per_s, 0.0);
             if after <= patience && after <= self.usual.turn_in(usual_per_s, 0.0) {
@@ -328,7 +328,7 @@
         let missed = now.since(schedule.next).as_secs_f64() / interval.as_secs_f64();
         schedule.next = schedule.next + interval.mul_f64(missed.ceil());
         let after = schedule.next.since(now);
-        if after > patience.min(MOST_AHEAD) {
+        if after > patience.min(MAX_AHEAD) {
             let retry_after = after.min(LONGEST_RETURN);
             let balance = 0.0;
             return ReservationDecision::Refused { retry_after, balance };
--- a/crates/croftrill-scheduler/src/quota/reservation.rs
+++ b/crates/croftrill-scheduler/src/quota/reservation.rs
@@ -8,21 +8,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::decision::MOST_AHEAD;
+use super::decision::MAX_AHEAD;
 use crate::time::Moment;
 
 /// A request waits for its reservation for the time left after reading its prompt, divided by
 /// this. The rest covers a queue or a model load at its replica.
-const WAIT_PART: u32 = 2;
+const WAIT_DIVISOR: u32 = 2;
 /// A request is granted ahead for the time that requests of higher precedence can wait, divided
 /// by this.
-const AHEAD_PART: u32 = 2;
+const AHEAD_DIVISOR: u32 = 2;
 /// Minimum time before a retry: large compared with the round trip to a keeper and its work.
-const LEAST_PAUSE: Duration = Duration::from_millis(25);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Returns the time that a request can wait for its reservation and still meet its objective.
 pub fn patience(objective: Duration, reading: Duration) -> Duration {
-    objective.saturating_sub(reading) / WAIT_PART
+    objective.saturating_sub(reading) / WAIT_DIVISOR
 }
 
 /// Maximum time for which requests of each rank are granted ahead.
@@ -34,34 +34,34 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct RankLimits {
     /// Maximum time for any request of the rank.
-    most: Duration,
+    max_ahead: Duration,
     /// Shortest objective of the rank's routes.
-    least_objective: Duration,
+    min_objective: Duration,
 }
 
 impl RankLimits {
     /// Returns the time that the rank's requests with the shortest objective can wait.
-    fn least_patience(&self) -> Duration {
-        patience(self.least_objective, Duration::ZERO).min(self.most)
+    fn min_patience(&self) -> Duration {
+        patience(self.min_objective, Duration::ZERO).min(self.max_ahead)
     }
 }
 
 impl AheadLimits {
     /// Derives the limits from the ranks (0 is the most urgent) and objectives of routes.
     pub fn new(routes: impl Iterator<Item = (u8, Duration)>) -> Self {
-        let mut least: BTreeMap<u8, Duration> = BTreeMap::new();
+        let mut min_objectives: BTreeMap<u8, Duration> = BTreeMap::new();
         for (rank, objective) in routes.filter(|(_, objective)| !objective.is_zero()) {
-            let known = least.entry(rank).or_insert(objective);
+            let known = min_objectives.entry(rank).or_insert(objective);
             *known = objective.min(*known);
         }
         let mut ranks = BTreeMap::new();
-        let mut most = MOST_AHEAD;
-        for (rank, least_objective) in least {
+        let mut max_ahead = MAX_AHEAD;
+        for (rank, min_objective) in min_objectives {
             let limits = RankLimits {
-                most,
-                least_objective,
+                max_ahead,
+                min_objective,
             };
-            most = limits.least_patience() / AHEAD_PART;
+            max_ahead = limits.min_patience() / AHEAD_DIVISOR;
             ranks.insert(rank, limits);
         }
         AheadLimits { ranks }
@@ -69,42 +69,42 @@
 
     /// Returns the maximum time for which a request is granted ahead. It is shorter than more
     /// urgent requests can wait, and than requests of the same rank with shorter objectives can.
-    pub fn most_ahead(&self, rank: u8, objective: Duration) -> Duration {
+    pub fn max_ahead(&self, rank: u8, objective: Duration) -> Duration {
         match self.ranks.get(&rank) {
-            Some(limits) if objective > limits.least_objective => limits.least_patience() / AHEAD_PART,
-            Some(limits) => limits.most,
-            None => MOST_AHEAD,
+            Some(limits) if objective > limits.min_objective => limits.min_patience() / AHEAD_DIVISOR,
+            Some(limits) => limits.max_ahead,
+            None => MAX_AHEAD,
         }
     }
 }
 
 /// Tracks how long one request waits for its reservation.
 #[derive(Debug, Clone, Copy)]
-pub struct TurnWait {
-    until: Moment,
-    most_ahead: Duration,
+pub struct ReservationWait {
+    deadline: Moment,
+    max_ahead: Duration,
 }
 
-impl TurnWait {
+impl ReservationWait {
     /// Creates the wait of a request that arrives now, can wait for `patience` and is granted
-    /// ahead for at most `most_ahead`.
-    pub fn new(now: Moment, patience: Duration, most_ahead: Duration) -> Self {
-        TurnWait {
-            until: now + patience,
-            most_ahead,
+    /// ahead for at most `max_ahead`.
+    pub fn new(now: Moment, patience: Duration, max_ahead: Duration) -> Self {
+        ReservationWait {
+            deadline: now + patience,
+            max_ahead,
         }
     }
 
     /// Returns the time for which the request may be granted ahead now.
     pub fn ahead(&self, now: Moment) -> Duration {
-        let left = self.until.since(now);
-        left.min(self.most_ahead)
+        let left = self.deadline.since(now);
+        left.min(self.max_ahead)
     }
 
     /// Returns when to retry after a refusal that gave `retry_after`, or `None` if that is too
     /// late for the request.
     pub fn pause(&self, retry_after: Duration, now: Moment) -> Option<Duration> {
-        let pause = retry_after.max(LEAST_PAUSE);
-        (now + pause < self.until).then_some(pause)
+        let pause = retry_after.max(MIN_RETRY_PAUSE);
+        (now + pause < self.deadline).then_some(pause)
     }
 }
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use croftrill_scheduler::quota::keeper::{KeeperConfig, QuotaKeeper, QuotaRequest, ReservationDecision};
-use croftrill_scheduler::quota::reservation::{patience, AheadLimits, TurnWait};
+use croftrill_scheduler::quota::reservation::{patience, AheadLimits, ReservationWait};
 use croftrill_scheduler::quota::wait_slots::WaitSlots;
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use croftrill_scheduler::time::Moment;
@@ -61,7 +61,7 @@
     kind: usize,
     came_at: Moment,
     asks: u64,
-    wait: TurnWait,
+    wait: ReservationWait,
 }
 
 /// The result of a simulation of a tenant at a keeper that all nodes listen to.
@@ -91,7 +91,7 @@
             // Kinds do not arrive at the same moments.
             let came_at = at(micros + 137 * kind as u64);
             let longest = patience(told.objective(), Duration::ZERO);
-            let wait = TurnWait::new(came_at, longest, limits.most_ahead(told.rank, told.objective()));
+            let wait = ReservationWait::new(came_at, longest, limits.max_ahead(told.rank, told.objective()));
             let request = Waiting {
                 kind,
                 came_at,
@@ -294,7 +294,7 @@
 fn ahead_limits_go_down_with_the_rank_and_with_the_time_that_others_have() {
     let kinds = mix(1.0);
     let limits = AheadLimits::new(kinds.iter().map(|kind| (kind.rank, kind.objective())));
-    let most = |kind: &Kind| limits.most_ahead(kind.rank, kind.objective());
+    let most = |kind: &Kind| limits.max_ahead(kind.rank, kind.objective());
     let millis = Duration::from_millis;
     assert_eq!(most(&kinds[0]), millis(500));
     // Half of the 250 ms that drafts can wait.
