--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -47,13 +47,13 @@
     }
 
     /// Returns the maximum savings of a tenant, in units.
-    pub(super) fn most_saved(&self, quota: &Quota) -> f64 {
+    pub(super) fn max_savings(&self, quota: &Quota) -> f64 {
         quota.burst * SAVED_PART
     }
 
     /// Returns the income of a tenant, in units per second.
     pub(super) fn income_per_s(&self, quota: &Quota) -> f64 {
-        (self.spent_in_window(quota) - self.most_saved(quota)) / self.window.as_secs_f64()
+        (self.spent_in_window(quota) - self.max_savings(quota)) / self.window.as_secs_f64()
     }
 }
 
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -140,7 +140,7 @@
     pub fn carry(&mut self, name: &str, cost: u64, now: Moment) {
         self.settle(now);
         if let Some(account) = self.accounts.get_mut(name) {
-            account.owe(cost);
+            account.charge(cost);
         }
     }
 
@@ -168,7 +168,7 @@
         let share = self.share();
         for account in self.accounts.values_mut() {
             let bounds = AccountBounds::new(&self.config, &account.quota, share);
-            account.gain(elapsed, &bounds);
+            account.accrue(elapsed, &bounds);
         }
     }
 }
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -92,9 +92,9 @@
 
 impl Lane {
     /// Adds tokens and returns those beyond the capacity.
-    fn gain(&mut self, places: f64, most_saved: f64) -> f64 {
+    fn gain(&mut self, places: f64, max_savings: f64) -> f64 {
         self.refused = (self.refused - places).max(0.0);
-        let room = (most_saved - self.balance).max(0.0);
+        let room = (max_savings - self.balance).max(0.0);
         self.balance += places.min(room);
         (places - room).max(0.0)
     }
@@ -163,11 +163,11 @@
         let elapsed_s = now.since(self.settled_at).as_secs_f64();
         self.settled_at = self.settled_at.max(now);
         let gain_per_s = self.gain_per_s(role);
-        let most_saved = (gain_per_s * SAVED_FOR.as_secs_f64()).max(1.0);
+        let max_savings = (gain_per_s * SAVED_FOR.as_secs_f64()).max(1.0);
         let places = gain_per_s * elapsed_s;
         let for_urgent = places * self.urgent_part(gain_per_s);
-        let unwanted = self.urgent.gain(for_urgent, most_saved);
-        self.usual.gain(places - for_urgent + unwanted, most_saved);
+        let unwanted = self.urgent.gain(for_urgent, max_savings);
+        self.usual.gain(places - for_urgent + unwanted, max_savings);
         self.urgent_asked *= (-elapsed_s / URGENT_MEMORY_S).exp();
     }
 
