--- a/crates/croftrill-scheduler/src/quota/decision.rs
+++ b/crates/croftrill-scheduler/src/quota/decision.rs
@@ -6,16 +6,16 @@
 
 /// Fraction of the overage that is spent. The rest covers requests that are delayed between their
 /// grant and their replica, so that more of them arrive in a window.
-const OVERAGE_PART: f64 = 0.8;
+const OVERAGE_FRACTION: f64 = 0.8;
 /// Fraction of the slack that is spent in any window.
-const SLACK_PART: f64 = 0.2;
+const SLACK_FRACTION: f64 = 0.2;
 /// Maximum debt of a tenant at all keepers together, as a fraction of the slack. Two more keepers
 /// that start within a window, each allowing the full debt, stay within the slack.
-const DEBT_PART: f64 = 0.2;
+const DEBT_FRACTION: f64 = 0.2;
 /// Fraction of the burst that can be saved. The window bounds savings and income together: the
 /// less is saved, the higher the income while a tenant exceeds its quota. Half of the burst still
 /// covers twice the rate for half a second.
-const SAVED_PART: f64 = 0.5;
+const SAVED_BURST_FRACTION: f64 = 0.5;
 
 /// Maximum time for which units are granted ahead. A grant cannot be revoked, neither for a more
 /// urgent request nor by the next keeper.
@@ -36,24 +36,24 @@
     /// Returns the maximum debt of a tenant, in units. A request larger than the balance is
     /// granted, and the next ones wait until it is paid.
     pub fn debt(&self) -> f64 {
-        self.slack * DEBT_PART
+        self.slack * DEBT_FRACTION
     }
 
     /// Returns the units that a tenant may spend in a window, not counting debt. Nearly as many
     /// as the bounds allow, as a request refused below the bounds is lost.
-    pub fn spent_in_window(&self, quota: &Quota) -> f64 {
-        let told = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
-        told * (1.0 + self.overage * OVERAGE_PART) + self.slack * SLACK_PART
+    pub fn window_allowance(&self, quota: &Quota) -> f64 {
+        let nominal = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
+        nominal * (1.0 + self.overage * OVERAGE_FRACTION) + self.slack * SLACK_FRACTION
     }
 
     /// Returns the maximum savings of a tenant, in units.
     pub(super) fn max_savings(&self, quota: &Quota) -> f64 {
-        quota.burst * SAVED_PART
+        quota.burst * SAVED_BURST_FRACTION
     }
 
     /// Returns the income of a tenant, in units per second.
     pub(super) fn income_per_s(&self, quota: &Quota) -> f64 {
-        (self.spent_in_window(quota) - self.max_savings(quota)) / self.window.as_secs_f64()
+        (self.window_allowance(quota) - self.max_savings(quota)) / self.window.as_secs_f64()
     }
 }
 
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -98,7 +98,7 @@
 #[test]
 fn window_of_one_keeper_uses_the_bounds() {
     let allowed = (QUOTA.rate_per_s * 8.0 + QUOTA.burst) * (1.0 + CONFIG.overage) + CONFIG.slack;
-    let most = CONFIG.spent_in_window(&QUOTA) + 3.0 * CONFIG.debt();
+    let most = CONFIG.window_allowance(&QUOTA) + 3.0 * CONFIG.debt();
     assert!(most <= allowed, "{most} of {allowed}");
     let mut keeper = full(84);
     let mut spent = 0;
@@ -206,7 +206,7 @@
             spent += COST;
         }
     }
-    let income = CONFIG.spent_in_window(&QUOTA) * 1.2 / 8.0;
+    let income = CONFIG.window_allowance(&QUOTA) * 1.2 / 8.0;
     assert!(
         (ahead + spent) as f64 <= income + CONFIG.debt(),
         "{ahead} and {spent}"
@@ -356,7 +356,7 @@
             spent += 100;
         }
     }
-    let part = (CONFIG.spent_in_window(&QUOTA) + CONFIG.debt()) / 84.0;
+    let part = (CONFIG.window_allowance(&QUOTA) + CONFIG.debt()) / 84.0;
     assert!(spent as f64 <= part, "{spent} of {part}");
 }
 
@@ -514,8 +514,8 @@
         let keepers = within(&self.began, 0).min(KEEPERS as f64 * 3.0);
         let silent_s = SILENCE as f64 / 1000.0;
         let twice = within(&self.silences, SILENCE) * silent_s / NODES as f64;
-        let per_s = CONFIG.spent_in_window(&QUOTA) / WINDOW.as_secs_f64();
-        CONFIG.spent_in_window(&QUOTA)
+        let per_s = CONFIG.window_allowance(&QUOTA) / WINDOW.as_secs_f64();
+        CONFIG.window_allowance(&QUOTA)
             + per_s * twice * WINDOW.as_secs_f64()
             + QUOTA.burst * twice
             + (keepers + 1.0) * CONFIG.debt()
@@ -636,10 +636,10 @@
             }
         }
         let window = config.window.as_millis() as u64;
-        let told = quota.rate_per_s * config.window.as_secs_f64() + quota.burst;
+        let nominal = quota.rate_per_s * config.window.as_secs_f64() + quota.burst;
         // A grant's time is sent to requests in whole milliseconds.
         let rounding = quota.rate_per_s * 0.002 + 1.0;
-        let allowed = told * (1.0 + config.overage) + config.slack + rounding;
+        let allowed = nominal * (1.0 + config.overage) + config.slack + rounding;
         for from in (quiet_ms..quiet_ms + 16_000).step_by(100) {
             let within = runs.iter().filter(|(sent, runs_at, _)| *sent >= from && *runs_at <= from + window);
             let sum: u64 = within.map(|(_, _, cost)| *cost).sum();
