--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::decision::{KeeperConfig, QuotaRequest, ReservationDecision, MAX_AHEAD};
-use super::expected_retries::Returning;
+use super::expected_retries::ExpectedRetries;
 use crate::tenants::Quota;
 
 /// Fraction of the income set aside for non-urgent requests while the tenant sends any.
@@ -77,7 +77,7 @@
     /// Moving average of the cost of requests.
     mean_cost: f64,
     /// Refused requests that may be retried: the costliest of each step of time granted ahead.
-    returning: Returning,
+    expected_retries: ExpectedRetries,
     /// Moving average of the time that urgent requests can wait, in seconds; `None` before the
     /// first.
     mean_urgent_patience_s: Option<f64>,
@@ -94,7 +94,7 @@
             since_non_urgent: None,
             refused_units: 0.0,
             mean_cost: 0.0,
-            returning: Returning::default(),
+            expected_retries: ExpectedRetries::default(),
             mean_urgent_patience_s: None,
         }
     }
@@ -109,7 +109,7 @@
         self.balance = self.balance.min(0.0);
         self.non_urgent_balance = 0.0;
         self.refused_units = 0.0;
-        self.returning = Returning::default();
+        self.expected_retries = ExpectedRetries::default();
     }
 
     /// Drops all savings and debt.
@@ -142,7 +142,7 @@
     pub(super) fn accrue(&mut self, elapsed: Duration, bounds: &AccountBounds) {
         let income = bounds.income_per_s * elapsed.as_secs_f64();
         self.since_non_urgent = self.since_non_urgent.map(|since| since + elapsed);
-        self.returning.pass(elapsed);
+        self.expected_retries.advance(elapsed);
         let max_non_urgent = self.max_non_urgent(bounds);
         let surplus = (self.non_urgent_balance - max_non_urgent).max(0.0);
         let set_aside =
@@ -163,7 +163,7 @@
         let cost = request.cost as f64;
         self.record_request(&request);
         let ahead = request.patience.min(self.max_ahead(request.is_urgent, bounds));
-        let left_to_others = self.returning.most_before(ahead);
+        let left_to_others = self.expected_retries.max_cost_before(ahead);
         if !request.is_urgent && self.pay_with_non_urgent_balance(cost, left_to_others, bounds) {
             return ReservationDecision::Granted {
                 after: Duration::ZERO,
@@ -179,7 +179,7 @@
         }
         let retry_after = bounds.time_to_earn(missing + self.refused_units);
         self.refused_units += cost;
-        self.returning.note(ahead, cost, retry_after);
+        self.expected_retries.record(ahead, cost, retry_after);
         ReservationDecision::Refused {
             retry_after,
             balance: self.balance(),
