--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -336,7 +336,7 @@
         is_urgent: ask.is_urgent,
     };
     let tenant = ask.tenant.as_str();
-    keeper.learn(&tenant.into(), ask.quota.to_quota(), ask.version, now);
+    keeper.update_quota(&tenant.into(), ask.quota.to_quota(), ask.version, now);
     keeper.reserve(tenant, want, now)
 }
 
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -92,7 +92,7 @@
         let PartKeeper::Quotas(keeper) = keeper else {
             return None;
         };
-        keeper.learn(self.tenant, self.quota, self.version, now);
+        keeper.update_quota(self.tenant, self.quota, self.version, now);
         Some(keeper.reserve(self.tenant, self.want, now))
     }
 }
@@ -425,13 +425,13 @@
                 return keeper.set_role(role, now);
             }
         };
-        keeper.count_listed(fleet.listed(), now);
+        keeper.set_listed_nodes(fleet.listed(), now);
         if let Some(configuration) = fleet.configuration() {
             let of_part = configuration
                 .tenants
                 .iter()
                 .filter(|tenant| QuotaPartition::of_tenant(&tenant.name) == part);
-            keeper.learn_all(of_part, configuration.version, now);
+            keeper.update_quotas(of_part, configuration.version, now);
         }
     }
 
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -12,7 +12,7 @@
 /// How long a node still counts as listed after it was last seen. A machine whose entry the store
 /// lost may continue with a keeper and listeners of its own. Exceeds the longest known partition
 /// (12 s) plus the lease that an entry still has.
-const LISTED_MEMORY: Duration = Duration::from_secs(20);
+const LISTED_RETENTION: Duration = Duration::from_secs(20);
 
 /// The balances of the tenants of one partition.
 ///
@@ -60,17 +60,17 @@
     /// Sets the number of listening nodes.
     pub fn set_listeners(&mut self, listeners: usize, now: Moment) {
         self.settle(now);
-        let had = std::mem::replace(&mut self.listeners, listeners);
-        match (had, listeners) {
+        let previous = std::mem::replace(&mut self.listeners, listeners);
+        match (previous, listeners) {
             (1.., 0) => self.idle_since = Some(now),
-            (0, 1..) => self.begin(now),
+            (0, 1..) => self.resume(now),
             _ => {}
         }
     }
 
     /// Handles the arrival of the first listener. Nodes may have spent their savings at another
     /// keeper, so savings are dropped and only debts remain, for one window.
-    fn begin(&mut self, now: Moment) {
+    fn resume(&mut self, now: Moment) {
         let idle = self.idle_since.take().map(|since| now.since(since));
         let is_forgotten = idle.is_some_and(|idle| idle > self.config.window);
         for account in self.accounts.values_mut() {
@@ -83,9 +83,10 @@
     }
 
     /// Sets the number of listed nodes.
-    pub fn count_listed(&mut self, nodes: usize, now: Moment) {
+    pub fn set_listed_nodes(&mut self, nodes: usize, now: Moment) {
         self.settle(now);
-        self.listed.retain(|(seen, _)| now.since(*seen) <= LISTED_MEMORY);
+        self.listed
+            .retain(|(seen, _)| now.since(*seen) <= LISTED_RETENTION);
         match self.listed.last_mut() {
             Some((seen, count)) if *count == nodes => *seen = now,
             _ => self.listed.push((now, nodes)),
@@ -93,7 +94,7 @@
     }
 
     /// Applies a tenant's quota as of a version of the configuration.
-    pub fn learn(&mut self, name: &Arc<str>, quota: Quota, version: u64, now: Moment) {
+    pub fn update_quota(&mut self, name: &Arc<str>, quota: Quota, version: u64, now: Moment) {
         let is_known = self
             .accounts
             .get(name)
@@ -112,10 +113,15 @@
     }
 
     /// Applies the quotas of all tenants as of a version of the configuration.
-    pub fn learn_all<'a>(&mut self, tenants: impl Iterator<Item = &'a Tenant>, version: u64, now: Moment) {
+    pub fn update_quotas<'a>(
+        &mut self,
+        tenants: impl Iterator<Item = &'a Tenant>,
+        version: u64,
+        now: Moment,
+    ) {
         for tenant in tenants {
             if let Some(quota) = tenant.quota {
-                self.learn(&tenant.name, quota, version, now);
+                self.update_quota(&tenant.name, quota, version, now);
             }
         }
     }
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -135,7 +135,7 @@
     }
 
     /// Applies a limit received by a node if it is newer than the known one.
-    fn learn(&mut self, started_ms: Option<StartedMs>, limit: ReportedLimit) {
+    fn update_limit(&mut self, started_ms: Option<StartedMs>, limit: ReportedLimit) {
         let is_newer = match Incarnation::of(started_ms, self.started_ms) {
             Incarnation::Earlier => false,
             Incarnation::Later => true,
@@ -260,7 +260,7 @@
         let account = self.accounts.entry(replica.clone());
         let account = account.or_insert_with(|| Account::new(started_ms, limit, now));
         account.settle(self.role, now);
-        account.learn(started_ms, limit);
+        account.update_limit(started_ms, limit);
         account.reserve(request, self.role, now)
     }
 
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -30,7 +30,7 @@
 
 fn keeper(now: Moment) -> QuotaKeeper {
     let mut keeper = QuotaKeeper::new(CONFIG, now);
-    keeper.learn(&name(), QUOTA, 1, now);
+    keeper.update_quota(&name(), QUOTA, 1, now);
     keeper
 }
 
@@ -41,9 +41,9 @@
 /// A keeper with a full balance that all nodes listen to.
 fn full(nodes: usize) -> QuotaKeeper {
     let mut keeper = keeper(at(0));
-    keeper.count_listed(nodes, at(0));
+    keeper.set_listed_nodes(nodes, at(0));
     keeper.set_listeners(nodes, at(0));
-    keeper.count_listed(nodes, at(5_000));
+    keeper.set_listed_nodes(nodes, at(5_000));
     keeper
 }
 
@@ -103,7 +103,7 @@
     let mut keeper = full(84);
     let mut spent = 0;
     for millis in 5_000..13_000 {
-        keeper.count_listed(84, at(millis));
+        keeper.set_listed_nodes(84, at(millis));
         while granted(&mut keeper, COST, at(millis)) {
             spent += COST;
         }
@@ -122,8 +122,8 @@
         ..QUOTA
     };
     let mut keeper = QuotaKeeper::new(CONFIG, at(0));
-    keeper.learn(&name(), large, 1, at(0));
-    keeper.count_listed(84, at(0));
+    keeper.update_quota(&name(), large, 1, at(0));
+    keeper.set_listed_nodes(84, at(0));
     keeper.set_listeners(84, at(0));
     let mut longest = Duration::ZERO;
     for millis in (0..3_000).step_by(20) {
@@ -197,7 +197,7 @@
         ahead += if after.is_zero() { 0 } else { COST };
     }
     let mut new = keeper(at(5_000));
-    new.count_listed(84, at(5_000));
+    new.set_listed_nodes(84, at(5_000));
     new.set_listeners(84, at(5_000));
     new.carry("t", ahead, at(5_000));
     let mut spent = 0;
@@ -249,13 +249,13 @@
 #[test]
 fn share_of_nodes_that_the_store_lost_is_not_taken_over_soon() {
     let mut keeper = keeper(at(0));
-    keeper.count_listed(84, at(0));
+    keeper.set_listed_nodes(84, at(0));
     keeper.set_listeners(55, at(0));
     for millis in (500..13_000).step_by(500) {
-        keeper.count_listed(55, at(millis));
+        keeper.set_listed_nodes(55, at(millis));
         assert!(keeper.share() < 0.7, "at {millis} ms");
     }
-    keeper.count_listed(55, at(30_000));
+    keeper.set_listed_nodes(55, at(30_000));
     assert_eq!(keeper.share(), 1.0);
 }
 
@@ -326,32 +326,32 @@
         burst: 1_000.0,
         ..QUOTA
     };
-    keeper.learn(&name(), lower, 2, at(5_000));
+    keeper.update_quota(&name(), lower, 2, at(5_000));
     let mut spent = 0;
     while granted(&mut keeper, COST, at(5_000)) {
         spent += COST;
     }
     assert!(spent as f64 <= lower.burst + CONFIG.debt());
     // An older version, sent by a node that lags behind, changes nothing.
-    keeper.learn(&name(), QUOTA, 1, at(5_000));
+    keeper.update_quota(&name(), QUOTA, 1, at(5_000));
     assert!(!granted(&mut keeper, COST, at(6_000)));
     let higher = Quota {
         rate_per_s: 900_000.0,
         burst: 900_000.0,
         ..QUOTA
     };
-    keeper.learn(&name(), higher, 3, at(6_000));
+    keeper.update_quota(&name(), higher, 3, at(6_000));
     assert!(granted(&mut keeper, COST, at(6_100)));
 }
 
 #[test]
 fn new_keeper_has_no_balance_and_a_cut_off_node_only_its_part() {
     let mut alone = keeper(at(0));
-    alone.count_listed(84, at(0));
+    alone.set_listed_nodes(84, at(0));
     alone.set_listeners(1, at(0));
     let mut spent = 0;
     for millis in 0..8_000 {
-        alone.count_listed(84, at(millis));
+        alone.set_listed_nodes(84, at(millis));
         if granted(&mut alone, 100, at(millis)) {
             spent += 100;
         }
@@ -455,7 +455,7 @@
         for index in 0..KEEPERS {
             let own = self.choice.iter().filter(|choice| **choice == index).count();
             let ghosts = self.ghosts.iter().filter(|(keeper, _)| *keeper == index).count();
-            self.keepers[index].count_listed(NODES, at(now));
+            self.keepers[index].set_listed_nodes(NODES, at(now));
             self.keepers[index].set_listeners(own + ghosts, at(now));
         }
     }
@@ -569,7 +569,7 @@
             now += gap;
             balance = (balance + QUOTA.rate_per_s * gap as f64 / 1000.0).min(QUOTA.burst);
             let is_owed = balance >= COST as f64;
-            keeper.count_listed(84, at(now));
+            keeper.set_listed_nodes(84, at(now));
             let is_granted = granted(&mut keeper, COST, at(now));
             if is_owed {
                 balance -= COST as f64;
@@ -620,8 +620,8 @@
         quiet_ms in 0u64..6_000,
     ) {
         let mut keeper = QuotaKeeper::new(config, at(0));
-        keeper.learn(&name(), quota, 1, at(0));
-        keeper.count_listed(10, at(0));
+        keeper.update_quota(&name(), quota, 1, at(0));
+        keeper.set_listed_nodes(10, at(0));
         keeper.set_listeners(10, at(0));
         let mut runs: Vec<(u64, u64, u64)> = Vec::new();
         for now in quiet_ms..quiet_ms + 16_000 {
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -80,8 +80,8 @@
     let most_urgent = kinds.iter().map(|kind| kind.rank).min();
     let mut keeper = QuotaKeeper::new(config, at(0));
     let name: Arc<str> = "t".into();
-    keeper.learn(&name, quota, 1, at(0));
-    keeper.count_listed(60, at(0));
+    keeper.update_quota(&name, quota, 1, at(0));
+    keeper.set_listed_nodes(60, at(0));
     keeper.set_listeners(60, at(0));
     let mut queue: BTreeMap<(Moment, u64), Waiting> = BTreeMap::new();
     let mut number = 0;
