--- a/crates/croftrill-node/src/orderer_task/limited.rs
+++ b/crates/croftrill-node/src/orderer_task/limited.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use croftrill_scheduler::quota::limits::{LimitRequest, LEAST_PER_S};
+use croftrill_scheduler::quota::limits::{LimitRequest, MIN_RATE_PER_S};
 use croftrill_scheduler::replica::ReplicaId;
 use croftrill_scheduler::time::Moment;
 
@@ -29,7 +29,7 @@
         let Some((limit, _)) = node.state.borrow().replicas.limit_of(replica) else {
             return;
         };
-        let calls_per_s = limit.rate.per_s().max(LEAST_PER_S) * CONTROL_PART;
+        let calls_per_s = limit.rate.per_s().max(MIN_RATE_PER_S) * CONTROL_PART;
         let pause = Duration::from_secs_f64(1.0 / calls_per_s);
         self.next_at.insert(replica.clone(), node.clock.now() + pause);
     }
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -20,9 +20,9 @@
 
 /// Minimum rate regardless of the reported limit, in requests per second over all nodes. Only an
 /// answer shows that the limit is lifted, so some requests must continue: one in 4 s.
-pub const LEAST_PER_S: f64 = 0.25;
+pub const MIN_RATE_PER_S: f64 = 0.25;
 /// Time whose income can be saved while there are no requests; at least one request is saved.
-const SAVED_FOR: Duration = Duration::from_millis(100);
+const SAVINGS_PERIOD: Duration = Duration::from_millis(100);
 /// Maximum time for which a send is reserved ahead. A request that would wait longer is better
 /// refused with a time to retry after, and the next keeper does not know of reservations made at
 /// this one.
@@ -32,18 +32,18 @@
 /// limit are unused until the list no longer has the first keeper.
 const SECONDARY_LIMIT_FRACTION: f64 = 0.25;
 /// Maximum time to retry after: beyond it the limit has probably changed.
-const LONGEST_RETURN: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Time without requests after which an account is dropped.
-const ACCOUNT_MEMORY: Duration = Duration::from_secs(60);
+const ACCOUNT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Bounds of the fraction of the income that is set aside for urgent requests; see
 /// [`super::account`].
-const LEAST_URGENT_PART: f64 = 0.05;
-const MOST_URGENT_PART: f64 = 0.6;
+const MIN_URGENT_FRACTION: f64 = 0.05;
+const MAX_URGENT_FRACTION: f64 = 0.6;
 /// Factor on the demand of urgent requests by which income is set aside for them, as they arrive
 /// unevenly.
 const URGENT_MARGIN: f64 = 1.25;
 /// Time constant with which the measured demand of urgent requests decays.
-const URGENT_MEMORY_S: f64 = 2.0;
+const URGENT_DECAY_S: f64 = 2.0;
 
 /// A replica's limit as a node received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,27 +83,27 @@
 
 /// A token bucket with little capacity for calls of one kind.
 #[derive(Debug, Clone, Copy, Default)]
-struct Lane {
+struct TokenBucket {
     /// Calls that may be sent now; negative if calls are reserved ahead.
     balance: f64,
     /// Calls that were refused, less those that could have been granted since.
     refused: f64,
 }
 
-impl Lane {
+impl TokenBucket {
     /// Adds tokens and returns those beyond the capacity.
-    fn gain(&mut self, places: f64, max_savings: f64) -> f64 {
-        self.refused = (self.refused - places).max(0.0);
-        let room = (max_savings - self.balance).max(0.0);
-        self.balance += places.min(room);
-        (places - room).max(0.0)
+    fn add(&mut self, tokens: f64, max_savings: f64) -> f64 {
+        self.refused = (self.refused - tokens).max(0.0);
+        let free_capacity = (max_savings - self.balance).max(0.0);
+        self.balance += tokens.min(free_capacity);
+        (tokens - free_capacity).max(0.0)
     }
 
     /// Returns the time until a call can be sent, behind `ahead` others.
-    fn turn_in(&self, gain_per_s: f64, ahead: f64) -> Duration {
+    fn available_in(&self, income_per_s: f64, ahead: f64) -> Duration {
         let missing = (1.0 + ahead - self.balance).max(0.0);
-        let turn_in = Duration::try_from_secs_f64(missing / gain_per_s.max(f64::MIN_POSITIVE));
-        turn_in.unwrap_or(LONGEST_RETURN).min(LONGEST_RETURN)
+        let available_in = Duration::try_from_secs_f64(missing / income_per_s.max(f64::MIN_POSITIVE));
+        available_in.unwrap_or(MAX_RETRY_AFTER).min(MAX_RETRY_AFTER)
     }
 }
 
@@ -112,12 +112,12 @@
 struct Account {
     started_ms: Option<StartedMs>,
     limit: ReportedLimit,
-    usual: Lane,
-    urgent: Lane,
-    /// Urgent calls requested, decaying with [`URGENT_MEMORY_S`].
-    urgent_asked: f64,
+    non_urgent: TokenBucket,
+    urgent: TokenBucket,
+    /// Urgent calls requested, decaying with [`URGENT_DECAY_S`].
+    urgent_demand: f64,
     settled_at: Moment,
-    asked_at: Moment,
+    last_request_at: Moment,
 }
 
 impl Account {
@@ -126,11 +126,11 @@
         Account {
             started_ms,
             limit,
-            usual: Lane::default(),
-            urgent: Lane::default(),
-            urgent_asked: 0.0,
+            non_urgent: TokenBucket::default(),
+            urgent: TokenBucket::default(),
+            urgent_demand: 0.0,
             settled_at: now,
-            asked_at: now,
+            last_request_at: now,
         }
     }
 
@@ -147,67 +147,67 @@
         }
     }
 
-    fn gain_per_s(&self, role: KeeperRole) -> f64 {
-        self.limit.rate.per_s().max(LEAST_PER_S) * role.limit_fraction()
+    fn income_per_s(&self, role: KeeperRole) -> f64 {
+        self.limit.rate.per_s().max(MIN_RATE_PER_S) * role.limit_fraction()
     }
 
     /// Returns the fraction of the income to set aside for urgent calls. Otherwise the other
     /// calls would use all of it, as those that can wait longest reserve first.
-    fn urgent_part(&self, gain_per_s: f64) -> f64 {
-        let asked_per_s = self.urgent_asked / URGENT_MEMORY_S;
-        let wanted = URGENT_MARGIN * asked_per_s / gain_per_s;
-        wanted.clamp(LEAST_URGENT_PART, MOST_URGENT_PART)
+    fn urgent_fraction(&self, income_per_s: f64) -> f64 {
+        let demand_per_s = self.urgent_demand / URGENT_DECAY_S;
+        let needed = URGENT_MARGIN * demand_per_s / income_per_s;
+        needed.clamp(MIN_URGENT_FRACTION, MAX_URGENT_FRACTION)
     }
 
     fn settle(&mut self, role: KeeperRole, now: Moment) {
         let elapsed_s = now.since(self.settled_at).as_secs_f64();
         self.settled_at = self.settled_at.max(now);
-        let gain_per_s = self.gain_per_s(role);
-        let max_savings = (gain_per_s * SAVED_FOR.as_secs_f64()).max(1.0);
-        let places = gain_per_s * elapsed_s;
-        let for_urgent = places * self.urgent_part(gain_per_s);
-        let unwanted = self.urgent.gain(for_urgent, max_savings);
-        self.usual.gain(places - for_urgent + unwanted, max_savings);
-        self.urgent_asked *= (-elapsed_s / URGENT_MEMORY_S).exp();
+        let income_per_s = self.income_per_s(role);
+        let max_savings = (income_per_s * SAVINGS_PERIOD.as_secs_f64()).max(1.0);
+        let tokens = income_per_s * elapsed_s;
+        let for_urgent = tokens * self.urgent_fraction(income_per_s);
+        let surplus = self.urgent.add(for_urgent, max_savings);
+        self.non_urgent.add(tokens - for_urgent + surplus, max_savings);
+        self.urgent_demand *= (-elapsed_s / URGENT_DECAY_S).exp();
     }
 
     fn reserve(&mut self, request: LimitRequest, role: KeeperRole, now: Moment) -> ReservationDecision {
-        self.asked_at = now;
+        self.last_request_at = now;
         if request.is_urgent {
-            self.urgent_asked += 1.0;
+            self.urgent_demand += 1.0;
         }
-        let gain_per_s = self.gain_per_s(role);
-        let urgent_per_s = gain_per_s * self.urgent_part(gain_per_s);
-        let usual_per_s = gain_per_s - urgent_per_s;
+        let income_per_s = self.income_per_s(role);
+        let urgent_per_s = income_per_s * self.urgent_fraction(income_per_s);
+        let non_urgent_per_s = income_per_s - urgent_per_s;
         let patience = request.patience.min(MAX_AHEAD);
         if request.is_urgent {
-            let after = self.urgent.turn_in(urgent_per_s, 0.0);
-            if after <= patience && after <= self.usual.turn_in(usual_per_s, 0.0) {
+            let after = self.urgent.available_in(urgent_per_s, 0.0);
+            if after <= patience && after <= self.non_urgent.available_in(non_urgent_per_s, 0.0) {
                 self.urgent.balance -= 1.0;
                 return ReservationDecision::Granted { after };
             }
         }
-        let after = self.usual.turn_in(usual_per_s, 0.0);
+        let after = self.non_urgent.available_in(non_urgent_per_s, 0.0);
         if after <= patience {
-            self.usual.balance -= 1.0;
+            self.non_urgent.balance -= 1.0;
             return ReservationDecision::Granted { after };
         }
-        let (lane, lane_per_s) = if request.is_urgent {
+        let (bucket, bucket_per_s) = if request.is_urgent {
             (&mut self.urgent, urgent_per_s)
         } else {
-            (&mut self.usual, usual_per_s)
+            (&mut self.non_urgent, non_urgent_per_s)
         };
-        let retry_after = lane.turn_in(lane_per_s, lane.refused);
-        lane.refused += 1.0;
+        let retry_after = bucket.available_in(bucket_per_s, bucket.refused);
+        bucket.refused += 1.0;
         ReservationDecision::Refused {
             retry_after,
-            balance: self.usual.balance + self.urgent.balance,
+            balance: self.non_urgent.balance + self.urgent.balance,
         }
     }
 
     /// Returns the reservation of a call that was not sent.
     fn refund(&mut self) {
-        self.usual.balance += 1.0;
+        self.non_urgent.balance += 1.0;
     }
 }
 
@@ -255,7 +255,7 @@
     ) -> ReservationDecision {
         if !self.accounts.contains_key(replica) {
             self.accounts
-                .retain(|_, account| now.since(account.asked_at) < ACCOUNT_MEMORY);
+                .retain(|_, account| now.since(account.last_request_at) < ACCOUNT_IDLE_TIMEOUT);
         }
         let account = self.accounts.entry(replica.clone());
         let account = account.or_insert_with(|| Account::new(started_ms, limit, now));
@@ -268,7 +268,7 @@
     pub fn carry(&mut self, replica: &str, calls: u64, now: Moment) {
         if let Some(account) = self.accounts.get_mut(replica) {
             account.settle(self.role, now);
-            account.usual.balance -= calls as f64;
+            account.non_urgent.balance -= calls as f64;
         }
     }
 
@@ -313,10 +313,10 @@
         patience: Duration,
         now: Moment,
     ) -> ReservationDecision {
-        let share_per_s = rate.per_s().max(LEAST_PER_S) / nodes.max(1) as f64;
+        let share_per_s = rate.per_s().max(MIN_RATE_PER_S) / nodes.max(1) as f64;
         let interval = Duration::from_secs_f64(1.0 / share_per_s);
         self.schedules
-            .retain(|_, schedule| now.since(schedule.next) < ACCOUNT_MEMORY);
+            .retain(|_, schedule| now.since(schedule.next) < ACCOUNT_IDLE_TIMEOUT);
         let drawn = SendSchedule {
             interval,
             next: now + interval.mul_f64(unit),
@@ -329,7 +329,7 @@
         schedule.next = schedule.next + interval.mul_f64(missed.ceil());
         let after = schedule.next.since(now);
         if after > patience.min(MAX_AHEAD) {
-            let retry_after = after.min(LONGEST_RETURN);
+            let retry_after = after.min(MAX_RETRY_AFTER);
             let balance = 0.0;
             return ReservationDecision::Refused { retry_after, balance };
         }
