--- a/crates/croftrill-http/src/document.rs
+++ b/crates/croftrill-http/src/document.rs
@@ -100,7 +100,7 @@
 
     fn tenant(&self) -> Tenant {
         let quota = self.quota.as_ref().map(|quota| Quota {
-            unit: QuotaUnit::Tokens { plain: 0 },
+            unit: QuotaUnit::Tokens { default_tokens: 0 },
             rate_per_s: quota.tokens_per_second,
             burst: quota.burst_tokens,
         });
--- a/crates/croftrill-node/src/quota/wire.rs
+++ b/crates/croftrill-node/src/quota/wire.rs
@@ -106,7 +106,7 @@
     pub fn from_quota(quota: Quota) -> Self {
         let plain_tokens = match quota.unit {
             QuotaUnit::Requests => None,
-            QuotaUnit::Tokens { plain } => Some(plain),
+            QuotaUnit::Tokens { default_tokens } => Some(default_tokens),
         };
         WireQuota {
             rate_per_s: quota.rate_per_s,
@@ -119,7 +119,7 @@
     pub fn to_quota(&self) -> Quota {
         let unit = match self.plain_tokens {
             None => QuotaUnit::Requests,
-            Some(plain) => QuotaUnit::Tokens { plain },
+            Some(default_tokens) => QuotaUnit::Tokens { default_tokens },
         };
         Quota {
             unit,
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -48,7 +48,7 @@
     if tenants.is_empty() {
         return Ok(None);
     }
-    let holder = shown_key(headers, scheme).and_then(|key| tenants.holder(key).ok_or(Denied::Unknown));
+    let holder = shown_key(headers, scheme).and_then(|key| tenants.find_by_key(key).ok_or(Denied::Unknown));
     match holder {
         Ok(tenant) => Ok(Some(tenant.name.clone())),
         Err(_) if route.public => Ok(None),
@@ -156,7 +156,7 @@
     route: &Route,
     until: Moment,
 ) -> Result<Option<Credit>, Box<Answer>> {
-    let tenant = tenant.and_then(|name| configuration.tenants.named(name));
+    let tenant = tenant.and_then(|name| configuration.tenants.find_by_name(name));
     let Some((tenant, quota)) = tenant.and_then(|tenant| Some((tenant, tenant.quota?))) else {
         return Ok(None);
     };
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -327,7 +327,7 @@
     /// Rank among all requests at a replica; 0 is the most urgent.
     fn rank(&self) -> u8 {
         let tenants = &self.configuration.tenants;
-        let tenant = self.tenant.as_deref().and_then(|name| tenants.named(name));
+        let tenant = self.tenant.as_deref().and_then(|name| tenants.find_by_name(name));
         let route = self.route.priority;
         tenant.map_or(route, |tenant| tenants.rank(tenant, route))
     }
--- a/crates/croftrill-scheduler/src/tenants.rs
+++ b/crates/croftrill-scheduler/src/tenants.rs
@@ -46,16 +46,16 @@
     /// Tokens of the prompt and of the longest possible answer.
     Tokens {
         /// Tokens counted for a request that declares none.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
 impl QuotaUnit {
     /// Returns the cost of a request that declares this number of tokens, if any.
-    pub fn cost(self, told_tokens: Option<u64>) -> u64 {
+    pub fn cost(self, declared_tokens: Option<u64>) -> u64 {
         match self {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { plain } => told_tokens.unwrap_or(plain),
+            QuotaUnit::Tokens { default_tokens } => declared_tokens.unwrap_or(default_tokens),
         }
     }
 }
@@ -86,16 +86,16 @@
 
 /// Index of a tenant in [`Tenants`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct TenantKey(u16);
+pub struct TenantIndex(u16);
 
 /// The tenants of one configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tenants {
     tenants: Vec<Tenant>,
-    by_key: HashMap<KeyDigest, TenantKey>,
-    by_name: HashMap<Arc<str>, TenantKey>,
+    by_key: HashMap<KeyDigest, TenantIndex>,
+    by_name: HashMap<Arc<str>, TenantIndex>,
     /// The most urgent rank of any route.
-    first_route_rank: u8,
+    most_urgent_route_rank: u8,
     /// All pairs of a tenant's rank and a route's rank, the most urgent first.
     ranks: Vec<(u8, u8)>,
 }
@@ -107,15 +107,15 @@
         tenants.truncate(usize::from(u16::MAX));
         let mut by_key = HashMap::new();
         let mut by_name = HashMap::new();
-        for (index, tenant) in tenants.iter().enumerate() {
-            let key = TenantKey(index as u16);
-            by_name.insert(tenant.name.clone(), key);
-            by_key.extend(tenant.keys.iter().map(|digest| (*digest, key)));
+        for (position, tenant) in tenants.iter().enumerate() {
+            let index = TenantIndex(position as u16);
+            by_name.insert(tenant.name.clone(), index);
+            by_key.extend(tenant.keys.iter().map(|digest| (*digest, index)));
         }
         let mut ranks: Vec<(u8, u8)> = Vec::new();
-        let mut first_route_rank = u8::MAX;
+        let mut most_urgent_route_rank = u8::MAX;
         for route in route_priorities {
-            first_route_rank = first_route_rank.min(route);
+            most_urgent_route_rank = most_urgent_route_rank.min(route);
             ranks.extend(tenants.iter().map(|tenant| rank_pair(tenant, route)));
         }
         ranks.sort_unstable();
@@ -124,7 +124,7 @@
             tenants,
             by_key,
             by_name,
-            first_route_rank,
+            most_urgent_route_rank,
             ranks,
         }
     }
@@ -140,20 +140,20 @@
     }
 
     /// Returns the tenant that a key belongs to.
-    pub fn holder(&self, key: &[u8]) -> Option<&Tenant> {
-        let holder = self.by_key.get(&KeyDigest::of(key))?;
-        Some(&self.tenants[usize::from(holder.0)])
+    pub fn find_by_key(&self, key: &[u8]) -> Option<&Tenant> {
+        let index = self.by_key.get(&KeyDigest::of(key))?;
+        Some(&self.tenants[usize::from(index.0)])
     }
 
     /// Returns the tenant with this name.
-    pub fn named(&self, name: &str) -> Option<&Tenant> {
-        let key = self.by_name.get(name)?;
-        Some(&self.tenants[usize::from(key.0)])
+    pub fn find_by_name(&self, name: &str) -> Option<&Tenant> {
+        let index = self.by_name.get(name)?;
+        Some(&self.tenants[usize::from(index.0)])
     }
 
     /// Returns true if no route is more urgent than this rank.
     pub fn is_most_urgent(&self, route: u8) -> bool {
-        route <= self.first_route_rank
+        route <= self.most_urgent_route_rank
     }
 
     /// Returns the rank of a tenant's request on a route of rank `route`, 0 first. The tenant's
@@ -161,11 +161,11 @@
     /// more pairs than ranks, neighbouring pairs share a rank.
     pub fn rank(&self, tenant: &Tenant, route: u8) -> u8 {
         let pair = rank_pair(tenant, route);
-        let place = self.ranks.partition_point(|other| *other < pair);
+        let position = self.ranks.partition_point(|other| *other < pair);
         if self.ranks.len() <= RANK_COUNT {
-            return place.min(RANK_COUNT - 1) as u8;
+            return position.min(RANK_COUNT - 1) as u8;
         }
-        (place * (RANK_COUNT - 1) / (self.ranks.len() - 1)).min(RANK_COUNT - 1) as u8
+        (position * (RANK_COUNT - 1) / (self.ranks.len() - 1)).min(RANK_COUNT - 1) as u8
     }
 }
 
--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -17,7 +17,7 @@
     slack: 110_000.0,
 };
 const QUOTA: Quota = Quota {
-    unit: QuotaUnit::Tokens { plain: 200 },
+    unit: QuotaUnit::Tokens { default_tokens: 200 },
     rate_per_s: 29_000.0,
     burst: 29_000.0,
 };
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -18,7 +18,7 @@
 };
 const RATE_PER_S: f64 = 160_000.0;
 const QUOTA: Quota = Quota {
-    unit: QuotaUnit::Tokens { plain: 200 },
+    unit: QuotaUnit::Tokens { default_tokens: 200 },
     rate_per_s: RATE_PER_S,
     burst: RATE_PER_S,
 };
--- a/crates/croftrill-scheduler/tests/tenants.rs
+++ b/crates/croftrill-scheduler/tests/tenants.rs
@@ -18,11 +18,11 @@
         vec![tenant("a", "k1", None), tenant("b", "k2", None)],
         [0].into_iter(),
     );
-    let holder = |key: &[u8]| tenants.holder(key).map(|tenant| &*tenant.name);
-    assert_eq!(holder(b"k1"), Some("a"));
-    assert_eq!(holder(b"k2"), Some("b"));
-    assert_eq!(holder(b"k"), None);
-    assert_eq!(holder(b""), None);
+    let find = |key: &[u8]| tenants.find_by_key(key).map(|tenant| &*tenant.name);
+    assert_eq!(find(b"k1"), Some("a"));
+    assert_eq!(find(b"k2"), Some("b"));
+    assert_eq!(find(b"k"), None);
+    assert_eq!(find(b""), None);
 }
 
 #[test]
@@ -35,7 +35,7 @@
 
 #[test]
 fn cost_of_requests_by_unit() {
-    let tokens = QuotaUnit::Tokens { plain: 200 };
+    let tokens = QuotaUnit::Tokens { default_tokens: 200 };
     assert_eq!(tokens.cost(Some(9000)), 9000);
     assert_eq!(tokens.cost(None), 200);
     assert_eq!(QuotaUnit::Requests.cost(Some(9000)), 1);
