--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -292,8 +292,8 @@
         let now = self.node.clock.now();
         let mut state = self.node.state.borrow_mut();
         let nodes = state.members.node_count();
-        state.retry_budget.count_nodes(nodes, now);
-        state.retry_budget.request(&self.service, now);
+        state.retry_budget.set_node_count(nodes, now);
+        state.retry_budget.record_request(&self.service, now);
         if let Some(key) = self.model_key() {
             state.demand.add(key, cost(&self.facts), self.route.objective);
         }
--- a/crates/croftrill-scheduler/src/retry_budget.rs
+++ b/crates/croftrill-scheduler/src/retry_budget.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct ServiceWindow {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 /// Limits one node's retries of each service over a sliding window.
@@ -41,23 +41,23 @@
 pub struct RetryBudget {
     config: RetryBudgetConfig,
     services: HashMap<ServiceName, ServiceWindow>,
-    begun: Moment,
+    started_at: Moment,
     node_counts: VecDeque<(Moment, usize)>,
 }
 
 impl RetryBudget {
-    /// Creates an unused budget for a process that started at `begun`.
-    pub fn new(config: RetryBudgetConfig, begun: Moment) -> Self {
+    /// Creates an unused budget for a process that started at `started_at`.
+    pub fn new(config: RetryBudgetConfig, started_at: Moment) -> Self {
         RetryBudget {
             config,
             services: HashMap::new(),
-            begun,
+            started_at,
             node_counts: VecDeque::new(),
         }
     }
 
     /// Sets the number of nodes that share the budget.
-    pub fn count_nodes(&mut self, nodes: usize, now: Moment) {
+    pub fn set_node_count(&mut self, nodes: usize, now: Moment) {
         let window = self.config.window;
         self.node_counts.retain(|(seen, _)| now.since(*seen) <= window);
         match self.node_counts.back_mut() {
@@ -68,15 +68,15 @@
 
     /// Returns this node's share of the slack.
     fn slack(&self, now: Moment) -> f64 {
-        if now.since(self.begun) <= self.config.window {
+        if now.since(self.started_at) <= self.config.window {
             return 0.0;
         }
-        let most_nodes = self.node_counts.iter().map(|(_, count)| *count).max();
-        self.config.slack / most_nodes.unwrap_or(1).max(1) as f64
+        let max_nodes = self.node_counts.iter().map(|(_, count)| *count).max();
+        self.config.slack / max_nodes.unwrap_or(1).max(1) as f64
     }
 
     /// Records a request to a service.
-    pub fn request(&mut self, service: &ServiceName, now: Moment) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Moment) {
         let window = self.services.entry(service.clone()).or_default();
         window.requests.push_back(now);
         drop_before(&mut window.requests, now, self.config.window);
@@ -88,12 +88,12 @@
         let slack = self.slack(now);
         let window = self.services.entry(service.clone()).or_default();
         drop_before(&mut window.requests, now, config.window);
-        drop_before(&mut window.repeats, now, config.window);
+        drop_before(&mut window.retries, now, config.window);
         let allowed = config.safety * (config.ratio * window.requests.len() as f64 + slack);
-        if window.repeats.len() as f64 + 1.0 > allowed {
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.repeats.push_back(now);
+        window.retries.push_back(now);
         true
     }
 }
--- a/crates/croftrill-scheduler/tests/limits.rs
+++ b/crates/croftrill-scheduler/tests/limits.rs
@@ -17,15 +17,15 @@
 const SLACK: f64 = 10.0;
 const RATIO: f64 = 0.2;
 
-/// The budget of a process that started at `begun`.
-fn budget_from(begun: Moment) -> RetryBudget {
+/// The budget of a process that started at `started_at`.
+fn budget_from(started_at: Moment) -> RetryBudget {
     let config = RetryBudgetConfig {
         ratio: RATIO,
         slack: SLACK,
         window: WINDOW,
         safety: 1.0,
     };
-    RetryBudget::new(config, begun)
+    RetryBudget::new(config, started_at)
 }
 
 /// The budget of a process that started long ago.
@@ -76,17 +76,17 @@
     #[test]
     fn the_ceiling_holds_in_every_window(pauses in prop::collection::vec(0u64..600, 1..200)) {
         let mut ceiling = LoadCeiling::new(WINDOW);
-        let mut begun = Vec::new();
+        let mut load_times = Vec::new();
         let mut now = 0;
         for pause in pauses {
             now += pause;
             if ceiling.admits(at(now), 7) {
                 ceiling.record_start(at(now));
-                begun.push(now);
+                load_times.push(now);
             }
         }
-        for first in &begun {
-            let within = begun.iter().filter(|other| **other >= *first && **other - *first <= 5000).count();
+        for first in &load_times {
+            let within = load_times.iter().filter(|other| **other >= *first && **other - *first <= 5000).count();
             prop_assert!(within <= 7);
         }
     }
@@ -98,15 +98,15 @@
         let service = "llm".into();
         let mut nodes: Vec<RetryBudget> = (0..4).map(|_| budget()).collect();
         for node in &mut nodes {
-            node.count_nodes(4, at(0));
+            node.set_node_count(4, at(0));
         }
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut now = 0;
         for (node, is_request, pause) in steps {
             now += pause;
-            nodes[node].count_nodes(4, at(now));
+            nodes[node].set_node_count(4, at(now));
             if is_request {
-                nodes[node].request(&service, at(now));
+                nodes[node].record_request(&service, at(now));
                 requests.push(now);
             } else if nodes[node].take(&service, at(now)) {
                 repeats.push(now);
@@ -126,7 +126,7 @@
         let service = "llm".into();
         let mut machines: Vec<RetryBudget> = (0..MACHINES).map(|_| budget()).collect();
         for machine in &mut machines {
-            machine.count_nodes(MACHINES, at(0));
+            machine.set_node_count(MACHINES, at(0));
         }
         let mut known = MACHINES;
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
@@ -134,11 +134,11 @@
         for (step, pause) in steps {
             now += pause;
             for machine in &mut machines {
-                machine.count_nodes(known, at(now));
+                machine.set_node_count(known, at(now));
             }
             match step {
                 Step::Request(machine) => {
-                    machines[machine].request(&service, at(now));
+                    machines[machine].record_request(&service, at(now));
                     requests.push(now);
                 }
                 Step::Repeat(machine) => {
