--- a/crates/croftrill-scheduler/src/fair_queue.rs
+++ b/crates/croftrill-scheduler/src/fair_queue.rs
@@ -15,10 +15,10 @@
 
 /// Requests that wait for a slot, by group.
 ///
-/// Invariant: at most `places` requests are started and not released.
+/// Invariant: at most `slots` requests are started and not released.
 #[derive(Debug)]
 pub struct FairQueue {
-    places: usize,
+    slots: usize,
     started: usize,
     virtual_time: f64,
     finish_tags: HashMap<Arc<str>, f64>,
@@ -28,9 +28,9 @@
 
 impl FairQueue {
     /// Creates a queue for this number of slots.
-    pub fn new(places: usize) -> Self {
+    pub fn new(slots: usize) -> Self {
         FairQueue {
-            places,
+            slots,
             started: 0,
             virtual_time: 0.0,
             finish_tags: HashMap::new(),
@@ -51,7 +51,7 @@
 
     /// Starts a request if a slot is free and the request is first in the queue.
     pub fn try_start(&mut self, number: u64) -> bool {
-        if self.started >= self.places || self.first() != Some(number) {
+        if self.started >= self.slots || self.first() != Some(number) {
             return false;
         }
         if let Some(waiting) = self.waiting.remove(&number) {
@@ -77,10 +77,10 @@
     }
 
     fn first(&self) -> Option<u64> {
-        let least = self
+        let lowest = self
             .waiting
             .iter()
             .min_by(|left, right| left.1.start_tag.total_cmp(&right.1.start_tag));
-        least.map(|(number, _)| *number)
+        lowest.map(|(number, _)| *number)
     }
 }
