--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -42,7 +42,7 @@
     }
 
     fn let_in(self) {
-        self.node.state.borrow_mut().waiting_requests.let_in(self.id);
+        self.node.state.borrow_mut().waiting_requests.admit(self.id);
     }
 }
 
--- a/crates/croftrill-scheduler/src/waiting_requests.rs
+++ b/crates/croftrill-scheduler/src/waiting_requests.rs
@@ -47,7 +47,7 @@
     waiting: BTreeMap<WaitingId, WaitingRequest>,
     size_bytes: usize,
     /// Number of admitted requests by tenant, while any request waits.
-    let_in: HashMap<Option<Arc<str>>, u64>,
+    admitted: HashMap<Option<Arc<str>>, u64>,
 }
 
 impl WaitingRequests {
@@ -58,7 +58,7 @@
             next_id: 0,
             waiting: BTreeMap::new(),
             size_bytes: 0,
-            let_in: HashMap::new(),
+            admitted: HashMap::new(),
         }
     }
 
@@ -67,8 +67,10 @@
         let id = WaitingId(self.next_id);
         self.next_id += 1;
         // A tenant that arrives later does not catch up on what others were admitted before.
-        let least = self.let_in.values().copied().min().unwrap_or(0);
-        self.let_in.entry(request.tenant.clone()).or_insert(least);
+        let min_admitted = self.admitted.values().copied().min().unwrap_or(0);
+        self.admitted
+            .entry(request.tenant.clone())
+            .or_insert(min_admitted);
         self.size_bytes += request.size_bytes;
         self.waiting.insert(id, request);
         while self.is_over_bounds() {
@@ -88,8 +90,8 @@
     }
 
     fn order(&self, id: WaitingId, request: &WaitingRequest) -> (u8, u64, Moment, WaitingId) {
-        let let_in = self.let_in.get(&request.tenant).copied().unwrap_or(0);
-        (request.rank, let_in, request.due, id)
+        let admitted = self.admitted.get(&request.tenant).copied().unwrap_or(0);
+        (request.rank, admitted, request.due, id)
     }
 
     /// Returns true while the request waits: it was neither admitted nor removed.
@@ -108,20 +110,20 @@
             return false;
         };
         let own = self.order(id, request);
-        let mut rivals = self
+        let mut others = self
             .waiting
             .iter()
             .filter(|(_, other)| other.model == request.model);
-        rivals.all(|(other_id, other)| *other_id == id || self.order(*other_id, other) > own)
+        others.all(|(other_id, other)| *other_id == id || self.order(*other_id, other) > own)
     }
 
     /// Removes a request that goes to a holder and counts it for its tenant.
-    pub fn let_in(&mut self, id: WaitingId) {
+    pub fn admit(&mut self, id: WaitingId) {
         let Some(request) = self.leave(id) else { return };
         if self.waiting.is_empty() {
             return;
         }
-        *self.let_in.entry(request.tenant).or_insert(0) += 1;
+        *self.admitted.entry(request.tenant).or_insert(0) += 1;
     }
 
     /// Removes a request that was refused or whose caller left.
@@ -129,7 +131,7 @@
         let request = self.waiting.remove(&id)?;
         self.size_bytes -= request.size_bytes;
         if self.waiting.is_empty() {
-            self.let_in.clear();
+            self.admitted.clear();
         }
         Some(request)
     }
--- a/crates/croftrill-scheduler/tests/waiting_requests.rs
+++ b/crates/croftrill-scheduler/tests/waiting_requests.rs
@@ -38,7 +38,7 @@
     let patient = waiting.enter(request("m", 2, "a", 100));
     let urgent = waiting.enter(request("m", 0, "a", 900));
     assert_eq!(next(&waiting, &[patient, urgent]), [urgent]);
-    waiting.let_in(urgent);
+    waiting.admit(urgent);
     assert_eq!(next(&waiting, &[patient, urgent]), [patient]);
 }
 
@@ -60,7 +60,7 @@
         .collect();
     let calm = waiting.enter(request("m", 1, "calm", 800));
     assert_eq!(next(&waiting, &busy), [busy[0]]);
-    waiting.let_in(busy[0]);
+    waiting.admit(busy[0]);
     assert!(waiting.is_next(calm));
 }
 
@@ -104,7 +104,7 @@
                 }
                 _ => {
                     if let Some((id, _)) = ids.get(due as usize % ids.len().max(1)) {
-                        waiting.let_in(*id);
+                        waiting.admit(*id);
                     }
                 }
             }
