--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -136,7 +136,7 @@
             patience: self.patience(),
             left: self.until.since(self.now()),
             is_most_urgent,
-            passes_others: is_most_urgent
+            overtakes_others: is_most_urgent
                 && self.sends == 0
                 && self
                     .configuration
--- a/crates/croftrill-scheduler/src/full_holders.rs
+++ b/crates/croftrill-scheduler/src/full_holders.rs
@@ -32,7 +32,7 @@
     pub is_most_urgent: bool,
     /// True if it is among the most urgent requests of the service, others are less urgent, and
     /// it was not sent to a replica yet: it overtakes the others in a replica's queue.
-    pub passes_others: bool,
+    pub overtakes_others: bool,
 }
 
 /// The decision on such a request.
@@ -51,7 +51,7 @@
 
 /// A request is sent before the time left of its objective falls below the objective divided by
 /// this, which leaves that time for a replica's queue.
-const KEPT_FOR_QUEUE: u32 = 4;
+const QUEUE_MARGIN_DIVISOR: u32 = 4;
 
 impl FullRequest {
     /// Returns the time from arrival to the first event if the request were sent now.
@@ -60,8 +60,8 @@
     }
 
     /// Returns true if more urgent requests may go first and this one still meets its objective.
-    fn can_spare_a_wait(&self) -> bool {
-        !self.is_most_urgent && self.served_at() + self.objective / KEPT_FOR_QUEUE < self.objective
+    fn can_wait_at_node(&self) -> bool {
+        !self.is_most_urgent && self.served_at() + self.objective / QUEUE_MARGIN_DIVISOR < self.objective
     }
 }
 
@@ -69,7 +69,7 @@
 /// request's uniform sample from 0 to 1.
 pub fn decide_full(request: &FullRequest, rank: u8, unit: f64) -> FullDecision {
     let is_in_time = request.served_at() <= request.objective;
-    if request.passes_others || (is_in_time && !request.can_spare_a_wait()) {
+    if request.overtakes_others || (is_in_time && !request.can_wait_at_node()) {
         return FullDecision::Send;
     }
     let max_hold = request.patience.mul_f64(MAX_HOLD_FRACTION);
--- a/crates/croftrill-scheduler/tests/full_holders.rs
+++ b/crates/croftrill-scheduler/tests/full_holders.rs
@@ -19,7 +19,7 @@
         patience: millis(2000),
         left: millis(10_000 - waited),
         is_most_urgent: true,
-        passes_others: false,
+        overtakes_others: false,
     }
 }
 
@@ -44,11 +44,11 @@
 /// and is not refused because of the time that they have to wait.
 #[test]
 fn urgent_request_passes_the_queue_of_others() {
-    let passing = FullRequest {
-        passes_others: true,
+    let overtaking = FullRequest {
+        overtakes_others: true,
         ..interactive(0, 4000)
     };
-    assert_eq!(decide_full(&passing, 0, 0.5), FullDecision::Send);
+    assert_eq!(decide_full(&overtaking, 0, 0.5), FullDecision::Send);
     assert_ne!(
         decide_full(&interactive(0, 4000), 0, 0.5),
         FullDecision::Send,
@@ -87,26 +87,26 @@
 /// More urgent requests that were refused retry earlier, and retries are spread.
 #[test]
 fn refused_requests_come_back_by_rank_and_spread() {
-    let again = |rank, unit| match decide_full(&interactive(0, 1500), rank, unit) {
+    let retry_after = |rank, unit| match decide_full(&interactive(0, 1500), rank, unit) {
         FullDecision::Refuse { come_back_after } => come_back_after,
         other => panic!("{other:?}"),
     };
-    assert!(again(0, 0.2) < again(0, 0.8));
-    assert!(again(0, 0.5) < again(5, 0.5));
+    assert!(retry_after(0, 0.2) < retry_after(0, 0.8));
+    assert!(retry_after(0, 0.5) < retry_after(5, 0.5));
 }
 
 fn requests() -> impl Strategy<Value = FullRequest> {
     let times = (0..20_000u64, 0..20_000u64, 0..2000u64, 1..6000u64);
-    let rest = (1..20_000u64, 0..20_000u64, any::<bool>(), any::<bool>());
-    (times, rest).prop_map(|(times, rest)| FullRequest {
+    let flags = (1..20_000u64, 0..20_000u64, any::<bool>(), any::<bool>());
+    (times, flags).prop_map(|(times, flags)| FullRequest {
         waited: millis(times.0),
         starts_in: millis(times.1),
         first_event_after: millis(times.2),
         objective: millis(times.3),
-        patience: millis(rest.0),
-        left: millis(rest.1),
-        is_most_urgent: rest.2,
-        passes_others: rest.2 && rest.3,
+        patience: millis(flags.0),
+        left: millis(flags.1),
+        is_most_urgent: flags.2,
+        overtakes_others: flags.2 && flags.3,
     })
 }
 
@@ -124,7 +124,7 @@
     fn send_is_in_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if decide_full(&request, rank, unit) == FullDecision::Send {
             let served_at = request.waited + request.starts_in + request.first_event_after;
-            prop_assert!(request.passes_others || served_at <= request.objective);
+            prop_assert!(request.overtakes_others || served_at <= request.objective);
         }
     }
 
@@ -132,7 +132,7 @@
     #[test]
     fn urgent_is_not_refused_where_a_patient_one_is_sent(request in requests(), unit in 0.0..1.0f64) {
         let urgent = FullRequest { is_most_urgent: true, ..request };
-        let patient = FullRequest { is_most_urgent: false, passes_others: false, ..request };
+        let patient = FullRequest { is_most_urgent: false, overtakes_others: false, ..request };
         let is_refused = matches!(decide_full(&urgent, 0, unit), FullDecision::Refuse { .. });
         prop_assert!(!(is_refused && decide_full(&patient, 2, unit) == FullDecision::Send));
     }
