--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn ask_within_the_quota_is_granted_and_beyond_it_refused_with_a_time_that_is_true() {
+fn reserve_beyond_quota_refused_with_accurate_retry_time() {
     let mut keeper = full(84);
     let mut spent = 0;
     let retry_after = loop {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn ask_refused_in_a_row_are_told_times_one_after_the_other() {
+fn reserve_consecutive_refusals_get_increasing_retry_times() {
     let mut keeper = full(1);
     while granted(&mut keeper, COST, at(5_000)) {}
     let mut times = Vec::new();
@@ -96,7 +96,7 @@
 /// A window of a tenant with unlimited demand uses nearly all that the bounds allow, and never
 /// more, even with the debts of two more keepers.
 #[test]
-fn window_of_one_keeper_uses_the_bounds() {
+fn window_of_one_keeper_uses_allowance() {
     let allowed = (QUOTA.rate_per_s * 8.0 + QUOTA.burst) * (1.0 + CONFIG.overage) + CONFIG.slack;
     let most = CONFIG.window_allowance(&QUOTA) + 3.0 * CONFIG.debt();
     assert!(most <= allowed, "{most} of {allowed}");
@@ -115,7 +115,7 @@
 /// units per second of a tenant with a quota of 832,714. Without grants ahead of time, the
 /// requests of the first tenths of a second would be refused.
 #[test]
-fn ask_of_everybody_after_a_restart_waits_instead_of_being_refused() {
+fn reserve_after_restart_waits_instead_of_refusal() {
     let large = Quota {
         rate_per_s: 832_714.0,
         burst: 832_714.0,
@@ -142,7 +142,7 @@
 /// A tenant requests several times its quota in two kinds of requests, one of which can hardly
 /// wait. The patient ones get what is available, in order.
 #[test]
-fn ask_ahead_is_refused_beyond_its_patience_and_granted_in_turn() {
+fn reserve_ahead_within_patience_and_in_order() {
     let mut keeper = full(84);
     let mut granted_until = Duration::ZERO;
     let (mut patient, mut hasty) = (0, 0);
@@ -169,7 +169,7 @@
 /// income, and alerts of 200 tokens that cannot wait were refused, although all alerts together
 /// are a twentieth of the quota.
 #[test]
-fn ask_of_small_requests_passes_beside_large_ones_that_wait() {
+fn reserve_small_requests_beside_waiting_large_ones() {
     let mut keeper = full(84);
     let (mut alerts, mut passed) = (0, 0);
     for millis in 5_000..13_000 {
@@ -189,7 +189,7 @@
 /// The keeper of a tenant at several times its quota changes. Grants that the old keeper made
 /// ahead run in addition to those of the new one.
 #[test]
-fn carry_counts_what_another_keeper_granted_ahead() {
+fn carry_charges_grants_of_former_keeper() {
     let patience = Duration::from_millis(1_200);
     let mut old = full(84);
     let mut ahead = 0;
@@ -216,7 +216,7 @@
 /// A tenant exceeds its quota several times with reviews that can wait and with more urgent
 /// questions of 1,050 tokens, which are 40 % of the quota together. The questions pass.
 #[test]
-fn ask_of_urgent_requests_passes_before_patient_ones() {
+fn reserve_urgent_requests_before_patient_ones() {
     let mut keeper = full(84);
     let (mut questions, mut passed, mut reviews) = (0, 0, 0);
     for millis in 5_000..15_000 {
@@ -247,7 +247,7 @@
 /// A third of the nodes was cut off from the store for 12 s, and their entries were lost. They
 /// continued with a keeper among them, while the other keeper used the whole quota.
 #[test]
-fn share_of_nodes_that_the_store_lost_is_not_taken_over_soon() {
+fn share_retained_after_entries_expire() {
     let mut keeper = keeper(at(0));
     keeper.set_listed_nodes(84, at(0));
     keeper.set_listeners(55, at(0));
@@ -262,14 +262,14 @@
 /// A tenant requested six times its quota for seconds, and a fifth of it since. The times to
 /// retry after no longer include the earlier demand.
 #[test]
-fn time_told_after_a_surge_is_that_of_the_balance() {
+fn retry_time_after_surge_follows_balance() {
     let mut keeper = full(84);
     for millis in 5_000..11_000 {
         if millis % 52 == 0 {
             keeper.reserve("t", request(COST, Duration::ZERO), at(millis));
         }
     }
-    let mut told = Duration::ZERO;
+    let mut retry_time = Duration::ZERO;
     for millis in (14_000..18_000).step_by(20) {
         let decision = keeper.reserve("t", request(120, Duration::ZERO), at(millis));
         assert!(
@@ -283,16 +283,16 @@
     if let ReservationDecision::Refused { retry_after, .. } =
         keeper.reserve("t", request(COST, Duration::ZERO), at(18_000))
     {
-        told = retry_after;
+        retry_time = retry_after;
     }
     // Two such requests at 0.9 of the income of 32,900 units per second.
-    assert!(told < Duration::from_millis(700), "{told:?}");
+    assert!(retry_time < Duration::from_millis(700), "{retry_time:?}");
 }
 
 /// Many requests were granted, waited for their model and did not run. The units that they return
 /// must not add to the income received in the meantime.
 #[test]
-fn credits_that_go_back_together_are_not_more_than_can_be_saved() {
+fn refund_bounded_by_max_savings() {
     let mut keeper = full(84);
     let mut granted_cost = 0;
     for millis in 5_000..10_000 {
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn credit_that_did_not_run_goes_back() {
+fn refund_allows_another_request() {
     let mut keeper = full(10);
     while granted(&mut keeper, COST, at(5_000)) {}
     keeper.refund("t", COST, at(5_000));
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn quota_lower_binds_at_once_and_higher_counts_at_once() {
+fn update_quota_applies_immediately() {
     let mut keeper = full(10);
     let lower = Quota {
         rate_per_s: 1_000.0,
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn new_keeper_has_no_balance_and_a_cut_off_node_only_its_part() {
+fn new_keeper_without_balance_grants_only_its_share() {
     let mut alone = keeper(at(0));
     alone.set_listed_nodes(84, at(0));
     alone.set_listeners(1, at(0));
@@ -356,12 +356,12 @@
             spent += 100;
         }
     }
-    let part = (CONFIG.window_allowance(&QUOTA) + CONFIG.debt()) / 84.0;
-    assert!(spent as f64 <= part, "{spent} of {part}");
+    let own_share = (CONFIG.window_allowance(&QUOTA) + CONFIG.debt()) / 84.0;
+    assert!(spent as f64 <= own_share, "{spent} of {own_share}");
 }
 
 #[test]
-fn keeper_that_its_listeners_left_gives_nothing_twice() {
+fn set_listeners_drops_savings_of_idle_keeper() {
     let mut keeper = full(10);
     keeper.set_listeners(0, at(5_000));
     keeper.set_listeners(10, at(5_100));
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn keeper_order_puts_the_strong_first_and_keeps_the_order_without_one() {
+fn keeper_order_by_processor_time_is_stable() {
     let nodes: Vec<(String, u32)> = (0..40)
         .map(|index| (format!("n{index}"), if index % 10 == 0 { 500 } else { 120 }))
         .collect();
@@ -401,7 +401,7 @@
     /// The node loses its keeper and moves to another one, or to itself.
     Moves { node: usize, to: usize },
     /// As above, and the old keeper notices only later.
-    MovesInSilence { node: usize, to: usize },
+    MovesSilently { node: usize, to: usize },
     /// The keeper's process restarts, and its listeners return.
     Restarts { keeper: usize },
 }
@@ -410,13 +410,15 @@
 /// Keepers that the nodes may choose; each node may also be its own keeper.
 const KEEPERS: usize = NODES;
 /// Time in milliseconds after which a keeper notices that a listener became silent.
-const SILENCE: u64 = 3_000;
+const SILENCE_MS: u64 = 3_000;
 
 fn fault() -> impl Strategy<Value = (u64, Fault)> {
-    let place = (0..NODES, 0..KEEPERS);
+    let node_and_keeper = (0..NODES, 0..KEEPERS);
     let kind = prop_oneof![
-        place.clone().prop_map(|(node, to)| Fault::Moves { node, to }),
-        place.prop_map(|(node, to)| Fault::MovesInSilence { node, to }),
+        node_and_keeper
+            .clone()
+            .prop_map(|(node, to)| Fault::Moves { node, to }),
+        node_and_keeper.prop_map(|(node, to)| Fault::MovesSilently { node, to }),
         (0..KEEPERS).prop_map(|keeper| Fault::Restarts { keeper }),
     ];
     (0u64..20_000, kind)
@@ -433,7 +435,7 @@
     /// Grants ahead of time: node, cost and when the request runs.
     ahead: Vec<(usize, u64, u64)>,
     /// Start times of keepers.
-    began: Vec<u64>,
+    started: Vec<u64>,
     silences: Vec<u64>,
 }
 
@@ -445,7 +447,7 @@
             ghosts: Vec::new(),
             grants: Vec::new(),
             ahead: Vec::new(),
-            began: vec![0],
+            started: vec![0],
             silences: Vec::new(),
         }
     }
@@ -460,12 +462,12 @@
         }
     }
 
-    fn strike(&mut self, fault: Fault, now: u64) {
-        self.began.push(now);
+    fn inject(&mut self, fault: Fault, now: u64) {
+        self.started.push(now);
         match fault {
             Fault::Moves { node, to } => self.choice[node] = to,
-            Fault::MovesInSilence { node, to } => {
-                self.ghosts.push((self.choice[node], now + SILENCE));
+            Fault::MovesSilently { node, to } => {
+                self.ghosts.push((self.choice[node], now + SILENCE_MS));
                 self.silences.push(now);
                 self.choice[node] = to;
             }
@@ -483,9 +485,7 @@
         self.ahead.retain(|(_, _, runs_at)| *runs_at > now);
         for (node, cost, _) in &self.ahead {
             let comes = match fault {
-                Fault::Moves { node: moved, .. } | Fault::MovesInSilence { node: moved, .. } => {
-                    moved == *node
-                }
+                Fault::Moves { node: moved, .. } | Fault::MovesSilently { node: moved, .. } => moved == *node,
                 Fault::Restarts { keeper } => self.choice[*node] == keeper,
             };
             if comes {
@@ -511,9 +511,9 @@
             let relevant = moments.iter().filter(|at| **at + before >= from && **at <= to);
             relevant.count() as f64
         };
-        let keepers = within(&self.began, 0).min(KEEPERS as f64 * 3.0);
-        let silent_s = SILENCE as f64 / 1000.0;
-        let twice = within(&self.silences, SILENCE) * silent_s / NODES as f64;
+        let keepers = within(&self.started, 0).min(KEEPERS as f64 * 3.0);
+        let silent_s = SILENCE_MS as f64 / 1000.0;
+        let twice = within(&self.silences, SILENCE_MS) * silent_s / NODES as f64;
         let per_s = CONFIG.window_allowance(&QUOTA) / WINDOW.as_secs_f64();
         CONFIG.window_allowance(&QUOTA)
             + per_s * twice * WINDOW.as_secs_f64()
@@ -525,7 +525,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
     #[test]
-    fn window_of_a_tenant_that_asks_without_end_stays_within_the_bound(
+    fn window_with_unlimited_demand_within_bound(
         mut faults in prop::collection::vec(fault(), 0..8),
         cost in prop_oneof![Just(200u64), Just(2_000), Just(COST)],
         patience_ms in prop_oneof![Just(0u64), Just(120), Just(1_200)],
@@ -537,7 +537,7 @@
         let mut faults = faults.into_iter().peekable();
         for now in (0..24_000).step_by(50) {
             while let Some((_, fault)) = faults.next_if(|(when, _)| *when <= now) {
-                fleet.strike(fault, now);
+                fleet.inject(fault, now);
             }
             fleet.count(now);
             fleet.reserve_all(request(cost, patience), now);
@@ -557,7 +557,7 @@
     }
 
     #[test]
-    fn window_without_faults_serves_all_that_is_within_the_quota(
+    fn window_without_faults_serves_requests_within_quota(
         gaps in prop::collection::vec(1u64..900, 30..120),
     ) {
         // Requests at half of the rate on average. Each one that a plain token bucket of the same
@@ -568,10 +568,10 @@
         for gap in gaps {
             now += gap;
             balance = (balance + QUOTA.rate_per_s * gap as f64 / 1000.0).min(QUOTA.burst);
-            let is_owed = balance >= COST as f64;
+            let is_within_quota = balance >= COST as f64;
             keeper.set_listed_nodes(84, at(now));
             let is_granted = granted(&mut keeper, COST, at(now));
-            if is_owed {
+            if is_within_quota {
                 balance -= COST as f64;
                 prop_assert!(is_granted);
             } else if is_granted {
@@ -614,7 +614,7 @@
     /// Tenants above their quota: urgent and patient requests together are several times the
     /// quota, and the patient ones can wait for seconds.
     #[test]
-    fn window_of_urgent_and_patient_requests_stays_within_any_quota(
+    fn window_of_urgent_and_patient_requests_within_quota(
         (config, quota) in any_bounds(),
         kinds in prop::collection::vec(any_kind(), 1..4),
         quiet_ms in 0u64..6_000,
--- a/crates/croftrill-scheduler/tests/quota_ranks.rs
+++ b/crates/croftrill-scheduler/tests/quota_ranks.rs
@@ -41,7 +41,7 @@
         Duration::from_millis(self.objective_ms)
     }
 
-    fn asked_per_s(&self) -> f64 {
+    fn demand_per_s(&self) -> f64 {
         self.cost as f64 * self.per_s
     }
 }
@@ -49,33 +49,33 @@
 /// The outcome of the requests of one kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcome {
-    asked: u64,
+    requested: u64,
     granted: u64,
     refused: u64,
-    most_asks: u64,
+    max_attempts: u64,
     longest_wait: Duration,
 }
 
 /// A request that is about to request a reservation, for the first time or again.
 struct Waiting {
     kind: usize,
-    came_at: Moment,
-    asks: u64,
+    arrived_at: Moment,
+    attempts: u64,
     wait: ReservationWait,
 }
 
 /// The result of a simulation of a tenant at a keeper that all nodes listen to.
-struct Play {
+struct Simulation {
     outcomes: Vec<Outcome>,
     /// Times and tokens of the granted requests.
     runs: Vec<(Moment, u64)>,
 }
 
-fn play(kinds: &[Kind], quota: Quota, seconds: u64) -> Play {
-    play_with(CONFIG, kinds, quota, seconds)
+fn simulate(kinds: &[Kind], quota: Quota, seconds: u64) -> Simulation {
+    simulate_with(CONFIG, kinds, quota, seconds)
 }
 
-fn play_with(config: KeeperConfig, kinds: &[Kind], quota: Quota, seconds: u64) -> Play {
+fn simulate_with(config: KeeperConfig, kinds: &[Kind], quota: Quota, seconds: u64) -> Simulation {
     let limits = AheadLimits::new(kinds.iter().map(|kind| (kind.rank, kind.objective())));
     let most_urgent = kinds.iter().map(|kind| kind.rank).min();
     let mut keeper = QuotaKeeper::new(config, at(0));
@@ -85,33 +85,34 @@
     keeper.set_listeners(60, at(0));
     let mut queue: BTreeMap<(Moment, u64), Waiting> = BTreeMap::new();
     let mut number = 0;
-    for (kind, told) in kinds.iter().enumerate() {
-        let gap_us = (1_000_000.0 / told.per_s) as u64;
+    for (index, kind) in kinds.iter().enumerate() {
+        let gap_us = (1_000_000.0 / kind.per_s) as u64;
         for micros in (0..seconds * 1_000_000).step_by(gap_us.max(1) as usize) {
             // Kinds do not arrive at the same moments.
-            let came_at = at(micros + 137 * kind as u64);
-            let longest = patience(told.objective(), Duration::ZERO);
-            let wait = ReservationWait::new(came_at, longest, limits.max_ahead(told.rank, told.objective()));
+            let arrived_at = at(micros + 137 * index as u64);
+            let longest = patience(kind.objective(), Duration::ZERO);
+            let wait =
+                ReservationWait::new(arrived_at, longest, limits.max_ahead(kind.rank, kind.objective()));
             let request = Waiting {
-                kind,
-                came_at,
-                asks: 0,
+                kind: index,
+                arrived_at,
+                attempts: 0,
                 wait,
             };
-            queue.insert((came_at, number), request);
+            queue.insert((arrived_at, number), request);
             number += 1;
         }
     }
-    let mut play = Play {
+    let mut simulation = Simulation {
         outcomes: vec![Outcome::default(); kinds.len()],
         runs: Vec::new(),
     };
     while let Some(((now, _), mut request)) = queue.pop_first() {
         let kind = &kinds[request.kind];
-        let outcome = &mut play.outcomes[request.kind];
-        request.asks += 1;
-        outcome.asked += u64::from(request.asks == 1);
-        outcome.most_asks = outcome.most_asks.max(request.asks);
+        let outcome = &mut simulation.outcomes[request.kind];
+        request.attempts += 1;
+        outcome.requested += u64::from(request.attempts == 1);
+        outcome.max_attempts = outcome.max_attempts.max(request.attempts);
         let quota_request = QuotaRequest {
             cost: kind.cost,
             patience: request.wait.ahead(now),
@@ -120,8 +121,8 @@
         match keeper.reserve("t", quota_request, now) {
             ReservationDecision::Granted { after } => {
                 outcome.granted += 1;
-                outcome.longest_wait = outcome.longest_wait.max((now + after).since(request.came_at));
-                play.runs.push((now + after, kind.cost));
+                outcome.longest_wait = outcome.longest_wait.max((now + after).since(request.arrived_at));
+                simulation.runs.push((now + after, kind.cost));
             }
             ReservationDecision::Refused { retry_after, .. } => match request.wait.pause(retry_after, now) {
                 Some(pause) => {
@@ -132,10 +133,10 @@
             },
         }
     }
-    play
+    simulation
 }
 
-impl Play {
+impl Simulation {
     /// Returns the tokens used between two times.
     fn used(&self, from_s: u64, to_s: u64) -> f64 {
         let span = at(from_s * 1_000_000)..at(to_s * 1_000_000);
@@ -176,26 +177,26 @@
 }
 
 #[test]
-fn batches_of_a_hot_tenant_wait_or_are_refused_and_no_urgent_request_is() {
+fn reserve_beyond_quota_refuses_least_urgent_rank() {
     // Drafts and checks demand 0.8 of the quota, all kinds together 1.7.
     let kinds = mix(4.0);
-    let urgent = kinds[0].asked_per_s() + kinds[1].asked_per_s();
+    let urgent = kinds[0].demand_per_s() + kinds[1].demand_per_s();
     assert!(urgent < 0.8 * RATE_PER_S);
-    let [drafts, checks, batches, bookings] = play(&kinds, QUOTA, 12).outcomes[..] else {
+    let [drafts, checks, batches, bookings] = simulate(&kinds, QUOTA, 12).outcomes[..] else {
         unreachable!()
     };
     assert_eq!(drafts.refused, 0);
     assert_eq!(checks.refused, 0);
     assert!(batches.refused > 0);
     // Bookings have no time to wait, and use a twelfth.
-    assert!(bookings.refused * 20 <= bookings.asked, "{bookings:?}");
+    assert!(bookings.refused * 20 <= bookings.requested, "{bookings:?}");
 }
 
 #[test]
-fn urgent_requests_beyond_the_quota_leave_a_tenth_to_the_others() {
+fn reserve_urgent_beyond_quota_leaves_a_tenth_to_others() {
     let mut kinds = mix(4.0);
     kinds[0].per_s = 3.0 * RATE_PER_S / kinds[0].cost as f64;
-    let outcomes = play(&kinds, QUOTA, 16).outcomes;
+    let outcomes = simulate(&kinds, QUOTA, 16).outcomes;
     let used = |index: usize| outcomes[index].granted as f64 * kinds[index].cost as f64;
     let others: f64 = (1..4).map(used).sum();
     let all = others + used(0);
@@ -206,7 +207,7 @@
 /// A small tenant, for which one review is a third of a second of its quota. The more urgent rank
 /// is refused no more often than the less urgent one.
 #[test]
-fn large_requests_of_a_small_tenant_go_by_rank() {
+fn reserve_large_requests_refused_by_rank() {
     let quota = Quota {
         rate_per_s: 29_000.0,
         burst: 29_000.0,
@@ -248,8 +249,8 @@
                 per_s: per_s(0.02, 200),
             },
         ];
-        let outcomes = play_with(config, &kinds, quota, 40).outcomes;
-        let refused = |index: usize| outcomes[index].refused as f64 / outcomes[index].asked as f64;
+        let outcomes = simulate_with(config, &kinds, quota, 40).outcomes;
+        let refused = |index: usize| outcomes[index].refused as f64 / outcomes[index].requested as f64;
         let shares = [refused(0), refused(1), refused(2)];
         assert!(
             shares[0] <= shares[1] && shares[1] <= shares[2],
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn requests_of_one_rank_wait_as_long_as_they_can() {
+fn reserve_one_rank_waits_instead_of_refusal() {
     // Hardly less than the income, without savings at the start.
     let kinds = [Kind {
         rank: 3,
@@ -269,44 +270,44 @@
         cost: 1_000,
         per_s: 170.0,
     }];
-    let outcome = play(&kinds, QUOTA, 4).outcomes[0];
+    let outcome = simulate(&kinds, QUOTA, 4).outcomes[0];
     assert_eq!(outcome.refused, 0);
-    assert!(outcome.most_asks <= 4, "{outcome:?}");
+    assert!(outcome.max_attempts <= 4, "{outcome:?}");
 }
 
 #[test]
-fn window_of_a_tenant_with_enough_demand_uses_four_fifths_of_its_quota() {
-    let told = QUOTA.rate_per_s * 8.0 + QUOTA.burst;
+fn window_with_high_demand_uses_four_fifths_of_quota() {
+    let nominal = QUOTA.rate_per_s * 8.0 + QUOTA.burst;
     for times in [4.0, 8.0, 20.0] {
-        let used = play(&mix(times), QUOTA, 20).used(8, 16);
-        assert!(used >= 0.8 * told, "{used} of {told} at {times}");
+        let used = simulate(&mix(times), QUOTA, 20).used(8, 16);
+        assert!(used >= 0.8 * nominal, "{used} of {nominal} at {times}");
     }
     let patient_only = [Kind {
         rank: 2,
         per_s: 300.0,
         ..mix(1.0)[2]
     }];
-    let used = play(&patient_only, QUOTA, 20).used(8, 16);
-    assert!(used >= 0.8 * told, "{used} of {told}");
+    let used = simulate(&patient_only, QUOTA, 20).used(8, 16);
+    assert!(used >= 0.8 * nominal, "{used} of {nominal}");
 }
 
 #[test]
-fn ahead_limits_go_down_with_the_rank_and_with_the_time_that_others_have() {
+fn ahead_limits_shrink_with_rank_and_patience_of_others() {
     let kinds = mix(1.0);
     let limits = AheadLimits::new(kinds.iter().map(|kind| (kind.rank, kind.objective())));
-    let most = |kind: &Kind| limits.max_ahead(kind.rank, kind.objective());
+    let max_ahead = |kind: &Kind| limits.max_ahead(kind.rank, kind.objective());
     let millis = Duration::from_millis;
-    assert_eq!(most(&kinds[0]), millis(500));
+    assert_eq!(max_ahead(&kinds[0]), millis(500));
     // Half of the 250 ms that drafts can wait.
-    assert_eq!(most(&kinds[1]), millis(125));
-    assert_eq!(most(&kinds[3]), Duration::from_micros(62_500));
+    assert_eq!(max_ahead(&kinds[1]), millis(125));
+    assert_eq!(max_ahead(&kinds[3]), Duration::from_micros(62_500));
     // Half of the 50 ms that bookings of the same rank can wait.
-    assert_eq!(most(&kinds[2]), millis(25));
+    assert_eq!(max_ahead(&kinds[2]), millis(25));
 }
 
 /// Requests of a tenant above its quota wait as long as they can; other tenants still get slots.
 #[test]
-fn places_to_wait_of_a_hot_tenant_leave_others_theirs() {
+fn wait_slots_of_busy_tenant_leave_some_to_others() {
     let mut waiting = WaitSlots::default();
     let tenants: Vec<Arc<str>> = (0..16).map(|index| format!("t{index}").into()).collect();
     let mut taken = Vec::new();
@@ -330,7 +331,7 @@
 
 proptest! {
     #[test]
-    fn places_to_wait_are_bounded_and_none_is_lost(
+    fn wait_slots_bounded_and_released(
         steps in prop::collection::vec((0usize..4, prop::bool::weighted(0.7)), 0..3_000),
     ) {
         let mut waiting = WaitSlots::default();
@@ -354,7 +355,7 @@
     /// Whatever the other kinds demand, urgent requests that are within the quota by themselves
     /// are all granted within their patience.
     #[test]
-    fn urgent_request_within_the_quota_is_not_refused_for_patient_ones(
+    fn reserve_urgent_within_quota_never_refused(
         urgent_part in 0.05f64..0.8,
         urgent_cost in 100u64..4_000,
         urgent_objective_ms in 300u64..3_000,
@@ -373,10 +374,10 @@
             cost: *cost,
             per_s: of_part(*part, *cost),
         }));
-        let play = play(&kinds, QUOTA, 6);
-        prop_assert_eq!(play.outcomes[0].refused, 0, "{:?}", play.outcomes);
-        for (kind, outcome) in kinds.iter().zip(&play.outcomes) {
-            prop_assert_eq!(outcome.granted + outcome.refused, outcome.asked);
+        let simulation = simulate(&kinds, QUOTA, 6);
+        prop_assert_eq!(simulation.outcomes[0].refused, 0, "{:?}", simulation.outcomes);
+        for (kind, outcome) in kinds.iter().zip(&simulation.outcomes) {
+            prop_assert_eq!(outcome.granted + outcome.refused, outcome.requested);
             let longest = patience(kind.objective(), Duration::ZERO);
             prop_assert!(outcome.longest_wait <= longest, "{:?} of {:?}", outcome.longest_wait, longest);
         }
@@ -385,7 +386,7 @@
     /// The same for each rank: hardly any request is refused if the rank and those before it are
     /// within the quota together, however much the others demand.
     #[test]
-    fn rank_within_the_quota_is_hardly_refused_for_those_behind_it(
+    fn reserve_rank_within_quota_rarely_refused(
         parts in (0.05f64..0.4, 0.05f64..0.35),
         costs in (100u64..4_000, 100u64..4_000, 100u64..4_000),
         objectives_ms in (300u64..3_000, 300u64..3_000, 100u64..6_000),
@@ -402,8 +403,8 @@
             kind(1, parts.1, costs.1, objectives_ms.1),
             kind(2, last_part, costs.2, objectives_ms.2),
         ];
-        let outcomes = play(&kinds, QUOTA, 6).outcomes;
+        let outcomes = simulate(&kinds, QUOTA, 6).outcomes;
         prop_assert_eq!(outcomes[0].refused, 0, "{:?}", outcomes);
-        prop_assert!(outcomes[1].refused * 20 <= outcomes[1].asked, "{:?}", outcomes);
+        prop_assert!(outcomes[1].refused * 20 <= outcomes[1].requested, "{:?}", outcomes);
     }
 }
