--- a/crates/croftrill-scheduler/tests/limits.rs
+++ b/crates/croftrill-scheduler/tests/limits.rs
@@ -39,11 +39,11 @@
     /// A request arrives at a machine.
     Request(usize),
     /// A machine needs to retry a request.
-    Repeat(usize),
+    Retry(usize),
     /// A machine's process restarts.
     Restart(usize),
     /// The store's entries of this many machines expire.
-    Lapse(usize),
+    Expire(usize),
     /// All entries are back.
     Return,
 }
@@ -53,9 +53,9 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..MACHINES).prop_map(Step::Request),
-        12 => (0..MACHINES).prop_map(Step::Repeat),
+        12 => (0..MACHINES).prop_map(Step::Retry),
         1 => (0..MACHINES).prop_map(Step::Restart),
-        1 => (1..MACHINES).prop_map(Step::Lapse),
+        1 => (1..MACHINES).prop_map(Step::Expire),
         1 => Just(Step::Return),
     ]
 }
@@ -74,7 +74,7 @@
         ..ProptestConfig::default()
     })]
     #[test]
-    fn the_ceiling_holds_in_every_window(pauses in prop::collection::vec(0u64..600, 1..200)) {
+    fn load_ceiling_bounds_every_window(pauses in prop::collection::vec(0u64..600, 1..200)) {
         let mut ceiling = LoadCeiling::new(WINDOW);
         let mut load_times = Vec::new();
         let mut now = 0;
@@ -92,7 +92,7 @@
     }
 
     #[test]
-    fn repeats_of_all_nodes_stay_within_the_common_budget(
+    fn retry_budget_shared_by_nodes(
         steps in prop::collection::vec((0usize..4, any::<bool>(), 0u64..300), 1..400),
     ) {
         let service = "llm".into();
@@ -100,7 +100,7 @@
         for node in &mut nodes {
             node.set_node_count(4, at(0));
         }
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 0;
         for (node, is_request, pause) in steps {
             now += pause;
@@ -109,10 +109,10 @@
                 nodes[node].record_request(&service, at(now));
                 requests.push(now);
             } else if nodes[node].take(&service, at(now)) {
-                repeats.push(now);
+                retries.push(now);
                 // Nodes spend by their own last window, so together by at most two windows.
                 let allowed = RATIO * recent(&requests, 10_000, now) + SLACK;
-                prop_assert!(recent(&repeats, 5000, now) <= allowed);
+                prop_assert!(recent(&retries, 5000, now) <= allowed);
             }
         }
     }
@@ -120,7 +120,7 @@
     /// A restarted process had its full share of the slack again, and nodes each took the whole
     /// slack while the entries of the other nodes had expired.
     #[test]
-    fn repeats_stay_within_the_budget_when_machines_restart_and_entries_lapse(
+    fn retry_budget_with_restarts_and_expired_entries(
         steps in prop::collection::vec((step(), 0u64..120), 1..600),
     ) {
         let service = "llm".into();
@@ -129,7 +129,7 @@
             machine.set_node_count(MACHINES, at(0));
         }
         let mut known = MACHINES;
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 0;
         for (step, pause) in steps {
             now += pause;
@@ -141,13 +141,13 @@
                     machines[machine].record_request(&service, at(now));
                     requests.push(now);
                 }
-                Step::Repeat(machine) => {
+                Step::Retry(machine) => {
                     if machines[machine].take(&service, at(now)) {
-                        repeats.push(now);
+                        retries.push(now);
                     }
                 }
                 Step::Restart(machine) => machines[machine] = budget_from(at(now)),
-                Step::Lapse(gone) => known = MACHINES - gone,
+                Step::Expire(expired) => known = MACHINES - expired,
                 // Entries are back within about two seconds, before the higher count expires.
                 Step::Return => known = MACHINES,
             }
@@ -155,13 +155,13 @@
                 known = MACHINES;
             }
             let allowed = RATIO * recent(&requests, 10_000, now) + SLACK;
-            prop_assert!(recent(&repeats, 5000, now) <= allowed);
+            prop_assert!(recent(&retries, 5000, now) <= allowed);
         }
     }
 }
 
 #[test]
-fn a_new_orderer_counts_the_formers_loads_as_just_begun() {
+fn assume_full_counts_loads_of_former_orderer() {
     let mut ceiling = LoadCeiling::new(WINDOW);
     ceiling.assume_full(at(0), 5);
     assert!(!ceiling.admits(at(4900), 5));
--- a/crates/croftrill-scheduler/tests/replica_limits.rs
+++ b/crates/croftrill-scheduler/tests/replica_limits.rs
@@ -41,7 +41,7 @@
 }
 
 /// Applies the answer to a call with these times.
-fn hear(
+fn receive_answer(
     table: &mut ReplicaTable,
     started_ms: StartedMs,
     limit: LimitSignal,
@@ -71,34 +71,40 @@
 }
 
 #[test]
-fn hear_a_limit_holds_until_an_answer_to_a_later_call_names_none() {
+fn limit_holds_until_later_call_reports_none() {
     let mut table = listed();
-    assert!(hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10));
+    assert!(receive_answer(
+        &mut table,
+        1,
+        LimitSignal::Limited(rate(2.0)),
+        0,
+        10
+    ));
     // It was answered before the limit was reported, and arrived later.
-    assert!(!hear(&mut table, 1, LimitSignal::Unlimited, 5, 400));
+    assert!(!receive_answer(&mut table, 1, LimitSignal::Unlimited, 5, 400));
     assert_eq!(known(&table), Some(rate(2.0)));
     // An answer without a limit signal changes nothing.
-    assert!(!hear(&mut table, 1, LimitSignal::Unspecified, 50, 60));
-    assert!(hear(&mut table, 1, LimitSignal::Unlimited, 50, 70));
+    assert!(!receive_answer(&mut table, 1, LimitSignal::Unspecified, 50, 60));
+    assert!(receive_answer(&mut table, 1, LimitSignal::Unlimited, 50, 70));
     assert_eq!(known(&table), None);
 }
 
 #[test]
-fn hear_of_answers_that_overtake_each_other_keeps_the_lower_limit() {
+fn limit_of_reordered_answers_is_the_lower() {
     let mut table = listed();
-    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
-    hear(&mut table, 1, LimitSignal::Limited(rate(9.0)), 5, 20);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(9.0)), 5, 20);
     assert_eq!(known(&table), Some(rate(2.0)));
-    hear(&mut table, 1, LimitSignal::Limited(rate(1.0)), 5, 30);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(1.0)), 5, 30);
     assert_eq!(known(&table), Some(rate(1.0)));
-    hear(&mut table, 1, LimitSignal::Limited(rate(9.0)), 40, 50);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(9.0)), 40, 50);
     assert_eq!(known(&table), Some(rate(9.0)));
 }
 
 #[test]
-fn hear_a_limit_outlives_a_lapse_of_the_entry_and_ends_with_a_new_start() {
+fn limit_outlives_expired_entry_but_not_restart() {
     let mut table = listed();
-    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(2.0)), 0, 10);
     table.remove("r1");
     assert_eq!(known(&table), Some(rate(2.0)));
     table.apply_listing(listing(1));
@@ -106,21 +112,21 @@
     table.apply_listing(listing(2));
     assert_eq!(known(&table), None);
     // An answer of the former incarnation arrives late.
-    hear(&mut table, 1, LimitSignal::Limited(rate(2.0)), 20, 30);
+    receive_answer(&mut table, 1, LimitSignal::Limited(rate(2.0)), 20, 30);
     assert_eq!(known(&table), None);
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Answer {
     sent_ms: u64,
-    taken_ms: u64,
+    processed_ms: u64,
     answered_ms: u64,
 }
 
 fn answers() -> impl Strategy<Value = Vec<Answer>> {
     let answer = (0u64..20_000, 0u64..500, 0u64..500).prop_map(|(sent_ms, there_ms, back_ms)| Answer {
         sent_ms,
-        taken_ms: sent_ms + there_ms,
+        processed_ms: sent_ms + there_ms,
         answered_ms: sent_ms + there_ms + back_ms,
     });
     prop::collection::vec(answer, 1..80)
@@ -131,28 +137,28 @@
     /// that is sent after an answer with the limit has arrived finds the limit in use. After the
     /// overload, the limit ends with the first answer to a call sent since.
     #[test]
-    fn hear_of_a_need_is_believed_while_it_lasts(mut answers in answers()) {
-        const NEED_MS: std::ops::Range<u64> = 5_000..10_000;
+    fn limit_in_use_during_overload(mut answers in answers()) {
+        const OVERLOAD_MS: std::ops::Range<u64> = 5_000..10_000;
         answers.sort_by_key(|answer| answer.answered_ms);
         let mut table = listed();
-        let mut told_ms = None;
+        let mut reported_ms = None;
         let mut ended = false;
         for answer in &answers {
-            let in_need = NEED_MS.contains(&answer.taken_ms);
-            let word = if in_need { LimitSignal::Limited(rate(1.0)) } else { LimitSignal::Unlimited };
-            hear(&mut table, 1, word, answer.sent_ms, answer.answered_ms);
-            if in_need {
-                told_ms = Some(answer.answered_ms);
+            let is_overloaded = OVERLOAD_MS.contains(&answer.processed_ms);
+            let word = if is_overloaded { LimitSignal::Limited(rate(1.0)) } else { LimitSignal::Unlimited };
+            receive_answer(&mut table, 1, word, answer.sent_ms, answer.answered_ms);
+            if is_overloaded {
+                reported_ms = Some(answer.answered_ms);
                 ended = false;
-            } else if answer.sent_ms >= NEED_MS.end && told_ms.is_some_and(|told| answer.sent_ms >= told) {
+            } else if answer.sent_ms >= OVERLOAD_MS.end && reported_ms.is_some_and(|reported| answer.sent_ms >= reported) {
                 ended = true;
             }
-            let is_believed = known(&table).is_some();
-            if in_need {
-                prop_assert!(is_believed);
+            let is_in_use = known(&table).is_some();
+            if is_overloaded {
+                prop_assert!(is_in_use);
             }
             if ended {
-                prop_assert!(!is_believed);
+                prop_assert!(!is_in_use);
             }
         }
     }
@@ -189,14 +195,14 @@
     request: LimitRequest,
     millis: std::ops::Range<u64>,
 ) -> usize {
-    let asked = millis.step_by(10);
-    asked
+    let times = millis.step_by(10);
+    times
         .filter(|now| is_granted(keeper.reserve(&replica(), None, limit, request, at(*now))))
         .count()
 }
 
 #[test]
-fn ask_of_none_a_second_is_granted_once_in_four_seconds() {
+fn reserve_at_zero_limit_granted_every_four_seconds() {
     let mut keeper = keeper(KeeperRole::Primary);
     let granted = granted_of(&mut keeper, reported(0.0, 0), request(0, true), 0..40_000);
     // Some call has to discover that the overload is over.
@@ -204,7 +210,7 @@
 }
 
 #[test]
-fn ask_goes_by_the_newest_limit_that_any_node_heard() {
+fn reserve_uses_newest_reported_limit() {
     let mut keeper = keeper(KeeperRole::Primary);
     let older = reported(50.0, 0);
     granted_of(&mut keeper, reported(1.0, 100), request(0, false), 1_000..2_000);
@@ -221,12 +227,12 @@
 }
 
 #[test]
-fn ask_of_urgent_calls_is_granted_before_the_others() {
+fn reserve_urgent_calls_first() {
     let mut keeper = keeper(KeeperRole::Primary);
     let limit = reported(2.0, 0);
-    let (mut urgent, mut usual) = (0, 0);
+    let (mut urgent, mut non_urgent) = (0, 0);
     for now in (0..60_000).step_by(100) {
-        usual += usize::from(is_granted(keeper.reserve(
+        non_urgent += usize::from(is_granted(keeper.reserve(
             &replica(),
             None,
             limit,
@@ -245,11 +251,11 @@
     }
     // One urgent call per second, of two that the replica accepts, and nine others.
     assert!(urgent >= 45, "{urgent} of 60 urgent calls");
-    assert!(usual + urgent >= 96, "{usual} others");
+    assert!(non_urgent + urgent >= 96, "{non_urgent} others");
 }
 
 #[test]
-fn ask_refused_in_a_row_are_told_times_one_after_the_other_that_are_true() {
+fn reserve_consecutive_refusals_get_accurate_retry_times() {
     let mut keeper = keeper(KeeperRole::Primary);
     let limit = reported(1.0, 0);
     let mut times = Vec::new();
@@ -270,14 +276,14 @@
 }
 
 #[test]
-fn ask_of_a_second_keeper_is_ruled_on_a_quarter() {
+fn reserve_at_secondary_keeper_grants_a_quarter() {
     let mut keeper = keeper(KeeperRole::Secondary);
     let granted = granted_of(&mut keeper, reported(10.0, 0), request(0, false), 0..20_000);
     assert!((40..=52).contains(&granted), "{granted}");
 }
 
 #[test]
-fn give_back_of_a_turn_that_was_not_used_serves_another_call() {
+fn refund_of_unused_reservation_serves_another_call() {
     let mut keeper = keeper(KeeperRole::Primary);
     let limit = reported(1.0, 0);
     let reserve =
@@ -291,7 +297,7 @@
 
 /// Nodes that are standalone for long save up nothing: together they send what the limit allows.
 #[test]
-fn ask_of_lone_nodes_after_a_long_rest_is_spread() {
+fn reserve_of_standalone_nodes_spread_after_idle_time() {
     const NODES: usize = 985;
     let name: Arc<str> = replica();
     let mut nodes: Vec<StandaloneReservations> =
