--- a/crates/croftrill-scheduler/tests/admission.rs
+++ b/crates/croftrill-scheduler/tests/admission.rs
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn a_request_that_can_still_be_in_time_waits() {
+fn decide_cold_waits_if_in_time() {
     assert_eq!(decide_cold(&cold(0, 600)), ColdDecision::Wait);
 }
 
 #[test]
-fn a_request_that_cannot_is_refused_at_once_with_a_time_that_holds() {
+fn decide_cold_refuses_if_late_with_retry_time() {
     let ColdDecision::Refuse { come_back_after } = decide_cold(&cold(0, 1000)) else {
         panic!("expected a refusal")
     };
@@ -37,7 +37,7 @@
 
 /// Requests were held to the end of their callers' time while no node was the orderer.
 #[test]
-fn a_request_is_not_held_past_its_part_of_the_callers_patience() {
+fn decide_cold_bounds_hold_by_patience() {
     assert!(matches!(
         decide_cold(&cold(1500, 400)),
         ColdDecision::Refuse { .. }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_leaves_the_caller_time() {
+fn decide_cold_retry_time_within_deadline() {
     let request = ColdRequest {
         left: millis(900),
         ..cold(1500, 3000)
@@ -60,7 +60,7 @@
 /// All holders are in cooldown: a request waits for a short cooldown, and is refused with a time
 /// to retry after for a longer one.
 #[test]
-fn decide_resting_waits_only_if_the_answer_is_in_time() {
+fn decide_in_cooldown_waits_only_if_in_time() {
     assert_eq!(decide_in_cooldown(&cold(0, 600), 1, 0.5), ColdDecision::Wait);
     let ColdDecision::Refuse { come_back_after } = decide_in_cooldown(&cold(0, 3000), 1, 0.5) else {
         panic!("expected a refusal");
@@ -72,7 +72,7 @@
     /// No caller retries within the cooldown, and less urgent ones retry later for the same
     /// sample.
     #[test]
-    fn return_after_rest_keeps_the_rest_and_the_order(cooldown_ms in 1u64..100_000, rank in 0u8..12, unit in 0.0f64..1.0) {
+    fn retry_after_cooldown_respects_cooldown_and_rank(cooldown_ms in 1u64..100_000, rank in 0u8..12, unit in 0.0f64..1.0) {
         let cooldown = millis(cooldown_ms);
         let retry_after = retry_after_cooldown(cooldown, rank, unit);
         prop_assert!(retry_after >= cooldown && retry_after <= cooldown + cooldown / 4);
--- a/crates/croftrill-scheduler/tests/full_holders.rs
+++ b/crates/croftrill-scheduler/tests/full_holders.rs
@@ -36,14 +36,14 @@
 
 /// Batches fill the replicas: interactive requests are queued there by rank.
 #[test]
-fn urgent_request_that_can_be_in_time_goes_to_a_queue() {
+fn decide_full_sends_urgent_in_time() {
     assert_eq!(decide_full(&interactive(0, 100), 0, 0.5), FullDecision::Send);
 }
 
 /// Batches are queued at the replicas for seconds. An interactive request overtakes them there,
 /// and is not refused because of the time that they have to wait.
 #[test]
-fn urgent_request_passes_the_queue_of_others() {
+fn decide_full_sends_overtaking_request() {
     let overtaking = FullRequest {
         overtakes_others: true,
         ..interactive(0, 4000)
@@ -59,21 +59,21 @@
 /// In the same situation, further batches leave the queues to interactive requests, and are sent
 /// while they can still be in time.
 #[test]
-fn patient_request_waits_at_its_node_while_it_can_spare_it() {
+fn decide_full_holds_patient_request() {
     assert_eq!(decide_full(&patient(0, 100), 2, 0.5), FullDecision::Wait);
     assert_eq!(decide_full(&patient(3600, 200), 2, 0.5), FullDecision::Send);
 }
 
 /// In a burst, a request that is late anyway makes no other request late.
 #[test]
-fn late_request_takes_only_a_free_place() {
+fn decide_full_holds_late_request() {
     assert_eq!(decide_full(&interactive(100, 600), 0, 0.5), FullDecision::Wait);
     assert_eq!(decide_full(&patient(5000, 100), 2, 0.5), FullDecision::Wait);
 }
 
 /// A burst that cannot be served while its callers wait.
 #[test]
-fn hopeless_request_is_refused_at_its_first_look_with_a_time() {
+fn decide_full_refuses_hopeless_request() {
     let FullDecision::Refuse { come_back_after } = decide_full(&interactive(0, 1500), 0, 0.5) else {
         panic!("expected a refusal")
     };
@@ -86,7 +86,7 @@
 
 /// More urgent requests that were refused retry earlier, and retries are spread.
 #[test]
-fn refused_requests_come_back_by_rank_and_spread() {
+fn decide_full_spreads_retries_by_rank() {
     let retry_after = |rank, unit| match decide_full(&interactive(0, 1500), rank, unit) {
         FullDecision::Refuse { come_back_after } => come_back_after,
         other => panic!("{other:?}"),
@@ -113,7 +113,7 @@
 proptest! {
     /// No request waits for longer than its fraction of the caller's patience.
     #[test]
-    fn wait_is_bounded(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
+    fn decide_full_bounds_wait(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if decide_full(&request, rank, unit) == FullDecision::Wait {
             prop_assert!(request.waited + request.starts_in <= request.patience.mul_f64(0.45));
         }
@@ -121,7 +121,7 @@
 
     /// Only a request that can be in time or overtakes others is sent to a full replica's queue.
     #[test]
-    fn send_is_in_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
+    fn decide_full_sends_in_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if decide_full(&request, rank, unit) == FullDecision::Send {
             let served_at = request.waited + request.starts_in + request.first_event_after;
             prop_assert!(request.overtakes_others || served_at <= request.objective);
@@ -130,7 +130,7 @@
 
     /// Where an urgent request is refused, a patient one with the same times is not sent.
     #[test]
-    fn urgent_is_not_refused_where_a_patient_one_is_sent(request in requests(), unit in 0.0..1.0f64) {
+    fn decide_full_prefers_urgent(request in requests(), unit in 0.0..1.0f64) {
         let urgent = FullRequest { is_most_urgent: true, ..request };
         let patient = FullRequest { is_most_urgent: false, overtakes_others: false, ..request };
         let is_refused = matches!(decide_full(&urgent, 0, unit), FullDecision::Refuse { .. });
@@ -139,7 +139,7 @@
 
     /// No caller is told to retry later than it waits.
     #[test]
-    fn told_time_is_within_the_callers_time(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
+    fn decide_full_retry_time_within_deadline(request in requests(), rank in 0..10u8, unit in 0.0..1.0f64) {
         if let FullDecision::Refuse { come_back_after } = decide_full(&request, rank, unit) {
             prop_assert!(come_back_after <= request.left / 3);
         }
--- a/crates/croftrill-scheduler/tests/tenants.rs
+++ b/crates/croftrill-scheduler/tests/tenants.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn holder_of_known_and_unknown_keys() {
+fn find_by_key_known_and_unknown() {
     let tenants = Tenants::new(
         vec![tenant("a", "k1", None), tenant("b", "k2", None)],
         [0].into_iter(),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn digest_debug_shows_nothing() {
+fn digest_debug_hides_key() {
     let shown = format!("{:?}", tenant("a", "secret", None));
     let hex: String = format!("{:x?}", KeyDigest::of(b"secret"));
     assert_eq!(hex, "KeyDigest(..)");
@@ -43,7 +43,7 @@
 
 proptest! {
     #[test]
-    fn rank_goes_by_tenant_first_and_route_second(
+    fn rank_orders_by_tenant_then_route(
         priorities in prop::collection::vec(prop::option::of(0u8..12), 1..6),
         routes in prop::collection::vec(0u8..10, 1..5),
     ) {
--- a/crates/croftrill-scheduler/tests/waiting_requests.rs
+++ b/crates/croftrill-scheduler/tests/waiting_requests.rs
@@ -33,7 +33,7 @@
 
 /// Batches wait when an interactive request arrives.
 #[test]
-fn urgent_request_goes_before_all_that_wait_longer() {
+fn is_next_urgent_first() {
     let mut waiting = WaitingRequests::new(BOUNDS);
     let patient = waiting.enter(request("m", 2, "a", 100));
     let urgent = waiting.enter(request("m", 0, "a", 900));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn requests_for_other_models_do_not_wait_for_each_other() {
+fn is_next_per_model() {
     let mut waiting = WaitingRequests::new(BOUNDS);
     let one = waiting.enter(request("m", 2, "a", 100));
     let other = waiting.enter(request("n", 0, "a", 100));
@@ -53,7 +53,7 @@
 /// One tenant sends several times its usual demand. Another tenant's single request is second at
 /// the latest, although all requests of the busy tenant are due earlier.
 #[test]
-fn busy_tenant_does_not_hold_up_another() {
+fn is_next_alternates_tenants() {
     let mut waiting = WaitingRequests::new(BOUNDS);
     let busy: Vec<WaitingId> = (0..5)
         .map(|n| waiting.enter(request("m", 1, "busy", n)))
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn within_a_tenant_the_earliest_due_goes_first() {
+fn is_next_earliest_due_within_tenant() {
     let mut waiting = WaitingRequests::new(BOUNDS);
     let later = waiting.enter(request("m", 1, "a", 800));
     let sooner = waiting.enter(request("m", 1, "a", 300));
@@ -74,7 +74,7 @@
 
 /// A burst of patient requests fills the node, and an urgent one is still accepted.
 #[test]
-fn beyond_the_bound_the_least_urgent_is_put_out() {
+fn enter_beyond_bounds_removes_least_urgent() {
     let mut waiting = WaitingRequests::new(BOUNDS);
     let patient: Vec<WaitingId> = (0..8).map(|n| waiting.enter(request("m", 2, "a", n))).collect();
     let urgent = waiting.enter(request("m", 0, "a", 50));
@@ -89,7 +89,7 @@
 proptest! {
     /// Whatever arrives and leaves, the bounds hold and exactly one request per model is next.
     #[test]
-    fn bounds_hold_and_one_is_next(
+    fn enter_bounded_with_one_next_per_model(
         steps in prop::collection::vec((0..3u8, 0..3usize, 0..4u8, 0..3usize, 0..1000u64, 0..3000usize), 1..60),
     ) {
         let mut waiting = WaitingRequests::new(BOUNDS);
