--- a/crates/croftrill-scheduler/src/quota/account.rs
+++ b/crates/croftrill-scheduler/src/quota/account.rs
@@ -56,10 +56,10 @@
 /// The units that one tenant may spend.
 ///
 /// Invariant: `balance` never drops so low that the income certain to arrive before a grant's
-/// time would leave it below `-debt` at that time; `non_urgent_balance` is never negative. Together they gain
-/// at most the income and hold at most the maximum savings. So within any time `t`, the requests
-/// that are both made and granted for a time within it cost at most `income` x `t` + `saved` +
-/// `debt`.
+/// time would leave it below `-debt` at that time; `non_urgent_balance` is never negative.
+/// Together they gain at most the income and hold at most the maximum savings. So within any time
+/// `t`, the requests that are both made and granted for a time within it cost at most `income` x
+/// `t` + `savings` + `debt`.
 #[derive(Debug, Clone)]
 pub(super) struct Account {
     /// The tenant's quota.
--- a/crates/croftrill-scheduler/src/quota/expected_retries.rs
+++ b/crates/croftrill-scheduler/src/quota/expected_retries.rs
@@ -4,9 +4,9 @@
 
 /// Time after the announced retry for which the retry is still expected.
 const RETRY_GRACE: Duration = Duration::from_millis(100);
-/// Number of steps of [`ExpectedRetries`]. The last step starts at 256 ms, and nothing is granted ahead
-/// for more than twice that. The limits of consecutive ranks differ by at least a factor of two,
-/// so ranks fall into different steps.
+/// Number of steps of [`ExpectedRetries`]. The last step starts at 256 ms, and nothing is granted
+/// ahead for more than twice that. The limits of consecutive ranks differ by at least a factor of
+/// two, so ranks fall into different steps.
 const STEP_COUNT: usize = 10;
 
 /// Refused requests that may be retried, grouped by how far ahead they may be granted: those
--- a/crates/croftrill-scheduler/src/quota/keeper.rs
+++ b/crates/croftrill-scheduler/src/quota/keeper.rs
@@ -17,7 +17,7 @@
 /// The balances of the tenants of one partition.
 ///
 /// Invariant: while its share is `share`, the fraction of the listed nodes that listen to it,
-/// this keeper grants a tenant at most `share` x (`income` x `t` + `saved` + `debt`) in any time
+/// this keeper grants a tenant at most `share` x (`income` x `t` + `savings` + `debt`) in any time
 /// `t`. A new keeper starts without a balance. So where `k` keepers start within a window, a
 /// tenant gets at most `window_allowance` + (`k` + 1) x `debt` in that window. For a node that
 /// becomes silent, `share` counts twice until its old keeper notices. A request granted ahead
--- a/crates/croftrill-scheduler/src/quota/limits.rs
+++ b/crates/croftrill-scheduler/src/quota/limits.rs
@@ -6,8 +6,8 @@
 //! short time, since the next keeper does not know of reservations made at this one.
 //!
 //! With nodes whose lists agree, and `L` the limit, the worst sum in any time `t` is `L` x `t`
-//! plus two savings from the first keeper, a quarter of `L` x `t` plus two savings from the
-//! second, and `L` x [`MAX_AHEAD`] once when one keeper replaces the other. For limits of up to
+//! plus two savings from the primary keeper, a quarter of `L` x `t` plus two savings from the
+//! secondary, and `L` x [`MAX_AHEAD`] once when one keeper replaces the other. For limits of up to
 //! ten per second that is 5.5 `L` + 4 in 4 s, where 6 `L` + 5 are promised.
 
 use std::collections::HashMap;
@@ -27,9 +27,9 @@
 /// refused with a time to retry after, and the next keeper does not know of reservations made at
 /// this one.
 pub const MAX_AHEAD: Duration = Duration::from_millis(500);
-/// Fraction of the limit granted by a keeper that is not the first of its list, as the first may
-/// still serve other nodes. A replica can take the sum of both for a while. Three quarters of the
-/// limit are unused until the list no longer has the first keeper.
+/// Fraction of the limit granted by a secondary keeper, as the primary may still serve other
+/// nodes. A replica can take the sum of both for a while. Three quarters of the limit are unused
+/// until the primary is removed from the list.
 const SECONDARY_LIMIT_FRACTION: f64 = 0.25;
 /// Maximum time to retry after: beyond it the limit has probably changed.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
@@ -63,7 +63,7 @@
     pub is_urgent: bool,
 }
 
-/// Position of a keeper in its own list of the keepers of a limit.
+/// Role of a keeper, by its position in its own list of the keepers of a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeeperRole {
     /// The first choice, used by all nodes that can reach it.
@@ -227,12 +227,12 @@
         }
     }
 
-    /// Returns this keeper's position in its own list.
+    /// Returns this keeper's role.
     pub fn role(&self) -> KeeperRole {
         self.role
     }
 
-    /// Sets this keeper's position in its own list.
+    /// Sets this keeper's role.
     pub fn set_role(&mut self, role: KeeperRole, now: Moment) {
         if role == self.role {
             return;
--- a/crates/croftrill-scheduler/src/quota/reservation.rs
+++ b/crates/croftrill-scheduler/src/quota/reservation.rs
@@ -101,8 +101,8 @@
         left.min(self.max_ahead)
     }
 
-    /// Returns when to retry after a refusal that gave `retry_after`, or `None` if that is too
-    /// late for the request.
+    /// Returns how long to pause before a retry, given the `retry_after` of a refusal, or `None`
+    /// if that is too late for the request.
     pub fn pause(&self, retry_after: Duration, now: Moment) -> Option<Duration> {
         let pause = retry_after.max(MIN_RETRY_PAUSE);
         (now + pause < self.deadline).then_some(pause)
--- a/crates/croftrill-scheduler/src/retry_budget.rs
+++ b/crates/croftrill-scheduler/src/retry_budget.rs
@@ -46,7 +46,7 @@
 }
 
 impl RetryBudget {
-    /// Creates an unused budget for a process that started at `started_at`.
+    /// Creates an unused budget for a process started at this time.
     pub fn new(config: RetryBudgetConfig, started_at: Moment) -> Self {
         RetryBudget {
             config,
--- a/crates/croftrill-scheduler/tests/limits.rs
+++ b/crates/croftrill-scheduler/tests/limits.rs
@@ -17,7 +17,7 @@
 const SLACK: f64 = 10.0;
 const RATIO: f64 = 0.2;
 
-/// The budget of a process that started at `started_at`.
+/// The budget of a process started at this time.
 fn budget_from(started_at: Moment) -> RetryBudget {
     let config = RetryBudgetConfig {
         ratio: RATIO,
