--- a/crates/croftrill-scheduler/tests/quota.rs
+++ b/crates/croftrill-scheduler/tests/quota.rs
@@ -430,7 +430,7 @@
     /// The keeper of each node.
     choice: Vec<usize>,
     /// Keepers that still count a listener that left, and until when.
-    ghosts: Vec<(usize, u64)>,
+    stale_listeners: Vec<(usize, u64)>,
     grants: Vec<(u64, u64)>,
     /// Grants ahead of time: node, cost and when the request runs.
     ahead: Vec<(usize, u64, u64)>,
@@ -444,7 +444,7 @@
         Fleet {
             keepers: (0..KEEPERS).map(|_| keeper(at(0))).collect(),
             choice: vec![0; NODES],
-            ghosts: Vec::new(),
+            stale_listeners: Vec::new(),
             grants: Vec::new(),
             ahead: Vec::new(),
             started: vec![0],
@@ -453,12 +453,16 @@
     }
 
     fn count(&mut self, now: u64) {
-        self.ghosts.retain(|(_, until)| *until > now);
+        self.stale_listeners.retain(|(_, until)| *until > now);
         for index in 0..KEEPERS {
             let own = self.choice.iter().filter(|choice| **choice == index).count();
-            let ghosts = self.ghosts.iter().filter(|(keeper, _)| *keeper == index).count();
+            let stale_listeners = self
+                .stale_listeners
+                .iter()
+                .filter(|(keeper, _)| *keeper == index)
+                .count();
             self.keepers[index].set_listed_nodes(NODES, at(now));
-            self.keepers[index].set_listeners(own + ghosts, at(now));
+            self.keepers[index].set_listeners(own + stale_listeners, at(now));
         }
     }
 
@@ -467,13 +471,14 @@
         match fault {
             Fault::Moves { node, to } => self.choice[node] = to,
             Fault::MovesSilently { node, to } => {
-                self.ghosts.push((self.choice[node], now + SILENCE_MS));
+                self.stale_listeners.push((self.choice[node], now + SILENCE_MS));
                 self.silences.push(now);
                 self.choice[node] = to;
             }
             Fault::Restarts { keeper: index } => {
                 self.keepers[index] = keeper(at(now));
-                self.ghosts.retain(|(ghost, _)| *ghost != index);
+                self.stale_listeners
+                    .retain(|(listened_to, _)| *listened_to != index);
             }
         }
         self.count(now);
@@ -617,14 +622,14 @@
     fn window_of_urgent_and_patient_requests_within_quota(
         (config, quota) in any_bounds(),
         kinds in prop::collection::vec(any_kind(), 1..4),
-        quiet_ms in 0u64..6_000,
+        idle_ms in 0u64..6_000,
     ) {
         let mut keeper = QuotaKeeper::new(config, at(0));
         keeper.update_quota(&name(), quota, 1, at(0));
         keeper.set_listed_nodes(10, at(0));
         keeper.set_listeners(10, at(0));
         let mut runs: Vec<(u64, u64, u64)> = Vec::new();
-        for now in quiet_ms..quiet_ms + 16_000 {
+        for now in idle_ms..idle_ms + 16_000 {
             for (cost, gap_ms, patience_ms, is_urgent) in &kinds {
                 if now % gap_ms != 0 {
                     continue;
@@ -640,7 +645,7 @@
         // A grant's time is sent to requests in whole milliseconds.
         let rounding = quota.rate_per_s * 0.002 + 1.0;
         let allowed = nominal * (1.0 + config.overage) + config.slack + rounding;
-        for from in (quiet_ms..quiet_ms + 16_000).step_by(100) {
+        for from in (idle_ms..idle_ms + 16_000).step_by(100) {
             let within = runs.iter().filter(|(sent, runs_at, _)| *sent >= from && *runs_at <= from + window);
             let sum: u64 = within.map(|(_, _, cost)| *cost).sum();
             prop_assert!(sum as f64 <= allowed, "{} of {} from {}", sum, allowed, from);
