--- a/crates/croftrill-scheduler/src/orderer/adapters.rs
+++ b/crates/croftrill-scheduler/src/orderer/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters that are waited for, onto replicas that hold their model.
+//! Loading of requested adapters onto replicas that hold their model.
 
 use std::time::Duration;
 
@@ -10,11 +10,12 @@
 
 use super::{Orderer, OrdererAction};
 
-/// Time for which a waiting adapter is left to the orderer of the best place.
+/// Time for which a requested adapter is left to the orderer of the best replica, before
+/// another shard's orderer may load it.
 const ADAPTER_PATIENCE: Duration = Duration::from_millis(400);
 
 impl Orderer {
-    /// Loads adapters that are waited for onto replicas that hold their model.
+    /// Loads adapters that requests wait for onto replicas that hold their model.
     pub(super) fn place_adapters(
         &mut self,
         service: &ServiceName,
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -1,4 +1,4 @@
-//! Which model a replica should load next, and the steps to get there.
+//! Goals: the model that a replica should load next, and the orders that lead there.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 
 use super::{Decision, GoalReason, Orderer, OrdererAction};
 
-/// Models for which a plan chooses places at most.
+/// Maximum number of models for which one plan selects targets.
 const MOST_GOALS_AT_ONCE: usize = 6;
-/// Time for which a waiting model is left to the orderer of the best place.
+/// Time for which a waiting model is left to the orderer of the best replica, before another
+/// shard's orderer may load it.
 const MODEL_PATIENCE: Duration = Duration::from_millis(700);
-/// Time after which one of two withdrawals is known at the other's orderer before it drops
-/// the model, whichever came first: twice what news take to all nodes, 240 ms.
+/// Time within which a withdrawal at one of two holders is known to the orderer of the other
+/// one: twice the 240 ms that an update takes to reach all nodes.
 const WITHDRAWAL_HEARD_WITHIN: Duration = Duration::from_millis(500);
 
 impl Orderer {
-    /// Sets goals for models that are waited for and held nowhere.
+    /// Sets goals for models that requests wait for and no replica holds.
     pub(super) fn set_goals(
         &mut self,
         service: &ServiceName,
@@ -42,7 +43,7 @@
             self.set_goals_by_objective(service, engine, wanted, now);
             return;
         }
-        // Choosing places is costly: the others have their turn in the next plans.
+        // Target selection is expensive, so the other models follow in the next plans.
         let first = self.next_goal.checked_rem(wanted.len()).unwrap_or(0);
         wanted.rotate_left(first);
         wanted.truncate(MOST_GOALS_AT_ONCE);
@@ -52,8 +53,8 @@
         }
     }
 
-    /// The same in the order of the earliest objective that can still be kept; each model
-    /// has its turn before one is tried again.
+    /// Sets such goals in the order of the earliest objective that can still be met. Each
+    /// model is tried once before any is tried again.
     fn set_goals_by_objective(
         &mut self,
         service: &ServiceName,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Chooses a place for a model that is waited for and held nowhere.
+    /// Selects a target for a model that requests wait for and no replica holds.
     fn set_waiting_goal(
         &mut self,
         service: &ServiceName,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Gives one more holder to each of the models that gain most by it.
+    /// Sets goals for one more holder of each of the models that gain most by it.
     pub(super) fn add_holders(&mut self, service: &ServiceName, engine: &EngineSpec, now: Moment) {
         let mut lacking = self.lacking_models(service, engine, now);
         if self.knows_work(service) {
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Models for which no place was found lately come after those that had no turn: else
-    /// the neediest, which are held wherever a copy is, would keep all others from theirs.
+    /// Moves the models that were tried in this round behind the others. Otherwise the
+    /// neediest models, which all replicas with a copy hold already, would block all others.
     fn take_turns(&mut self, lacking: &mut [(f64, ModelName)]) {
         if lacking
             .iter()
@@ -151,8 +152,8 @@
         self.lacking_tried.extend(turns.map(|(_, model)| model.clone()));
     }
 
-    /// Models that gain by one more holder, those that gain most first, with the requests a
-    /// second that it would keep in time.
+    /// Returns the models that gain by one more holder, the largest gain first, with the gain:
+    /// the additional requests per second that are served on time.
     fn lacking_models(
         &self,
         service: &ServiceName,
@@ -179,7 +180,7 @@
         lacking
     }
 
-    /// Chooses a place for one more holder of a model, if that pays.
+    /// Selects a target for one more holder of a model, if the gain outweighs the cost.
     fn add_holder(
         &mut self,
         service: &ServiceName,
@@ -189,10 +190,10 @@
         now: Moment,
     ) {
         let store_allowed = self.store_allowed(service, engine, now);
-        // Before anything is known of the work, who needs the weight store most is not either.
+        // As long as the work is unknown, so is which model needs the weight store most.
         let store_allowed = store_allowed && (!self.follows_work(service) || self.knows_work(service));
         let view = self.placement_of(service, engine, now);
-        // Every orderer finds the same best place; the one who orders there acts.
+        // All orderers find the same best replica; the one that sends orders there acts.
         let best = view.best_target(model, store_allowed, CandidateScope::All);
         if best
             .as_ref()
@@ -217,6 +218,8 @@
         }
     }
 
+    /// Sets a replica's goal and records the decision. `holders` is the number of other
+    /// replicas that hold the model or are to load it.
     pub(super) fn set_goal(&mut self, id: &ReplicaId, model: ModelName, reason: GoalReason, holders: usize) {
         if let Some(replica) = self.replicas.get_mut(id) {
             let source = weight_source(replica.ledger.holdings(), &model);
@@ -233,7 +236,7 @@
         }
     }
 
-    /// The next step of each replica that has a goal: load it, or make room.
+    /// Adds the next order of each replica that has a goal: to load it, or to free memory.
     pub(super) fn step_goals(
         &mut self,
         service: &ServiceName,
@@ -252,6 +255,7 @@
         }
     }
 
+    /// Returns the next order towards a replica's goal, if one can be sent now.
     pub(super) fn next_step(
         &mut self,
         id: &ReplicaId,
@@ -273,6 +277,8 @@
         self.room_step(id, service, engine, now)
     }
 
+    /// Returns the order to load the goal, unless it needs the weight store and the ceiling
+    /// does not admit the load.
     pub(super) fn load_step(
         &mut self,
         id: &ReplicaId,
@@ -296,6 +302,8 @@
         Some(Order::LoadModel(goal))
     }
 
+    /// Withdraws a model to free memory for the goal, and returns the order to unload it once
+    /// the notice is over.
     pub(super) fn room_step(
         &mut self,
         id: &ReplicaId,
@@ -333,7 +341,7 @@
         let load = load_time(engine, replica.ledger.holdings(), replica.goal.as_ref()?)?;
         let goal = replica.goal.as_ref()?;
         if !view.is_worth_loading_at(goal, replica, load, value) {
-            // Since the goal was set, another holder of the victim went.
+            // The victim lost another holder since the goal was set.
             self.drop_goal(id);
             return None;
         }
@@ -349,10 +357,10 @@
         None
     }
 
-    /// Time between a model's withdrawal at a replica and its drop. Where one other replica
-    /// keeps the model, and which of the two is spare is not known alike, the other orderer
-    /// may have withdrawn it there at the same moment: one of both, by a hash, waits until it
-    /// would have heard so.
+    /// Returns the time between a model's withdrawal from a replica and its unload. If one
+    /// other replica holds the model, that replica's orderer may have withdrawn it at the same
+    /// time, as the orderers may disagree on which of the two holders is spare. One of them,
+    /// selected by a hash, therefore waits until it would know of the other withdrawal.
     fn notice_before_drop(
         &self,
         id: &ReplicaId,
@@ -371,9 +379,9 @@
         }
     }
 
-    /// True if the model that makes way at a replica lost its other holders since, as
-    /// another orderer chose at the same moment, and is worth more than the goal. Which of
-    /// several holders are spare goes by what replicas told, and that is not known alike.
+    /// Returns true if the model withdrawn from a replica has lost its other holders and is
+    /// worth more than the goal. Another orderer may have withdrawn it at the same time: which
+    /// holders are spare depends on reported loads, which orderers know differently.
     fn is_needed_after_all(
         &self,
         id: &ReplicaId,
@@ -395,6 +403,7 @@
         worth == Some(false)
     }
 
+    /// Removes a replica's goal and cancels the withdrawal made for it.
     pub(super) fn drop_goal(&mut self, id: &ReplicaId) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.goal = None;
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again under their identity: what is over, and what begins anew.
+//! Handling of replicas that restart under the same id.
 
 use crate::capacity::Capacity;
 use crate::placement::{ControlCalls, TrackedReplica};
@@ -9,14 +9,14 @@
 use super::Orderer;
 
 impl Orderer {
-    /// What an account of a replica is to what is known of it.
+    /// Compares the incarnation that a message is about with the known one of the replica.
     pub(super) fn incarnation(&self, id: &str, told: Option<StartedMs>) -> Incarnation {
         let known = self.replicas.get(id);
         known.map_or(Incarnation::Same, |known| Incarnation::of(told, known.started_ms))
     }
 
-    /// A replica started again under its identity: it holds nothing that was known of
-    /// it, no order to it counts, and its count of orders began anew.
+    /// Resets the state of a replica that restarted under the same id. The known holdings
+    /// and pending orders are lost, and its order sequence starts anew.
     fn started_again(&mut self, id: &str, started_ms: Option<StartedMs>, now: Moment) {
         let Some((id, former)) = self.replicas.remove(id) else {
             return;
@@ -42,8 +42,8 @@
         self.replicas.insert(id, anew);
     }
 
-    /// An order that went to the incarnation born then was answered: the answer says
-    /// nothing of a later one.
+    /// Records the outcome of an order that was sent to the incarnation started at
+    /// `started_ms`. It has no effect on the ledger of a later incarnation.
     pub fn order_answered_by(
         &mut self,
         id: &str,
@@ -59,17 +59,18 @@
         }
     }
 
-    /// When the present incarnation of a replica started, if it tells.
+    /// Returns the start time of a replica's current incarnation, if it reports one.
     pub fn started_ms(&self, id: &str) -> Option<StartedMs> {
         self.replicas.get(id).and_then(|replica| replica.started_ms)
     }
 
-    /// A replica reported, or did not.
+    /// Applies a replica's report that was requested at `asked_at`; `None` if it did not
+    /// arrive.
     pub fn reported(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
         let told = report.and_then(|report| report.started_ms);
         match self.incarnation(id, told) {
             Incarnation::Same => {
-                // Its listing may not tell.
+                // The listing may lack the start time.
                 if let Some(replica) = self.replicas.get_mut(id) {
                     replica.started_ms = replica.started_ms.or(told);
                 }
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -1,11 +1,12 @@
-//! The one node that gives orders: from demand and holdings to the next orders.
+//! The orderer: derives the next orders from the demand and the replicas' holdings.
 //!
-//! [`goals`] choose what replicas load and what makes way, [`adapters`] place
-//! adapters, [`store_loads`] bounds loads from the weight store, [`telling`] says
-//! what the nodes are told.
+//! [`goals`] selects what replicas load and evict, [`adapters`] places adapters,
+//! [`store_loads`] limits loads from the weight store, [`reports`] selects the replicas to
+//! request reports from, [`work`] measures the work at the replicas, [`incarnation`] handles
+//! restarted replicas, and [`telling`] determines what is published to the nodes.
 //!
-//! It keeps no lasting state. A new orderer begins with the directory's list,
-//! confirms each replica by a report, and counts the former's loads as just begun.
+//! The orderer has no durable state. A new orderer starts with the listed replicas, confirms
+//! each of them by a report, and counts its predecessor's loads as just started.
 
 mod adapters;
 mod goals;
@@ -39,34 +40,34 @@
 use crate::shard::{OrderScope, Shard, SHARD_COUNT};
 use crate::time::Moment;
 
-/// Figures of the orderer.
+/// Parameters of the orderer.
 #[derive(Debug, Clone, Copy)]
 pub struct OrdererConfig {
-    /// The replicas that it orders at; of the others it only knows.
+    /// The replicas that it sends orders to; it only tracks the others.
     pub scope: OrderScope,
-    /// Figures of placement.
+    /// Parameters of placement.
     pub placement: PlacementConfig,
-    /// Timing of the accounts.
+    /// Timing of the replica ledgers.
     pub ledger: LedgerConfig,
-    /// Sliding window of the ceiling on loads from the weight store.
+    /// Length of the sliding window in which loads from the weight store are limited.
     pub ceiling_window: Duration,
-    /// Time between telling the nodes that a model makes way and dropping it.
+    /// Time between publishing that a model is withdrawn from a replica and unloading it.
     pub withdraw_notice: Duration,
-    /// Least time between the orders of two machines at one replica.
+    /// Minimum time between the orders of two machines at one replica.
     pub order_gap: Duration,
-    /// Time that an adapter takes to load.
+    /// Expected time to load an adapter.
     pub adapter_load: Duration,
-    /// Time that dropping a model takes.
+    /// Expected time to unload a model.
     pub unload: Duration,
-    /// True if callers compete for room: holders follow the work also where replicas tell
-    /// just their requests, not how long work takes there.
+    /// True if callers compete for capacity: the number of holders then follows the work even
+    /// where replicas report only their requests, but not their work time.
     pub callers_compete: bool,
 }
 
-/// Time between two looks at whether a model deserves one more holder.
+/// Interval at which models are checked for whether they need one more holder.
 const BALANCE_EVERY: Duration = Duration::from_millis(250);
 
-/// Something that the orderer wants done.
+/// An action that the orderer requests from its node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OrdererAction {
     /// Send an order.
@@ -75,28 +76,28 @@
         replica: ReplicaId,
         /// The order.
         order: Order,
-        /// The sequence that it must name.
+        /// The sequence that the order must name.
         expected_sequence: u64,
     },
-    /// Ask a replica for its report.
+    /// Request a report from a replica.
     Report {
         /// The replica.
         replica: ReplicaId,
-        /// True if an order depends on it.
+        /// True if an order depends on the report.
         is_awaited: bool,
     },
 }
 
-/// Why a replica was given a goal.
+/// The reason for which a replica got a goal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GoalReason {
-    /// Requests wait for the model, and no replica holds it.
+    /// Requests wait for the model and no replica holds it.
     Waiting,
-    /// The model's demand deserves one more holder.
+    /// The demand for the model justifies one more holder.
     Demand,
 }
 
-/// A decision about placement, for the log.
+/// A placement decision, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// A replica is to load a model.
@@ -105,66 +106,68 @@
         replica: ReplicaId,
         /// The model.
         model: ModelName,
-        /// Why.
+        /// The reason.
         reason: GoalReason,
-        /// Replicas that hold or await it besides.
+        /// Number of other replicas that hold the model or are to load it.
         holders: usize,
-        /// Where its weights come from.
+        /// The source of its weights.
         source: WeightSource,
     },
-    /// A model is to make way for a replica's goal.
+    /// A model is to be evicted for a replica's goal.
     MakeWay {
         /// The replica.
         replica: ReplicaId,
-        /// The model that makes way.
+        /// The model to evict.
         model: ModelName,
-        /// Requests a second that depended on it there.
+        /// Requests per second that depend on this holder.
         value: f64,
-        /// Replicas that held it.
+        /// Number of replicas that hold the model or are to load it.
         holders: usize,
     },
 }
 
-/// The state of the node that gives orders.
+/// The state of an orderer.
 #[derive(Debug)]
 pub struct Orderer {
     config: OrdererConfig,
     configuration: Arc<Configuration>,
     replicas: TrackedReplicas,
     demand: Demand,
-    /// Work of each service whose replicas tell their load.
+    /// Measured work of each service whose replicas report their load.
     work: BTreeMap<ServiceName, WorkMeter>,
-    /// Waiting models that had their turn, by the order of objectives, since all had theirs.
+    /// Waiting models tried in the current round, in which each is tried once, the one with
+    /// the earliest objective first.
     waiting_tried: BTreeSet<ModelName>,
-    /// Looks for one more holder so far: it tells which of the models that are not busy have
-    /// their turn.
+    /// Number of checks for additional holders so far. It determines which of the models that
+    /// are not busy are considered next.
     looks: usize,
-    /// Models that had their turn to get one more holder, since all had theirs.
+    /// Models tried for one more holder in the current round, in which each is tried once.
     lacking_tried: BTreeSet<ModelName>,
     ceilings: BTreeMap<ServiceName, LoadCeiling>,
     paces: BTreeMap<ServiceName, LoadConcurrency>,
-    /// Since when the weight store has had a place free.
+    /// Time since which the weight store has had a free slot.
     store_free_since: BTreeMap<ServiceName, Moment>,
-    /// Own loads from the weight store that run, and since when.
+    /// Start times of this orderer's running loads from the weight store.
     store_loads: BTreeMap<ReplicaId, Moment>,
     changed: BTreeSet<ReplicaId>,
     told: BTreeMap<ReplicaId, Placement>,
     next_balance: Moment,
-    /// Where the choice of places for waiting models goes on.
+    /// Offset in the waiting models at which the next plan continues to select targets.
     next_goal: usize,
     decisions: Vec<Decision>,
     routine_reports: RoutineReports,
-    /// Loads of the former orderer count as begun then, unless it told of them.
+    /// Time of the takeover. The predecessor's loads count as started then, unless it
+    /// handed them over.
     took_over: Moment,
-    /// Whether the former orderer told of its loads.
+    /// True if the predecessor handed over its loads.
     loads_are_known: bool,
     history: OrderHistory,
-    /// Shards whose orderers can be reached.
+    /// By shard, whether its orderer is reachable.
     reachable: [bool; SHARD_COUNT],
 }
 
 impl Orderer {
-    /// An orderer that took over from a former one at `took_over`.
+    /// Creates an orderer that took over from its predecessor at `took_over`.
     pub fn new(config: OrdererConfig, configuration: Arc<Configuration>, took_over: Moment) -> Self {
         Orderer {
             config,
@@ -192,8 +195,8 @@
         }
     }
 
-    /// The former orderer handed over: what it told replaces what would be
-    /// assumed of its orders and loads.
+    /// Applies the predecessor's resignation. It replaces the assumptions about the
+    /// predecessor's orders and loads.
     pub fn inherit(&mut self, heard: &ReceivedResignation) {
         self.history.inherit(heard.held_until());
         self.loads_are_known = true;
@@ -211,12 +214,13 @@
         }
     }
 
-    /// This machine goes on where its own former process or term ended.
+    /// Notes that this machine continues an earlier process or term of its own.
     pub fn continue_own(&mut self, now: Moment) {
         self.history.continue_own_term(now);
     }
 
-    /// The orders and loads that a successor must know of, after the last order.
+    /// Returns the orders and loads that a successor must take into account. To be called
+    /// after the last order of the term.
     pub fn resign(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
         let loads = self.ceilings.iter().flat_map(|(service, ceiling)| {
@@ -232,12 +236,12 @@
         }
     }
 
-    /// A newer configuration is in force.
+    /// Replaces the configuration.
     pub fn configure(&mut self, configuration: Arc<Configuration>) {
         self.configuration = configuration;
     }
 
-    /// Which shards' orderers can be reached: at the others' replicas nobody orders.
+    /// Sets which shards' orderers are reachable. Replicas of the other shards get no orders.
     pub fn set_reachable(&mut self, reachable: [bool; SHARD_COUNT]) {
         if self.reachable == reachable {
             return;
@@ -248,7 +252,8 @@
         }
     }
 
-    /// What is known of a replica, by its listing or from the orderer of its shard.
+    /// Applies an entry of the replica table, which holds what is known from a replica's
+    /// listing, its signals and the orderer of its shard.
     pub fn known(&mut self, entry: &ReplicaEntry, now: Moment) {
         if entry.state() == entry.listing.state {
             self.listed(&entry.listing, now);
@@ -269,7 +274,7 @@
         }
     }
 
-    /// A replica named a limit on calls of any kind, or names none any more.
+    /// Records whether a replica limits calls of any kind.
     fn note_limit(&mut self, id: &str, is_limited: bool) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
@@ -281,7 +286,7 @@
         };
     }
 
-    /// Orders and questions for reports at a replica in need pause, or may go on.
+    /// Pauses or resumes orders and report requests to a replica that limits calls.
     pub fn pause_calls(&mut self, id: &str, is_paused: bool) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
@@ -293,8 +298,9 @@
         };
     }
 
-    /// An entry that was gone and came back between two looks seems to have been
-    /// there all the time, but with it all nodes forgot what they had been told.
+    /// Publishes the placement of a replica again if its entry has none. An entry that was
+    /// removed and restored between two reads of the table looks unchanged here, but all
+    /// nodes lost the published placement with it.
     fn tell_again_if_forgotten(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
         if !entry.has_orderer_placement() && self.told.remove(id).is_some() {
@@ -302,12 +308,12 @@
         }
     }
 
-    /// A replica told its load at `at`, in an answer to a node.
+    /// Records the load that a replica reported at `at` in an answer to a node.
     pub fn record_load(&mut self, id: &str, load: ReplicaLoad, at: Moment) {
         self.replicas.record_load(id, load, at);
     }
 
-    /// A replica is listed.
+    /// Applies a replica's listing.
     pub fn listed(&mut self, listing: &ReplicaListing, now: Moment) {
         let is_engine = self
             .configuration
@@ -318,7 +324,7 @@
         }
         match self.incarnation(&listing.id, listing.started_ms) {
             Incarnation::Same => {}
-            // An entry that was written late.
+            // The entry was written late.
             Incarnation::Earlier => return,
             Incarnation::Later => self.removed(&listing.id),
         }
@@ -354,12 +360,12 @@
         }
         let change = replica.ledger.apply_listing(&listing.holdings);
         if is_own && (is_new || change != LedgerChange::None) {
-            // The other nodes are told of holdings only by placements.
+            // The other nodes learn of holdings only from placements.
             self.changed.insert(listing.id.clone());
         }
     }
 
-    /// A replica is gone.
+    /// Removes a replica.
     pub fn removed(&mut self, id: &str) {
         self.replicas.remove(id);
         self.store_loads.remove(id);
@@ -367,7 +373,7 @@
         self.told.remove(id);
     }
 
-    /// Keeps just the replicas for which `keep` holds.
+    /// Removes the replicas for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.replicas.retain(&keep);
         self.store_loads.retain(|id, _| keep(id));
@@ -375,19 +381,19 @@
         self.told.retain(|id, _| keep(id));
     }
 
-    /// Nodes count requests.
+    /// Counts requests that nodes received.
     pub fn count_demand(&mut self, key: &ModelKey, asked: &DemandSample, now: Moment) {
         self.demand.count(key, asked, now);
     }
 
-    /// Requests wait at a node for a model or adapter.
+    /// Records that requests wait at a node for a model or adapter, unless a replica holds it.
     pub fn mark_waiting(&mut self, key: &ModelKey, now: Moment) {
         if !self.is_held(key) {
             self.demand.mark_waiting(key, now);
         }
     }
 
-    /// An order was answered.
+    /// Records the outcome of the order under way at a replica.
     pub fn order_answered(&mut self, id: &str, outcome: OrderOutcome, now: Moment) {
         let is_answered = outcome != OrderOutcome::Unknown;
         self.history.record_ended(&id.into(), is_answered, now);
@@ -399,6 +405,7 @@
         self.after_change(id, change, now);
     }
 
+    /// Applies a report that was requested at `asked_at`; `None` if it did not arrive.
     fn take_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
@@ -413,7 +420,8 @@
         self.after_change(id, change, now);
     }
 
-    /// Plans: what should be asked and ordered now. Orders are planned only if `may_order`.
+    /// Returns the report requests and orders to send now. There are no orders unless
+    /// `may_order` is true.
     pub fn plan(&mut self, may_order: bool, now: Moment) -> Vec<OrdererAction> {
         self.history.prune(now);
         let mut actions = self.ask_reports(now);
@@ -443,7 +451,7 @@
         actions
     }
 
-    /// Decisions since the last call.
+    /// Returns the decisions since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
@@ -467,6 +475,7 @@
         }
     }
 
+    /// Records an order as sent and returns the action that sends it.
     fn send(&mut self, id: &ReplicaId, order: Order, now: Moment) -> OrdererAction {
         let replica = self.replicas.get_mut(id).expect("orders go to known replicas");
         let expected_sequence = replica.ledger.begin_order(order.clone(), now);
@@ -479,7 +488,7 @@
         }
     }
 
-    /// True if a ready replica holds the model, and the adapter if one is named.
+    /// Returns true if a ready replica holds the model, and the adapter if the key names one.
     fn is_held(&self, key: &ModelKey) -> bool {
         let fleet = self.replicas.fleet(&key.service);
         let mut keepers = fleet
@@ -489,7 +498,7 @@
         keepers.any(|replica| replica.ledger.holdings().serves(&key.model, adapter))
     }
 
-    /// True if an order under way brings the adapter, or it is on its way.
+    /// Returns true if the adapter is being ordered or loaded at a holder of its model.
     fn is_ordered(&self, key: &ModelKey) -> bool {
         let adapter = key.adapter.as_deref().unwrap_or_default();
         let fleet = self.replicas.fleet(&key.service);
@@ -505,6 +514,7 @@
         })
     }
 
+    /// Updates the orderer's state after a replica's ledger changed.
     fn after_change(&mut self, id: &str, change: LedgerChange, now: Moment) {
         let Some((id, replica)) = self.replicas.get_key_value(id) else {
             return;
@@ -556,7 +566,7 @@
         }
     }
 
-    /// Expected time of the order under way at a replica.
+    /// Returns the expected duration of the order under way at a replica.
     fn expected_time(&self, id: &str) -> Duration {
         let Some(replica) = self.replicas.get(id) else {
             return Duration::ZERO;
@@ -575,7 +585,7 @@
     }
 }
 
-/// Who orders at a replica.
+/// Returns the orderer that sends orders to a replica.
 fn orders_at(scope: OrderScope, reachable: &[bool; SHARD_COUNT], id: &str) -> OrderedBy {
     if scope.covers(id) {
         OrderedBy::ThisOrderer
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -1,9 +1,9 @@
-//! Which replicas are asked for a report now.
+//! Selection of the replicas to request reports from.
 //!
-//! Reports that an order depends on are asked for at once. The others show what changed
-//! at a replica without orders, which its listing shows too, a heartbeat later; they are
-//! asked for at a bounded rate, those that are due longest first, so that an orderer's
-//! work does not grow with its replicas.
+//! Reports that an order depends on are requested at once. Routine reports show what changed
+//! at a replica without orders, which its listing also shows a heartbeat later. They are
+//! requested at a limited rate, the longest overdue first, so that an orderer's work does not
+//! grow with the number of its replicas.
 
 use crate::placement::{ControlCalls, OrderedBy};
 use crate::replica::ReplicaId;
@@ -11,13 +11,13 @@
 
 use super::{Orderer, OrdererAction};
 
-/// Reports a second that no order depends on: what 60 replicas get that are asked every
-/// 2.5 s. Each takes some 100 us of an orderer and, of thousands of replicas, a connection.
+/// Rate of routine reports: that of 60 replicas with one report every 2.5 s each. A report
+/// takes about 100 us of an orderer and, in a fleet of thousands of replicas, a connection.
 const ROUTINE_PER_SECOND: f64 = 24.0;
-/// Such reports that may be asked for at once, as at the begin of a term.
+/// Maximum number of routine reports requested at once, as at the start of a term.
 const MOST_ROUTINE_AT_ONCE: f64 = 64.0;
 
-/// The pace of reports that no order depends on.
+/// Token bucket that limits the rate of routine reports.
 #[derive(Debug)]
 pub(super) struct RoutineReports {
     allowed: f64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whole reports that may be asked for now.
+    /// Refills the bucket and returns the number of reports that may be requested now.
     fn allowed(&mut self, now: Moment) -> usize {
         let gained = now.since(self.counted_at).as_secs_f64() * ROUTINE_PER_SECOND;
         self.allowed = (self.allowed + gained).min(MOST_ROUTINE_AT_ONCE);
@@ -46,7 +46,7 @@
 }
 
 impl Orderer {
-    /// Asks for the reports that are due, and notes what arrived by itself.
+    /// Requests the reports that are due, and marks the adapters that should have arrived.
     pub(super) fn ask_reports(&mut self, now: Moment) -> Vec<OrdererAction> {
         let mut asked: Vec<ReplicaId> = Vec::new();
         let mut routine: Vec<(Moment, ReplicaId)> = Vec::new();
@@ -87,7 +87,7 @@
         actions
     }
 
-    /// An order would go to this replica, were its account confirmed.
+    /// Notes that an order will be sent to this replica once a report confirms its ledger.
     pub(super) fn await_confirmation(&mut self, id: &str, now: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
             if replica.ordered_by == OrderedBy::ThisOrderer {
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -1,4 +1,5 @@
-//! Loads from the weight store: within its ceiling, and at a pace it can serve.
+//! Limits on loads from the weight store: a ceiling per time window, and the number of
+//! concurrent loads that the store can serve.
 
 use std::time::Duration;
 
@@ -12,13 +13,14 @@
 
 use super::Orderer;
 
-/// Time for which a free place at the weight store is left to each shard before this
-/// one: twice what an orderer's plan takes to reach the others.
+/// Time for which a free slot at the weight store is left to each shard before this one:
+/// twice the time that an orderer's plan takes to reach the others.
 const STORE_TURN: Duration = Duration::from_millis(300);
 
 impl Orderer {
-    /// Loads from the weight store that may begin in a window: this orderer's
-    /// part, by its part of the service's replicas, and one at least.
+    /// Returns the number of loads from the weight store that this orderer may start per
+    /// window: a share in proportion to its share of the service's replicas, but at least one
+    /// if the service may start one at all.
     pub(super) fn ceiling(&self, service: &ServiceName, engine: &EngineSpec) -> usize {
         let all = engine.loads_per_second * self.config.ceiling_window.as_secs_f64();
         let fleet = self.replicas.fleet(service);
@@ -27,9 +29,9 @@
         part.max(usize::from(all >= 1.0))
     }
 
-    /// True if one more load from the weight store may be planned: within the
-    /// ceiling, and the pace that all orderers share, with what is planned but has
-    /// not begun.
+    /// Returns true if one more load from the weight store may be planned, by the ceiling and
+    /// by the limit on concurrent loads that all orderers share. Loads that are planned but
+    /// have not started count.
     pub(super) fn store_allowed(&mut self, service: &ServiceName, engine: &EngineSpec, now: Moment) -> bool {
         let ceiling = self.ceiling(service, engine);
         let planned = self.planned_store_loads(service);
@@ -44,8 +46,9 @@
             && self.ceiling_admits(service, ceiling.saturating_sub(planned), now)
     }
 
-    /// True if this orderer may use a place at the store that has been free so long.
-    /// One shard after the other, so that what one plans is seen by the next.
+    /// Returns true if this orderer may use a slot at the store that has been free for
+    /// `free_for`. The shards follow one after the other, so that each knows the loads that
+    /// the ones before it planned.
     fn has_store_turn(&self, free_for: Duration) -> bool {
         let OrderScope::One(own) = self.config.scope else {
             return true;
@@ -55,13 +58,15 @@
         free_for >= STORE_TURN * reachable.count() as u32
     }
 
+    /// Returns the limit on concurrent loads of a service.
     fn pace(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
         let usual = || engine.models.values().map(|model| model.store_load).max();
         let pace = self.paces.entry(service.clone());
         pace.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
     }
 
-    /// Loads from the weight store that other orderers run or plan, as they told.
+    /// Returns the number of loads from the weight store that other orderers run or plan, by
+    /// their published placements.
     fn others_store_loads(&self, service: &ServiceName) -> usize {
         let loads = |replica: &&TrackedReplica| {
             let from_store =
@@ -75,6 +80,7 @@
         with_goal.filter(loads).count()
     }
 
+    /// Returns true if the ceiling admits one more load now.
     pub(super) fn ceiling_admits(&mut self, service: &ServiceName, ceiling: usize, now: Moment) -> bool {
         let (window, took_over) = (self.config.ceiling_window, self.took_over);
         let loads_are_known = self.loads_are_known;
@@ -88,7 +94,8 @@
         loads.admits(now, ceiling)
     }
 
-    /// Own goals that will be loaded from the weight store.
+    /// Returns the number of this orderer's goals that are yet to be loaded from the weight
+    /// store.
     fn planned_store_loads(&self, service: &ServiceName) -> usize {
         let planned = |(id, replica): &(&ReplicaId, &TrackedReplica)| {
             let from_store =
@@ -103,6 +110,7 @@
         with_goal.filter(planned).count()
     }
 
+    /// Returns the number of this orderer's running loads from the weight store.
     fn running_store_loads(&self, service: &ServiceName) -> usize {
         let of_service = |id: &&ReplicaId| {
             let replica = self.replicas.get(id);
@@ -111,7 +119,8 @@
         self.store_loads.keys().filter(of_service).count()
     }
 
-    /// A load from the weight store ended; if it is done, its time is learned from.
+    /// Records that a load from the weight store ended. If it loaded the model `done`, the
+    /// limit on concurrent loads adapts to its duration.
     pub(super) fn store_load_ended(
         &mut self,
         id: &ReplicaId,
@@ -123,7 +132,7 @@
         let Some(begun) = self.store_loads.remove(id) else {
             return;
         };
-        // A report tells of the end only that much later.
+        // The end of a load shows in a report only after this delay.
         let seen_late_by = self.config.ledger.poll_interval + self.config.ledger.report_lag;
         let took = now.since(begun).saturating_sub(seen_late_by);
         let configuration = self.configuration.clone();
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -1,4 +1,5 @@
-//! What the nodes are told of placement: only what they may rely on, and only news.
+//! Placements that are published to the nodes: only what requests may rely on, and only
+//! changes.
 
 use std::collections::HashSet;
 
@@ -11,7 +12,7 @@
 use super::Orderer;
 
 impl Orderer {
-    /// What changed since the last call, to be told to all nodes.
+    /// Returns the placements that changed since the last call, to be published to all nodes.
     pub fn take_changes(&mut self, now: Moment) -> Vec<Placement> {
         let changed = std::mem::take(&mut self.changed);
         let placements: Vec<Placement> = changed.iter().filter_map(|id| self.placement(id, now)).collect();
@@ -21,9 +22,10 @@
             .collect()
     }
 
-    /// The placement if it tells more than was told before, which it remembers. Copies
-    /// are told only as they change: the first ones stand in the replica's listing, and
-    /// in a message of all replicas they would take more than all else.
+    /// Records a placement as published and returns it, unless it is equivalent to the one
+    /// published before. Copies are included only if they changed: the first ones are in the
+    /// replica's listing, and in a message about all replicas they would take more bytes than
+    /// everything else.
     fn news(&mut self, placement: Placement) -> Option<Placement> {
         let known = self.told.get(&placement.replica);
         if known.is_some_and(|known| placement.is_equivalent_to(known)) {
@@ -37,7 +39,7 @@
         })
     }
 
-    /// Everything, for a node that has just connected.
+    /// Returns all placements, for a node that has just connected.
     pub fn all_placements(&self, now: Moment) -> Vec<Placement> {
         self.replicas
             .iter()
@@ -66,8 +68,8 @@
         })
     }
 
-    /// When a replica's goal should be ready: its load as told by its account,
-    /// or else making room and loading, both still to come.
+    /// Returns when a replica's goal should be ready: at the expected end of its load by the
+    /// ledger, or after an unload and the load if the load has not started.
     fn ready_at(&self, replica: &TrackedReplica, goal: &ModelName, now: Moment) -> Moment {
         let lag = self.config.ledger.poll_interval + self.config.ledger.report_lag / 2;
         if let Some((_, expected_at)) = replica.ledger.loading().filter(|(model, _)| *model == goal) {
@@ -82,7 +84,8 @@
     }
 }
 
-/// Holdings that requests may rely on: without what makes way.
+/// Returns the holdings that requests may rely on, without what is being evicted or has not
+/// arrived yet.
 fn usable_holdings(replica: &TrackedReplica) -> Holdings {
     let mut usable = replica.ledger.holdings().clone();
     if let Some((withdrawn, _)) = &replica.withdrawn {
@@ -106,9 +109,9 @@
     usable
 }
 
-/// Copies of what is held tell nobody anything, nor does one on disk beside one in
-/// memory. Without them a change of one replica is some 100 bytes instead of 300, which
-/// each of a few hundred listeners gets.
+/// Removes copies of models that are held, and copies on disk of models that are also in
+/// memory, as they carry no information. Without them an update about one replica takes about
+/// 100 bytes instead of 300, and it goes to each of a few hundred listeners.
 fn leave_out_held_copies(usable: &mut Holdings) {
     let held: HashSet<&ModelName> = usable.models.iter().map(|held| &held.model).collect();
     let copies = &mut usable.copies;
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -1,4 +1,4 @@
-//! What work takes at the replicas of a service, as they tell it.
+//! Measurement of the work at the replicas of a service, by the loads that they report.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,31 +11,32 @@
 
 use super::Orderer;
 
-/// Time constant of the mean work, the same as of the rate that it is held against.
+/// Time constant of the mean work, the same as that of the token rate it is divided by.
 const WORK_MEMORY: Duration = Duration::from_secs(6);
-/// Age from which a told load says nothing: a replica of which nobody heard for so long
-/// has begun next to no request.
+/// Age up to which a reported load is used: a replica without a newer report has started
+/// almost no requests since.
 const LOAD_HOLDS: Duration = Duration::from_secs(2);
-/// Time over which work is observed before anything follows from it.
+/// Minimum time over which work is observed before the result is used.
 const LEAST_OBSERVATION: Duration = Duration::from_secs(1);
 
-/// Models that are looked at in one turn besides the busy ones, so that a look costs no more
-/// in a fleet of thousands.
+/// Number of models that are considered in one round besides the busy ones. It bounds the cost
+/// of a round in a fleet of thousands.
 const MODELS_IN_TURN: usize = 512;
 
-/// Work of one service: requests that run at once, at replicas of usual speed.
+/// Measures the work of one service: the number of requests that run concurrently, converted
+/// to replicas of usual speed.
 #[derive(Debug)]
 pub(super) struct WorkMeter {
-    /// Fading sum of work times seconds.
+    /// Integral of the work over time, exponentially decaying.
     busy_s: f64,
-    /// Fading sum of seconds.
+    /// Integral of the time, decaying likewise.
     weight_s: f64,
     began: Moment,
     measured_at: Moment,
-    /// Seconds of work for each cost token, once observed for long enough.
+    /// Seconds of work per cost token, once they were observed for long enough.
     per_token_s: Option<f64>,
     late_shares: LateShares,
-    /// What follows from these, and for which state of the fleet.
+    /// Cache of the derived figures, with the number of holder changes it is valid for.
     known: RefCell<Option<(u64, Rc<ServiceWork>)>>,
 }
 
@@ -52,11 +53,13 @@
         }
     }
 
-    /// Nothing is heard of the replicas: what was observed holds on.
+    /// Skips the time until `now`, in which no replica reported its load. Earlier observations
+    /// remain valid.
     fn pass_over(&mut self, now: Moment) {
         self.measured_at = now;
     }
 
+    /// Adds the time since the last measurement, with the work and the token rate in it.
     fn measure(&mut self, running: f64, tokens_per_second: f64, now: Moment) {
         let passed = now.since(self.measured_at).as_secs_f64();
         let left = (-passed / WORK_MEMORY.as_secs_f64()).exp();
@@ -64,7 +67,8 @@
         self.weight_s = self.weight_s * left + passed;
         self.measured_at = now;
         if running <= 0.0 && self.busy_s <= 0.0 {
-            // Nobody asks: the time of observation begins with the first request.
+            // Without requests there is nothing to observe: the observation starts with the
+            // first one.
             *self = WorkMeter::new(now);
             return;
         }
@@ -76,20 +80,20 @@
 }
 
 impl Orderer {
-    /// True if holders follow the work of the service.
+    /// Returns true if the number of holders follows the work of the service.
     pub(super) fn follows_work(&self, service: &ServiceName) -> bool {
         let tells_load = self.replicas.reports_load(service);
         self.replicas.reports_work_time(service) || (self.config.callers_compete && tells_load)
     }
 
-    /// True if it is known what the work of the service takes.
+    /// Returns true if the cost of the service's work is known.
     pub(super) fn knows_work(&self, service: &ServiceName) -> bool {
         self.work
             .get(service)
             .is_some_and(|meter| meter.per_token_s.is_some())
     }
 
-    /// Takes in how much the replicas of a service do at this moment.
+    /// Records the work that the replicas of a service do at the moment.
     pub(super) fn measure_work(&mut self, service: &ServiceName, now: Moment) {
         if !self.follows_work(service) {
             return;
@@ -111,8 +115,9 @@
         meter.known.take();
     }
 
-    /// How many requests replicas of each speed serve too late though they have room: at
-    /// models with one holder, whose room is more than their work.
+    /// Returns the share of requests that replicas of each speed class serve late although
+    /// they have free capacity. It is counted at models whose only holder has more capacity
+    /// than their work.
     fn late_shares(&self, service: &ServiceName, now: Moment) -> LateShares {
         let mut shares = LateShares::default();
         let Some(known) = self.configuration.service(service) else {
@@ -141,14 +146,14 @@
         shares
     }
 
-    /// Requests that run at the service's replicas, as they would be at the usual speed;
-    /// `None` if no replica told its load lately.
+    /// Returns the number of requests that run at the service's replicas, converted to the
+    /// usual speed; `None` if no replica reported its load recently.
     fn running_work(&self, service: &ServiceName, now: Moment) -> Option<f64> {
         let of_service = |(_, replica): &(_, &TrackedReplica)| replica.service == *service;
         let running = |(_, replica): (_, &TrackedReplica)| {
             let told = replica.capacity.newest();
             let (load, _) = told.filter(|(_, at)| now.since(*at) <= LOAD_HOLDS)?;
-            // The request whose answer tells the load is there besides those that it meets.
+            // The request whose answer reports the load is included in it.
             let met = load.running.saturating_sub(1);
             Some(f64::from(met) * replica.capacity.lasting_speed())
         };
@@ -156,8 +161,8 @@
         told.fold(None, |sum, running| Some(sum.unwrap_or(0.0) + running))
     }
 
-    /// The models of which it is asked now whether one more holder is worth it: all busy
-    /// ones, and the others by turns.
+    /// Returns the models that are considered for one more holder in this round: all busy
+    /// ones, and some of the others.
     pub(super) fn models_looked_at<'e>(
         &self,
         engine: &'e EngineSpec,
@@ -170,22 +175,22 @@
         others.map(|(_, model)| model).collect()
     }
 
-    /// The models whose turn it is, by their place in the configuration.
+    /// Returns the models of this round, as indices in the order of the configuration.
     fn models_in_turn(&self, engine: &EngineSpec) -> std::ops::Range<usize> {
         let turns = engine.model_order.len().div_ceil(MODELS_IN_TURN).max(1);
         let first = self.looks % turns * MODELS_IN_TURN;
         first..first + MODELS_IN_TURN
     }
 
-    /// Slots that a replica of the service has, by one of those that are known.
+    /// Returns the number of slots that the first known replica of the service lists.
     pub(super) fn usual_slots(&self, service: &ServiceName) -> u32 {
         let fleet = self.replicas.fleet(service);
         let first = fleet.ids().next().and_then(|id| self.replicas.get(id));
         first.map_or(1, |replica| replica.listed_slots.max(1))
     }
 
-    /// The work of a service's models and the room of their holders; none where holders do
-    /// not follow the work.
+    /// Returns the work of a service's models and the capacity of their holders. The result is
+    /// empty where holders do not follow the work.
     pub fn work_of_models(&self, service: &ServiceName, now: Moment) -> Vec<ModelWork> {
         let service = self.configuration.service(service);
         let Some((service, engine)) = service.and_then(|service| Some((service, service.engine.as_ref()?)))
@@ -197,8 +202,8 @@
         models.filter_map(|model| view.model_work(model)).collect()
     }
 
-    /// What the work of a service takes; `None` where holders do not follow it, or nothing
-    /// is known of it yet.
+    /// Returns the cost of a service's work; `None` where holders do not follow it, or while
+    /// it is unknown.
     pub(super) fn service_work(&self, service: &ServiceName) -> Option<Rc<ServiceWork>> {
         let meter = self.work.get(service)?;
         let per_token_s = meter.per_token_s?;
