--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -117,7 +117,7 @@
         })
         .collect();
     for (id, report) in reports {
-        world.orderer.reported(&id, Some(&report), at(10), at(20));
+        world.orderer.record_report(&id, Some(&report), at(10), at(20));
     }
 }
 
--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -302,7 +302,7 @@
         for (index, models) in holdings.iter().enumerate() {
             let id: ReplicaId = format!("r{index}").into();
             let replica = SimulatedReplica::new(models);
-            orderer.listed(&listing(&id, &replica.holdings), at(0));
+            orderer.apply_listing(&listing(&id, &replica.holdings), at(0));
             replicas.insert(id, replica);
         }
         World {
@@ -364,14 +364,14 @@
         self.answers = later;
         let due: Vec<(Moment, ReplicaId, OrderOutcome)> = due;
         for (_, id, outcome) in due {
-            self.orderer.order_answered(&id, outcome, now);
+            self.orderer.record_order_outcome(&id, outcome, now);
         }
         let (due, later) = self.reports.drain(..).partition(|report| report.0 <= now);
         self.reports = later;
         let due: Vec<(Moment, ReplicaId, Moment)> = due;
         for (_, id, asked_at) in due {
             let report = self.replicas.get(&id).and_then(SimulatedReplica::report);
-            self.orderer.reported(&id, report.as_ref(), asked_at, now);
+            self.orderer.record_report(&id, report.as_ref(), asked_at, now);
         }
     }
 
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -61,7 +61,7 @@
         .map(|(id, replica)| (id.clone(), replica.holdings.clone()))
         .collect();
     for (id, holdings) in holders {
-        world.orderer.listed(&listing(&id, &holdings), world.now);
+        world.orderer.apply_listing(&listing(&id, &holdings), world.now);
     }
     world.run(8000);
     world.orderer.mark_waiting(&key(7), world.now);
--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -362,7 +362,7 @@
             };
             let mut world = World::with(configuration(MODELS), config, &held);
             for index in (0..=second).filter(|index| !numbers.contains(index)) {
-                world.orderer.removed(&format!("r{index}"));
+                world.orderer.remove_replica(&format!("r{index}"));
             }
             for replica in world.replicas.values_mut() {
                 replica.holdings.copies.on_disk =
@@ -409,7 +409,7 @@
                 self.tables[other].apply_placement(placement);
                 if let Some(entry) = self.tables[other].get(&id) {
                     let world = &mut self.worlds[other];
-                    world.orderer.known(entry, world.now);
+                    world.orderer.apply_entry(entry, world.now);
                 }
             }
         }
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -161,13 +161,13 @@
     };
     tell(&mut table, vec![arrival]);
     let entry = |table: &ReplicaTable| table.get(&other).expect("listed").clone();
-    world.orderer.known(&entry(&table), world.now);
+    world.orderer.apply_entry(&entry(&table), world.now);
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(2000);
     assert!(world.orders.is_empty(), "orders: {:?}", world.orders);
     // The other load is done.
     tell(&mut table, Vec::new());
-    world.orderer.known(&entry(&table), world.now);
+    world.orderer.apply_entry(&entry(&table), world.now);
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(2000);
     assert_eq!(world.orders.len(), 1, "orders: {:?}", world.orders);
@@ -346,7 +346,7 @@
     let id = "r0".into();
     let mut draining = listing(&id, &world.replicas["r0"].holdings);
     draining.state = croftrill_scheduler::replica::ReplicaState::Draining;
-    world.orderer.listed(&draining, world.now);
+    world.orderer.apply_listing(&draining, world.now);
     world.orderer.mark_waiting(&key("m4", None), world.now);
     world.run(3000);
     assert!(
@@ -450,7 +450,7 @@
     };
     assert!(table.apply_signals(&id, call, leaving).leaving);
     let entry = table.get("r0").expect("it is listed").clone();
-    world.orderer.known(&entry, world.now);
+    world.orderer.apply_entry(&entry, world.now);
     world.orderer.mark_waiting(&key("m4", None), world.now);
     world.run(3000);
     assert!(
@@ -477,7 +477,7 @@
         };
         assert!(table.apply_signals(&id, call, word).limit);
         let entry = table.get(&id).expect("it is listed").clone();
-        world.orderer.known(&entry, world.now);
+        world.orderer.apply_entry(&entry, world.now);
     }
 }
 
@@ -555,6 +555,6 @@
     let before = format!("{:?}", world.orderer.all_placements(world.now));
     world
         .orderer
-        .order_answered_by("r0", Some(1), OrderOutcome::Accepted, world.now);
+        .record_order_outcome_from("r0", Some(1), OrderOutcome::Accepted, world.now);
     assert_eq!(before, format!("{:?}", world.orderer.all_placements(world.now)));
 }
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -98,7 +98,7 @@
             orderer.inherit(heard);
         }
         if acquired.lease.record().is_some() {
-            orderer.continue_own(now);
+            orderer.continue_own_term(now);
         }
         let (changes, _) = broadcast::channel(CHANGE_BACKLOG);
         let mut term = Term {
@@ -302,7 +302,8 @@
         let token = self.lease.order_token(now);
         let (Some(target), Some(fencing_token)) = (target, token) else {
             // Not sent, so nothing happened.
-            self.orderer.order_answered(&replica, OrderOutcome::Conflict, now);
+            self.orderer
+                .record_order_outcome(&replica, OrderOutcome::Conflict, now);
             return;
         };
         let fenced = FencedOrder {
@@ -352,7 +353,7 @@
     pub(super) fn ask_report(&mut self, replica: ReplicaId, is_awaited: bool) {
         let asked_at = self.node.clock.now();
         let Some(target) = self.address(&replica) else {
-            self.orderer.reported(&replica, None, asked_at, asked_at);
+            self.orderer.record_report(&replica, None, asked_at, asked_at);
             return;
         };
         let started_ms = self.orderer.started_ms(&replica);
@@ -418,14 +419,16 @@
                     tracing::warn!(target: "orderer", event = "a newer token was seen", replica = &*replica);
                     self.lease.clear();
                 }
-                self.orderer.order_answered_by(&replica, started_ms, outcome, now);
+                self.orderer
+                    .record_order_outcome_from(&replica, started_ms, outcome, now);
             }
             OrdererInput::Reported {
                 replica,
                 report,
                 asked_at,
             } => {
-                self.orderer.reported(&replica, report.as_ref(), asked_at, now);
+                self.orderer
+                    .record_report(&replica, report.as_ref(), asked_at, now);
             }
             OrdererInput::Recorded {
                 fencing_token,
@@ -499,14 +502,14 @@
             ChangedReplicas::Everything => {
                 self.orderer.retain(|id| state.replicas.get(id).is_some());
                 for entry in state.replicas.iter() {
-                    self.orderer.known(entry, now);
+                    self.orderer.apply_entry(entry, now);
                 }
             }
             ChangedReplicas::These(ids) => {
                 for id in ids {
                     match state.replicas.get(&id) {
-                        Some(entry) => self.orderer.known(entry, now),
-                        None => self.orderer.removed(&id),
+                        Some(entry) => self.orderer.apply_entry(entry, now),
+                        None => self.orderer.remove_replica(&id),
                     }
                 }
             }
@@ -567,7 +570,7 @@
         let resignation = Resignation {
             fencing_token,
             record_revision: record.revision,
-            hand_over: self.orderer.resign(now),
+            hand_over: self.orderer.hand_over(now),
         };
         let wire = WireResignation::from_resignation(&resignation);
         let peer = self.node.settings.identity.peer;
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -44,7 +44,7 @@
 
     /// Records the outcome of an order that was sent to the incarnation started at
     /// `started_ms`. It has no effect on the ledger of a later incarnation.
-    pub fn order_answered_by(
+    pub fn record_order_outcome_from(
         &mut self,
         id: &str,
         started_ms: Option<StartedMs>,
@@ -52,7 +52,7 @@
         now: Moment,
     ) {
         if self.incarnation(id, started_ms) == Incarnation::Same {
-            self.order_answered(id, outcome, now);
+            self.record_order_outcome(id, outcome, now);
         } else {
             let is_answered = outcome != OrderOutcome::Unknown;
             self.history.record_ended(&id.into(), is_answered, now);
@@ -66,7 +66,7 @@
 
     /// Applies a replica's report that was requested at `asked_at`; `None` if it did not
     /// arrive.
-    pub fn reported(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
+    pub fn record_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
         let told = report.and_then(|report| report.started_ms);
         match self.incarnation(id, told) {
             Incarnation::Same => {
@@ -75,9 +75,9 @@
                     replica.started_ms = replica.started_ms.or(told);
                 }
             }
-            Incarnation::Earlier => return self.take_report(id, None, asked_at, now),
+            Incarnation::Earlier => return self.apply_report(id, None, asked_at, now),
             Incarnation::Later => self.started_again(id, told, now),
         }
-        self.take_report(id, report, asked_at, now);
+        self.apply_report(id, report, asked_at, now);
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -215,13 +215,13 @@
     }
 
     /// Notes that this machine continues an earlier process or term of its own.
-    pub fn continue_own(&mut self, now: Moment) {
+    pub fn continue_own_term(&mut self, now: Moment) {
         self.history.continue_own_term(now);
     }
 
     /// Returns the orders and loads that a successor must take into account. To be called
     /// after the last order of the term.
-    pub fn resign(&self, now: Moment) -> HandOver {
+    pub fn hand_over(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
         let loads = self.ceilings.iter().flat_map(|(service, ceiling)| {
             ceiling.started().map(move |begun| PastLoad {
@@ -254,15 +254,15 @@
 
     /// Applies an entry of the replica table, which holds what is known from a replica's
     /// listing, its signals and the orderer of its shard.
-    pub fn known(&mut self, entry: &ReplicaEntry, now: Moment) {
+    pub fn apply_entry(&mut self, entry: &ReplicaEntry, now: Moment) {
         if entry.state() == entry.listing.state {
-            self.listed(&entry.listing, now);
+            self.apply_listing(&entry.listing, now);
         } else {
             let told = ReplicaListing {
                 state: entry.state(),
                 ..entry.listing.clone()
             };
-            self.listed(&told, now);
+            self.apply_listing(&told, now);
         }
         if self.config.scope.covers(&entry.listing.id) {
             self.note_limit(&entry.listing.id, entry.is_limited());
@@ -314,7 +314,7 @@
     }
 
     /// Applies a replica's listing.
-    pub fn listed(&mut self, listing: &ReplicaListing, now: Moment) {
+    pub fn apply_listing(&mut self, listing: &ReplicaListing, now: Moment) {
         let is_engine = self
             .configuration
             .service(&listing.service)
@@ -326,7 +326,7 @@
             Incarnation::Same => {}
             // The entry was written late.
             Incarnation::Earlier => return,
-            Incarnation::Later => self.removed(&listing.id),
+            Incarnation::Later => self.remove_replica(&listing.id),
         }
         let ledger_config = self.config.ledger;
         let is_own = self.config.scope.covers(&listing.id);
@@ -366,7 +366,7 @@
     }
 
     /// Removes a replica.
-    pub fn removed(&mut self, id: &str) {
+    pub fn remove_replica(&mut self, id: &str) {
         self.replicas.remove(id);
         self.store_loads.remove(id);
         self.changed.remove(id);
@@ -394,7 +394,7 @@
     }
 
     /// Records the outcome of the order under way at a replica.
-    pub fn order_answered(&mut self, id: &str, outcome: OrderOutcome, now: Moment) {
+    pub fn record_order_outcome(&mut self, id: &str, outcome: OrderOutcome, now: Moment) {
         let is_answered = outcome != OrderOutcome::Unknown;
         self.history.record_ended(&id.into(), is_answered, now);
         let expected_in = self.expected_time(id);
@@ -406,7 +406,7 @@
     }
 
     /// Applies a report that was requested at `asked_at`; `None` if it did not arrive.
-    fn take_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
+    fn apply_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
