--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -378,7 +378,7 @@
     fn carry_out(&mut self, action: OrdererAction, spec: &EngineSpec) {
         let now = self.now;
         match action {
-            OrdererAction::Report { replica, .. } => {
+            OrdererAction::RequestReport { replica, .. } => {
                 self.reports.push((now + Duration::from_millis(20), replica, now));
             }
             OrdererAction::Order {
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -24,7 +24,7 @@
         let actions = world.orderer.plan(true, world.now);
         let asked = actions
             .iter()
-            .filter(|action| matches!(action, OrdererAction::Report { .. }));
+            .filter(|action| matches!(action, OrdererAction::RequestReport { .. }));
         reports += asked.count();
     }
     reports
--- a/crates/croftrill-node/src/orderer_task/decision_log.rs
+++ b/crates/croftrill-node/src/orderer_task/decision_log.rs
@@ -15,7 +15,7 @@
             tracing::info!(target: "placement", decision = "load", replica = &**replica, model = &**model,
                 ?reason, holders, ?source);
         }
-        Decision::MakeWay {
+        Decision::Evict {
             replica,
             model,
             value,
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -284,7 +284,7 @@
                 self.note_call(&replica);
                 self.send_order(replica, order, expected_sequence);
             }
-            OrdererAction::Report { replica, is_awaited } => {
+            OrdererAction::RequestReport { replica, is_awaited } => {
                 self.note_call(&replica);
                 self.ask_report(replica, is_awaited);
             }
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -345,7 +345,7 @@
             self.drop_goal(id);
             return None;
         }
-        let decision = Decision::MakeWay {
+        let decision = Decision::Evict {
             replica: id.clone(),
             model: victim.clone(),
             value,
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -80,7 +80,7 @@
         expected_sequence: u64,
     },
     /// Request a report from a replica.
-    Report {
+    RequestReport {
         /// The replica.
         replica: ReplicaId,
         /// True if an order depends on the report.
@@ -114,7 +114,7 @@
         source: WeightSource,
     },
     /// A model is to be evicted for a replica's goal.
-    MakeWay {
+    Evict {
         /// The replica.
         replica: ReplicaId,
         /// The model to evict.
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -75,10 +75,10 @@
         let routine = routine.into_iter().map(|(_, id)| (id, false));
         let actions: Vec<OrdererAction> = awaited
             .chain(routine)
-            .map(|(replica, is_awaited)| OrdererAction::Report { replica, is_awaited })
+            .map(|(replica, is_awaited)| OrdererAction::RequestReport { replica, is_awaited })
             .collect();
         for action in &actions {
-            if let OrdererAction::Report { replica, .. } = action {
+            if let OrdererAction::RequestReport { replica, .. } = action {
                 if let Some(replica) = self.replicas.get_mut(replica) {
                     replica.ledger.record_report_request();
                 }
