--- a/crates/croftrill-scheduler/src/orderer/adapters.rs
+++ b/crates/croftrill-scheduler/src/orderer/adapters.rs
@@ -28,7 +28,7 @@
             let Some(adapter) = key.adapter.clone().filter(|_| key.service == *service) else {
                 continue;
             };
-            if self.is_held(key) || self.is_ordered(key) {
+            if self.is_held(key) || self.is_adapter_ordered(key) {
                 continue;
             }
             let view = self.placement_of(service, engine, now);
--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -44,10 +44,10 @@
             return;
         }
         // Target selection is expensive, so the other models follow in the next plans.
-        let first = self.next_goal.checked_rem(wanted.len()).unwrap_or(0);
+        let first = self.waiting_models_offset.checked_rem(wanted.len()).unwrap_or(0);
         wanted.rotate_left(first);
         wanted.truncate(MOST_GOALS_AT_ONCE);
-        self.next_goal = self.next_goal.wrapping_add(wanted.len());
+        self.waiting_models_offset = self.waiting_models_offset.wrapping_add(wanted.len());
         for model in wanted {
             self.set_waiting_goal(service, engine, model, now);
         }
@@ -73,17 +73,17 @@
                 let objective = self.demand.objective(&key).unwrap_or_default();
                 let waited = self.demand.wait_time(&key, now);
                 let left = objective.saturating_sub(waited);
-                let had_turn = self.waiting_tried.contains(model);
+                let had_turn = self.tried_waiting_models.contains(model);
                 (had_turn, left.is_zero(), left, model.clone())
             })
             .collect();
         urgent.sort_unstable();
         if urgent.first().is_some_and(|(had_turn, ..)| *had_turn) {
-            self.waiting_tried.clear();
+            self.tried_waiting_models.clear();
         }
         urgent.truncate(MOST_GOALS_AT_ONCE);
         for (.., model) in urgent {
-            self.waiting_tried.insert(model.clone());
+            self.tried_waiting_models.insert(model.clone());
             self.set_waiting_goal(service, engine, &model, now);
         }
     }
@@ -143,13 +143,14 @@
     fn take_turns(&mut self, lacking: &mut [(f64, ModelName)]) {
         if lacking
             .iter()
-            .all(|(_, model)| self.lacking_tried.contains(model))
+            .all(|(_, model)| self.tried_underprovisioned_models.contains(model))
         {
-            self.lacking_tried.clear();
+            self.tried_underprovisioned_models.clear();
         }
-        lacking.sort_by_key(|(_, model)| self.lacking_tried.contains(model));
+        lacking.sort_by_key(|(_, model)| self.tried_underprovisioned_models.contains(model));
         let turns = lacking.iter().take(MOST_GOALS_AT_ONCE);
-        self.lacking_tried.extend(turns.map(|(_, model)| model.clone()));
+        self.tried_underprovisioned_models
+            .extend(turns.map(|(_, model)| model.clone()));
     }
 
     /// Returns the models that gain by one more holder, the largest gain first, with the gain:
@@ -294,7 +295,7 @@
             if !self.ceiling_admits(service, ceiling, now) {
                 return None;
             }
-            if let Some(ceiling) = self.ceilings.get_mut(service) {
+            if let Some(ceiling) = self.load_ceilings.get_mut(service) {
                 ceiling.record_start(now);
             }
             self.store_loads.insert(id.clone(), now);
--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -10,21 +10,23 @@
 
 impl Orderer {
     /// Compares the incarnation that a message is about with the known one of the replica.
-    pub(super) fn incarnation(&self, id: &str, told: Option<StartedMs>) -> Incarnation {
+    pub(super) fn incarnation(&self, id: &str, reported: Option<StartedMs>) -> Incarnation {
         let known = self.replicas.get(id);
-        known.map_or(Incarnation::Same, |known| Incarnation::of(told, known.started_ms))
+        known.map_or(Incarnation::Same, |known| {
+            Incarnation::of(reported, known.started_ms)
+        })
     }
 
     /// Resets the state of a replica that restarted under the same id. The known holdings
-    /// and pending orders are lost, and its order sequence starts anew.
-    fn started_again(&mut self, id: &str, started_ms: Option<StartedMs>, now: Moment) {
+    /// and pending orders are lost, and its order sequence starts replica.
+    fn reset_restarted(&mut self, id: &str, started_ms: Option<StartedMs>, now: Moment) {
         let Some((id, former)) = self.replicas.remove(id) else {
             return;
         };
         self.store_loads.remove(&id);
-        self.told.remove(&id);
+        self.published.remove(&id);
         self.changed.insert(id.clone());
-        let anew = TrackedReplica {
+        let replica = TrackedReplica {
             state: former.state,
             service: former.service,
             started_ms,
@@ -39,7 +41,7 @@
             listed_slots: former.listed_slots,
             capacity: Capacity::default(),
         };
-        self.replicas.insert(id, anew);
+        self.replicas.insert(id, replica);
     }
 
     /// Records the outcome of an order that was sent to the incarnation started at
@@ -64,20 +66,26 @@
         self.replicas.get(id).and_then(|replica| replica.started_ms)
     }
 
-    /// Applies a replica's report that was requested at `asked_at`; `None` if it did not
+    /// Applies a replica's report that was requested at `requested_at`; `None` if it did not
     /// arrive.
-    pub fn record_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
-        let told = report.and_then(|report| report.started_ms);
-        match self.incarnation(id, told) {
+    pub fn record_report(
+        &mut self,
+        id: &str,
+        report: Option<&ReplicaReport>,
+        requested_at: Moment,
+        now: Moment,
+    ) {
+        let reported = report.and_then(|report| report.started_ms);
+        match self.incarnation(id, reported) {
             Incarnation::Same => {
                 // The listing may lack the start time.
                 if let Some(replica) = self.replicas.get_mut(id) {
-                    replica.started_ms = replica.started_ms.or(told);
+                    replica.started_ms = replica.started_ms.or(reported);
                 }
             }
-            Incarnation::Earlier => return self.apply_report(id, None, asked_at, now),
-            Incarnation::Later => self.started_again(id, told, now),
+            Incarnation::Earlier => return self.apply_report(id, None, requested_at, now),
+            Incarnation::Later => self.reset_restarted(id, reported, now),
         }
-        self.apply_report(id, report, asked_at, now);
+        self.apply_report(id, report, requested_at, now);
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// Interval at which models are checked for whether they need one more holder.
-const BALANCE_EVERY: Duration = Duration::from_millis(250);
+const BALANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// An action that the orderer requests from its node.
 #[derive(Debug, Clone, PartialEq)]
@@ -137,59 +137,59 @@
     work: BTreeMap<ServiceName, WorkMeter>,
     /// Waiting models tried in the current round, in which each is tried once, the one with
     /// the earliest objective first.
-    waiting_tried: BTreeSet<ModelName>,
+    tried_waiting_models: BTreeSet<ModelName>,
     /// Number of checks for additional holders so far. It determines which of the models that
     /// are not busy are considered next.
-    looks: usize,
+    balance_rounds: usize,
     /// Models tried for one more holder in the current round, in which each is tried once.
-    lacking_tried: BTreeSet<ModelName>,
-    ceilings: BTreeMap<ServiceName, LoadCeiling>,
-    paces: BTreeMap<ServiceName, LoadConcurrency>,
+    tried_underprovisioned_models: BTreeSet<ModelName>,
+    load_ceilings: BTreeMap<ServiceName, LoadCeiling>,
+    load_concurrency: BTreeMap<ServiceName, LoadConcurrency>,
     /// Time since which the weight store has had a free slot.
     store_free_since: BTreeMap<ServiceName, Moment>,
     /// Start times of this orderer's running loads from the weight store.
     store_loads: BTreeMap<ReplicaId, Moment>,
     changed: BTreeSet<ReplicaId>,
-    told: BTreeMap<ReplicaId, Placement>,
+    published: BTreeMap<ReplicaId, Placement>,
     next_balance: Moment,
     /// Offset in the waiting models at which the next plan continues to select targets.
-    next_goal: usize,
+    waiting_models_offset: usize,
     decisions: Vec<Decision>,
     routine_reports: RoutineReports,
     /// Time of the takeover. The predecessor's loads count as started then, unless it
     /// handed them over.
-    took_over: Moment,
+    took_over_at: Moment,
     /// True if the predecessor handed over its loads.
-    loads_are_known: bool,
+    predecessor_loads_known: bool,
     history: OrderHistory,
     /// By shard, whether its orderer is reachable.
     reachable: [bool; SHARD_COUNT],
 }
 
 impl Orderer {
-    /// Creates an orderer that took over from its predecessor at `took_over`.
-    pub fn new(config: OrdererConfig, configuration: Arc<Configuration>, took_over: Moment) -> Self {
+    /// Creates an orderer that took over from its predecessor at `took_over_at`.
+    pub fn new(config: OrdererConfig, configuration: Arc<Configuration>, took_over_at: Moment) -> Self {
         Orderer {
             config,
             configuration,
             replicas: TrackedReplicas::default(),
             demand: Demand::new(),
             work: BTreeMap::new(),
-            waiting_tried: BTreeSet::new(),
-            looks: 0,
-            lacking_tried: BTreeSet::new(),
-            ceilings: BTreeMap::new(),
-            paces: BTreeMap::new(),
+            tried_waiting_models: BTreeSet::new(),
+            balance_rounds: 0,
+            tried_underprovisioned_models: BTreeSet::new(),
+            load_ceilings: BTreeMap::new(),
+            load_concurrency: BTreeMap::new(),
             store_free_since: BTreeMap::new(),
             store_loads: BTreeMap::new(),
             changed: BTreeSet::new(),
-            told: BTreeMap::new(),
+            published: BTreeMap::new(),
             next_balance: Moment::default(),
-            next_goal: 0,
+            waiting_models_offset: 0,
             decisions: Vec::new(),
-            routine_reports: RoutineReports::new(took_over),
-            took_over,
-            loads_are_known: false,
+            routine_reports: RoutineReports::new(took_over_at),
+            took_over_at,
+            predecessor_loads_known: false,
             history: OrderHistory::new(config.order_gap),
             reachable: [false; SHARD_COUNT],
         }
@@ -197,17 +197,17 @@
 
     /// Applies the predecessor's resignation. It replaces the assumptions about the
     /// predecessor's orders and loads.
-    pub fn inherit(&mut self, heard: &ReceivedResignation) {
-        self.history.inherit(heard.held_until());
-        self.loads_are_known = true;
-        let mut begun: Vec<(Moment, &ServiceName)> = heard
+    pub fn inherit(&mut self, resignation: &ReceivedResignation) {
+        self.history.inherit(resignation.held_until());
+        self.predecessor_loads_known = true;
+        let mut started: Vec<(Moment, &ServiceName)> = resignation
             .load_starts()
-            .map(|(service, begun)| (begun, service))
+            .map(|(service, started)| (started, service))
             .collect();
-        begun.sort();
+        started.sort();
         let window = self.config.ceiling_window;
-        for (moment, service) in begun {
-            self.ceilings
+        for (moment, service) in started {
+            self.load_ceilings
                 .entry(service.clone())
                 .or_insert_with(|| LoadCeiling::new(window))
                 .record_start(moment);
@@ -223,10 +223,10 @@
     /// after the last order of the term.
     pub fn hand_over(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
-        let loads = self.ceilings.iter().flat_map(|(service, ceiling)| {
-            ceiling.started().map(move |begun| PastLoad {
+        let loads = self.load_ceilings.iter().flat_map(|(service, ceiling)| {
+            ceiling.started().map(move |started| PastLoad {
                 service: service.clone(),
-                age: now.since(begun),
+                age: now.since(started),
             })
         });
         HandOver {
@@ -248,7 +248,7 @@
         }
         self.reachable = reachable;
         for (id, replica) in self.replicas.iter_mut() {
-            replica.ordered_by = orders_at(self.config.scope, &reachable, id);
+            replica.ordered_by = responsible_orderer(self.config.scope, &reachable, id);
         }
     }
 
@@ -258,15 +258,15 @@
         if entry.state() == entry.listing.state {
             self.apply_listing(&entry.listing, now);
         } else {
-            let told = ReplicaListing {
+            let listing = ReplicaListing {
                 state: entry.state(),
                 ..entry.listing.clone()
             };
-            self.apply_listing(&told, now);
+            self.apply_listing(&listing, now);
         }
         if self.config.scope.covers(&entry.listing.id) {
-            self.note_limit(&entry.listing.id, entry.is_limited());
-            self.tell_again_if_forgotten(entry);
+            self.set_limited(&entry.listing.id, entry.is_limited());
+            self.republish_if_lost(entry);
             return;
         }
         if let Some(replica) = self.replicas.get_mut(&entry.listing.id) {
@@ -275,7 +275,7 @@
     }
 
     /// Records whether a replica limits calls of any kind.
-    fn note_limit(&mut self, id: &str, is_limited: bool) {
+    fn set_limited(&mut self, id: &str, is_limited: bool) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
@@ -299,11 +299,11 @@
     }
 
     /// Publishes the placement of a replica again if its entry has none. An entry that was
-    /// removed and restored between two reads of the table looks unchanged here, but all
+    /// removed and restored between two reads of the table balance_rounds unchanged here, but all
     /// nodes lost the published placement with it.
-    fn tell_again_if_forgotten(&mut self, entry: &ReplicaEntry) {
+    fn republish_if_lost(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
-        if !entry.has_orderer_placement() && self.told.remove(id).is_some() {
+        if !entry.has_orderer_placement() && self.published.remove(id).is_some() {
             self.changed.insert(id.clone());
         }
     }
@@ -330,10 +330,10 @@
         }
         let ledger_config = self.config.ledger;
         let is_own = self.config.scope.covers(&listing.id);
-        let ordered_by = orders_at(self.config.scope, &self.reachable, &listing.id);
+        let ordered_by = responsible_orderer(self.config.scope, &self.reachable, &listing.id);
         let is_new = !self.replicas.contains_key(&listing.id);
         if is_new {
-            let anew = TrackedReplica {
+            let replica = TrackedReplica {
                 state: listing.state,
                 service: listing.service.clone(),
                 started_ms: listing.started_ms,
@@ -348,7 +348,7 @@
                 listed_slots: listing.slots,
                 capacity: Capacity::default(),
             };
-            self.replicas.insert(listing.id.clone(), anew);
+            self.replicas.insert(listing.id.clone(), replica);
         }
         let Some(replica) = self.replicas.get_mut(&listing.id) else {
             return;
@@ -370,7 +370,7 @@
         self.replicas.remove(id);
         self.store_loads.remove(id);
         self.changed.remove(id);
-        self.told.remove(id);
+        self.published.remove(id);
     }
 
     /// Removes the replicas for which `keep` returns false.
@@ -378,7 +378,7 @@
         self.replicas.retain(&keep);
         self.store_loads.retain(|id, _| keep(id));
         self.changed.retain(|id| keep(id));
-        self.told.retain(|id, _| keep(id));
+        self.published.retain(|id, _| keep(id));
     }
 
     /// Counts requests that nodes received.
@@ -397,51 +397,51 @@
     pub fn record_order_outcome(&mut self, id: &str, outcome: OrderOutcome, now: Moment) {
         let is_answered = outcome != OrderOutcome::Unknown;
         self.history.record_ended(&id.into(), is_answered, now);
-        let expected_in = self.expected_time(id);
+        let expected_in = self.expected_order_duration(id);
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
         let change = replica.ledger.record_outcome(outcome, expected_in, now);
-        self.after_change(id, change, now);
+        self.apply_ledger_change(id, change, now);
     }
 
-    /// Applies a report that was requested at `asked_at`; `None` if it did not arrive.
-    fn apply_report(&mut self, id: &str, report: Option<&ReplicaReport>, asked_at: Moment, now: Moment) {
+    /// Applies a report that was requested at `requested_at`; `None` if it did not arrive.
+    fn apply_report(&mut self, id: &str, report: Option<&ReplicaReport>, requested_at: Moment, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
         let change = match report {
-            Some(report) => replica.ledger.apply_report(report, asked_at, now),
+            Some(report) => replica.ledger.apply_report(report, requested_at, now),
             None => {
                 replica.ledger.record_report_failure(now);
                 LedgerChange::None
             }
         };
-        self.after_change(id, change, now);
+        self.apply_ledger_change(id, change, now);
     }
 
     /// Returns the report requests and orders to send now. There are no orders unless
     /// `may_order` is true.
     pub fn plan(&mut self, may_order: bool, now: Moment) -> Vec<OrdererAction> {
         self.history.prune(now);
-        let mut actions = self.ask_reports(now);
+        let mut actions = self.request_reports(now);
         if !may_order {
             return actions;
         }
         let waiting = self.demand.awaited_models(now);
-        let balances = now >= self.next_balance;
-        if balances {
-            self.next_balance = now + BALANCE_EVERY;
-            self.looks = self.looks.wrapping_add(1);
+        let is_balance_due = now >= self.next_balance;
+        if is_balance_due {
+            self.next_balance = now + BALANCE_INTERVAL;
+            self.balance_rounds = self.balance_rounds.wrapping_add(1);
         }
         let services: Vec<Arc<Service>> = self.configuration.services().cloned().collect();
         for service in services {
             if let Some(engine) = &service.engine {
-                if balances {
+                if is_balance_due {
                     self.measure_work(&service.name, now);
                 }
                 self.set_goals(&service.name, engine, &waiting, now);
-                if balances {
+                if is_balance_due {
                     self.add_holders(&service.name, engine, now);
                 }
                 self.place_adapters(&service.name, engine, &waiting, now, &mut actions);
@@ -491,21 +491,21 @@
     /// Returns true if a ready replica holds the model, and the adapter if the key names one.
     fn is_held(&self, key: &ModelKey) -> bool {
         let fleet = self.replicas.fleet(&key.service);
-        let mut keepers = fleet
+        let mut holders = fleet
             .current_holders(&key.model)
             .filter_map(|id| self.replicas.get(id));
         let adapter = key.adapter.as_deref();
-        keepers.any(|replica| replica.ledger.holdings().serves(&key.model, adapter))
+        holders.any(|replica| replica.ledger.holdings().serves(&key.model, adapter))
     }
 
     /// Returns true if the adapter is being ordered or loaded at a holder of its model.
-    fn is_ordered(&self, key: &ModelKey) -> bool {
+    fn is_adapter_ordered(&self, key: &ModelKey) -> bool {
         let adapter = key.adapter.as_deref().unwrap_or_default();
         let fleet = self.replicas.fleet(&key.service);
-        let mut keepers = fleet
+        let mut holders = fleet
             .current_holders(&key.model)
             .filter_map(|id| self.replicas.get(id));
-        keepers.any(|replica| match replica.ledger.pending() {
+        holders.any(|replica| match replica.ledger.pending() {
             _ if replica.ledger.is_in_transit(&key.model, adapter) => true,
             Some(Order::LoadAdapter(model, adapter)) => {
                 *model == key.model && Some(adapter) == key.adapter.as_ref()
@@ -515,7 +515,7 @@
     }
 
     /// Updates the orderer's state after a replica's ledger changed.
-    fn after_change(&mut self, id: &str, change: LedgerChange, now: Moment) {
+    fn apply_ledger_change(&mut self, id: &str, change: LedgerChange, now: Moment) {
         let Some((id, replica)) = self.replicas.get_key_value(id) else {
             return;
         };
@@ -523,13 +523,13 @@
         match &change {
             LedgerChange::None => return,
             LedgerChange::Holdings => {}
-            LedgerChange::Done(order) => self.order_done(&id, &service, order, now),
-            LedgerChange::Failed(_) => self.store_load_ended(&id, &service, None, now),
+            LedgerChange::Done(order) => self.record_order_done(&id, &service, order, now),
+            LedgerChange::Failed(_) => self.record_store_load_ended(&id, &service, None, now),
         }
         self.changed.insert(id);
     }
 
-    fn order_done(&mut self, id: &ReplicaId, service: &ServiceName, order: &Order, now: Moment) {
+    fn record_order_done(&mut self, id: &ReplicaId, service: &ServiceName, order: &Order, now: Moment) {
         match order {
             Order::LoadModel(model) => {
                 let key = ModelKey {
@@ -538,7 +538,7 @@
                     adapter: None,
                 };
                 self.demand.clear_waiting(&key);
-                self.store_load_ended(id, service, Some(model), now);
+                self.record_store_load_ended(id, service, Some(model), now);
                 self.drop_goal(id);
                 if let Some(replica) = self.replicas.get_mut(id) {
                     replica.loaded_at.insert(model.clone(), now);
@@ -567,7 +567,7 @@
     }
 
     /// Returns the expected duration of the order under way at a replica.
-    fn expected_time(&self, id: &str) -> Duration {
+    fn expected_order_duration(&self, id: &str) -> Duration {
         let Some(replica) = self.replicas.get(id) else {
             return Duration::ZERO;
         };
@@ -586,7 +586,7 @@
 }
 
 /// Returns the orderer that sends orders to a replica.
-fn orders_at(scope: OrderScope, reachable: &[bool; SHARD_COUNT], id: &str) -> OrderedBy {
+fn responsible_orderer(scope: OrderScope, reachable: &[bool; SHARD_COUNT], id: &str) -> OrderedBy {
     if scope.covers(id) {
         OrderedBy::ThisOrderer
     } else if reachable[Shard::of_replica(id).index()] {
--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -47,7 +47,7 @@
 
 impl Orderer {
     /// Requests the reports that are due, and marks the adapters that should have arrived.
-    pub(super) fn ask_reports(&mut self, now: Moment) -> Vec<OrdererAction> {
+    pub(super) fn request_reports(&mut self, now: Moment) -> Vec<OrdererAction> {
         let mut asked: Vec<ReplicaId> = Vec::new();
         let mut routine: Vec<(Moment, ReplicaId)> = Vec::new();
         for (id, replica) in self.replicas.iter_mut_unindexed() {
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -61,7 +61,7 @@
     /// Returns the limit on concurrent loads of a service.
     fn pace(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
         let usual = || engine.models.values().map(|model| model.store_load).max();
-        let pace = self.paces.entry(service.clone());
+        let pace = self.load_concurrency.entry(service.clone());
         pace.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
     }
 
@@ -82,12 +82,12 @@
 
     /// Returns true if the ceiling admits one more load now.
     pub(super) fn ceiling_admits(&mut self, service: &ServiceName, ceiling: usize, now: Moment) -> bool {
-        let (window, took_over) = (self.config.ceiling_window, self.took_over);
-        let loads_are_known = self.loads_are_known;
-        let loads = self.ceilings.entry(service.clone()).or_insert_with(|| {
+        let (window, took_over_at) = (self.config.ceiling_window, self.took_over_at);
+        let predecessor_loads_known = self.predecessor_loads_known;
+        let loads = self.load_ceilings.entry(service.clone()).or_insert_with(|| {
             let mut loads = LoadCeiling::new(window);
-            if !loads_are_known {
-                loads.assume_full(took_over, ceiling);
+            if !predecessor_loads_known {
+                loads.assume_full(took_over_at, ceiling);
             }
             loads
         });
@@ -121,7 +121,7 @@
 
     /// Records that a load from the weight store ended. If it loaded the model `done`, the
     /// limit on concurrent loads adapts to its duration.
-    pub(super) fn store_load_ended(
+    pub(super) fn record_store_load_ended(
         &mut self,
         id: &ReplicaId,
         service: &ServiceName,
--- a/crates/croftrill-scheduler/src/orderer/telling.rs
+++ b/crates/croftrill-scheduler/src/orderer/telling.rs
@@ -27,12 +27,13 @@
     /// replica's listing, and in a message about all replicas they would take more bytes than
     /// everything else.
     fn news(&mut self, placement: Placement) -> Option<Placement> {
-        let known = self.told.get(&placement.replica);
+        let known = self.published.get(&placement.replica);
         if known.is_some_and(|known| placement.is_equivalent_to(known)) {
             return None;
         }
         let includes_copies = known.is_some_and(|known| known.usable.copies != placement.usable.copies);
-        self.told.insert(placement.replica.clone(), placement.clone());
+        self.published
+            .insert(placement.replica.clone(), placement.clone());
         Some(Placement {
             includes_copies,
             ..placement
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -178,7 +178,7 @@
     /// Returns the models of this round, as indices in the order of the configuration.
     fn models_in_turn(&self, engine: &EngineSpec) -> std::ops::Range<usize> {
         let turns = engine.model_order.len().div_ceil(MODELS_IN_TURN).max(1);
-        let first = self.looks % turns * MODELS_IN_TURN;
+        let first = self.balance_rounds % turns * MODELS_IN_TURN;
         first..first + MODELS_IN_TURN
     }
 
