--- a/crates/croftrill-scheduler/src/orderer/incarnation.rs
+++ b/crates/croftrill-scheduler/src/orderer/incarnation.rs
@@ -18,7 +18,7 @@
     }
 
     /// Resets the state of a replica that restarted under the same id. The known holdings
-    /// and pending orders are lost, and its order sequence starts replica.
+    /// and pending orders are lost, and its order sequence starts over.
     fn reset_restarted(&mut self, id: &str, started_ms: Option<StartedMs>, now: Moment) {
         let Some((id, former)) = self.replicas.remove(id) else {
             return;
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -299,7 +299,7 @@
     }
 
     /// Publishes the placement of a replica again if its entry has none. An entry that was
-    /// removed and restored between two reads of the table balance_rounds unchanged here, but all
+    /// removed and restored between two reads of the table looks unchanged here, but all
     /// nodes lost the published placement with it.
     fn republish_if_lost(&mut self, entry: &ReplicaEntry) {
         let id = &entry.listing.id;
