--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -11,13 +11,13 @@
 use super::{Decision, GoalReason, Orderer, OrdererAction};
 
 /// Maximum number of models for which one plan selects targets.
-const MOST_GOALS_AT_ONCE: usize = 6;
+const MAX_GOALS_PER_PLAN: usize = 6;
 /// Time for which a waiting model is left to the orderer of the best replica, before another
 /// shard's orderer may load it.
 const MODEL_PATIENCE: Duration = Duration::from_millis(700);
 /// Time within which a withdrawal at one of two holders is known to the orderer of the other
 /// one: twice the 240 ms that an update takes to reach all nodes.
-const WITHDRAWAL_HEARD_WITHIN: Duration = Duration::from_millis(500);
+const WITHDRAWAL_PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 impl Orderer {
     /// Sets goals for models that requests wait for and no replica holds.
@@ -28,27 +28,30 @@
         waiting: &[ModelKey],
         now: Moment,
     ) {
-        let mut wanted: Vec<&ModelName> = waiting
+        let mut requested: Vec<&ModelName> = waiting
             .iter()
             .filter(|key| key.service == *service)
             .map(|key| &key.model)
             .collect();
-        wanted.dedup();
-        if wanted.is_empty() {
+        requested.dedup();
+        if requested.is_empty() {
             return;
         }
         let view = self.placement_of(service, engine, now);
-        wanted.retain(|model| view.expected_holder_count(model) == 0);
+        requested.retain(|model| view.expected_holder_count(model) == 0);
         if view.work.is_some() {
-            self.set_goals_by_objective(service, engine, wanted, now);
+            self.set_goals_by_objective(service, engine, requested, now);
             return;
         }
         // Target selection is expensive, so the other models follow in the next plans.
-        let first = self.waiting_models_offset.checked_rem(wanted.len()).unwrap_or(0);
-        wanted.rotate_left(first);
-        wanted.truncate(MOST_GOALS_AT_ONCE);
-        self.waiting_models_offset = self.waiting_models_offset.wrapping_add(wanted.len());
-        for model in wanted {
+        let first = self
+            .waiting_models_offset
+            .checked_rem(requested.len())
+            .unwrap_or(0);
+        requested.rotate_left(first);
+        requested.truncate(MAX_GOALS_PER_PLAN);
+        self.waiting_models_offset = self.waiting_models_offset.wrapping_add(requested.len());
+        for model in requested {
             self.set_waiting_goal(service, engine, model, now);
         }
     }
@@ -59,10 +62,10 @@
         &mut self,
         service: &ServiceName,
         engine: &EngineSpec,
-        wanted: Vec<&ModelName>,
+        requested: Vec<&ModelName>,
         now: Moment,
     ) {
-        let mut urgent: Vec<(bool, bool, Duration, ModelName)> = wanted
+        let mut by_urgency: Vec<(bool, bool, Duration, ModelName)> = requested
             .into_iter()
             .map(|model| {
                 let key = ModelKey {
@@ -72,17 +75,17 @@
                 };
                 let objective = self.demand.objective(&key).unwrap_or_default();
                 let waited = self.demand.wait_time(&key, now);
-                let left = objective.saturating_sub(waited);
-                let had_turn = self.tried_waiting_models.contains(model);
-                (had_turn, left.is_zero(), left, model.clone())
+                let remaining = objective.saturating_sub(waited);
+                let was_tried = self.tried_waiting_models.contains(model);
+                (was_tried, remaining.is_zero(), remaining, model.clone())
             })
             .collect();
-        urgent.sort_unstable();
-        if urgent.first().is_some_and(|(had_turn, ..)| *had_turn) {
+        by_urgency.sort_unstable();
+        if by_urgency.first().is_some_and(|(was_tried, ..)| *was_tried) {
             self.tried_waiting_models.clear();
         }
-        urgent.truncate(MOST_GOALS_AT_ONCE);
-        for (.., model) in urgent {
+        by_urgency.truncate(MAX_GOALS_PER_PLAN);
+        for (.., model) in by_urgency {
             self.tried_waiting_models.insert(model.clone());
             self.set_waiting_goal(service, engine, &model, now);
         }
@@ -106,56 +109,56 @@
         };
         let best = view.best_target(model, store_allowed, CandidateScope::All);
         let waited = self.demand.wait_time(&key, now);
-        let home = best.as_ref().map(|place| &place.replica);
+        let home = best.as_ref().map(|target| &target.replica);
         if !self.config.scope.may_act(home, waited, MODEL_PATIENCE) {
             return;
         }
-        let place = view.best_target(model, store_allowed, CandidateScope::Own);
-        let place = place.filter(|place| {
-            let saved = view.saved_by_load(model, place.load_time);
+        let target = view.best_target(model, store_allowed, CandidateScope::Own);
+        let target = target.filter(|target| {
+            let saved = view.saved_by_load(model, target.load_time);
             let store_load = engine.models.get(model).map(|spec| spec.store_load);
-            let from_store = Some(place.load_time) == store_load;
-            saved > place.missed_requests
-                && !(from_store && view.store_load_gains_more(saved, place.load_time, slots))
+            let from_store = Some(target.load_time) == store_load;
+            saved > target.missed_requests
+                && !(from_store && view.store_load_gains_more(saved, target.load_time, slots))
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
         }
-        if let Some(place) = place {
-            self.set_goal(&place.replica, model.clone(), GoalReason::Waiting, 0);
+        if let Some(target) = target {
+            self.set_goal(&target.replica, model.clone(), GoalReason::Waiting, 0);
         }
     }
 
     /// Sets goals for one more holder of each of the models that gain most by it.
     pub(super) fn add_holders(&mut self, service: &ServiceName, engine: &EngineSpec, now: Moment) {
-        let mut lacking = self.lacking_models(service, engine, now);
+        let mut underprovisioned = self.underprovisioned_models(service, engine, now);
         if self.knows_work(service) {
-            self.take_turns(&mut lacking);
+            self.move_tried_models_last(&mut underprovisioned);
         }
-        lacking.truncate(MOST_GOALS_AT_ONCE);
-        for (gain, model) in lacking {
+        underprovisioned.truncate(MAX_GOALS_PER_PLAN);
+        for (gain, model) in underprovisioned {
             self.add_holder(service, engine, &model, gain, now);
         }
     }
 
     /// Moves the models that were tried in this round behind the others. Otherwise the
     /// neediest models, which all replicas with a copy hold already, would block all others.
-    fn take_turns(&mut self, lacking: &mut [(f64, ModelName)]) {
-        if lacking
+    fn move_tried_models_last(&mut self, underprovisioned: &mut [(f64, ModelName)]) {
+        if underprovisioned
             .iter()
             .all(|(_, model)| self.tried_underprovisioned_models.contains(model))
         {
             self.tried_underprovisioned_models.clear();
         }
-        lacking.sort_by_key(|(_, model)| self.tried_underprovisioned_models.contains(model));
-        let turns = lacking.iter().take(MOST_GOALS_AT_ONCE);
+        underprovisioned.sort_by_key(|(_, model)| self.tried_underprovisioned_models.contains(model));
+        let tried = underprovisioned.iter().take(MAX_GOALS_PER_PLAN);
         self.tried_underprovisioned_models
-            .extend(turns.map(|(_, model)| model.clone()));
+            .extend(tried.map(|(_, model)| model.clone()));
     }
 
     /// Returns the models that gain by one more holder, the largest gain first, with the gain:
     /// the additional requests per second that are served on time.
-    fn lacking_models(
+    fn underprovisioned_models(
         &self,
         service: &ServiceName,
         engine: &EngineSpec,
@@ -165,20 +168,21 @@
         let horizon_s = config.horizon.as_secs_f64();
         let view = self.placement_of(service, engine, now);
         let slots = self.usual_slots(service);
-        let wanted = |model: &ModelName| {
+        let gain_if_needed = |model: &ModelName| {
             let count = view.expected_holder_count(model);
             let gain = view.on_time_gain_of_next_holder(model, slots);
             let gain = gain.unwrap_or_else(|| view.value_of_nth_holder(model, count + 1));
-            let is_wanted = count > 0 && gain * horizon_s > config.min_on_time_gain;
-            is_wanted.then(|| (gain, model.clone()))
+            let is_needed = count > 0 && gain * horizon_s > config.min_on_time_gain;
+            is_needed.then(|| (gain, model.clone()))
         };
-        let looked_at: Vec<&ModelName> = match &view.work {
-            Some(_) => self.models_looked_at(engine, &view),
+        let considered: Vec<&ModelName> = match &view.work {
+            Some(_) => self.models_to_consider(engine, &view),
             None => engine.model_order.iter().collect(),
         };
-        let mut lacking: Vec<(f64, ModelName)> = looked_at.into_iter().filter_map(wanted).collect();
-        lacking.sort_by(|left, right| right.0.total_cmp(&left.0));
-        lacking
+        let mut underprovisioned: Vec<(f64, ModelName)> =
+            considered.into_iter().filter_map(gain_if_needed).collect();
+        underprovisioned.sort_by(|left, right| right.0.total_cmp(&left.0));
+        underprovisioned
     }
 
     /// Selects a target for one more holder of a model, if the gain outweighs the cost.
@@ -202,20 +206,20 @@
         {
             return;
         }
-        let place = view.best_target(model, store_allowed, CandidateScope::Own);
+        let target = view.best_target(model, store_allowed, CandidateScope::Own);
         let min_gain_ratio = self.config.placement.min_gain_ratio;
-        let place = place.filter(|place| {
-            let gain = place.on_time_gain.unwrap_or(gain);
-            gain * view.serving_seconds(place.load_time) > min_gain_ratio * place.missed_requests
+        let target = target.filter(|target| {
+            let gain = target.on_time_gain.unwrap_or(gain);
+            gain * view.serving_seconds(target.load_time) > min_gain_ratio * target.missed_requests
         });
         if let Some(best) = best {
             self.await_confirmation(&best.replica, now);
         }
-        if let Some(place) = place {
+        if let Some(target) = target {
             let count = self
                 .placement_of(service, engine, now)
                 .expected_holder_count(model);
-            self.set_goal(&place.replica, model.clone(), GoalReason::Demand, count);
+            self.set_goal(&target.replica, model.clone(), GoalReason::Demand, count);
         }
     }
 
@@ -275,7 +279,7 @@
         if memory_used(engine, holdings) + spec.weights_mb <= engine.weights_mb {
             return self.load_step(id, goal, service, engine, now);
         }
-        self.room_step(id, service, engine, now)
+        self.eviction_step(id, service, engine, now)
     }
 
     /// Returns the order to load the goal, unless it needs the weight store and the ceiling
@@ -305,7 +309,7 @@
 
     /// Withdraws a model to free memory for the goal, and returns the order to unload it once
     /// the notice is over.
-    pub(super) fn room_step(
+    pub(super) fn eviction_step(
         &mut self,
         id: &ReplicaId,
         service: &ServiceName,
@@ -322,11 +326,11 @@
             if withdrawn_for < self.config.withdraw_notice {
                 return None;
             }
-            if withdrawn_for < self.notice_before_drop(id, model, service, engine, now) {
+            if withdrawn_for < self.notice_before_unload(id, model, service, engine, now) {
                 return None;
             }
             let model = model.clone();
-            if self.is_needed_after_all(id, &model, service, engine, now) {
+            if self.is_needed_again(id, &model, service, engine, now) {
                 self.drop_goal(id);
                 return None;
             }
@@ -362,7 +366,7 @@
     /// other replica holds the model, that replica's orderer may have withdrawn it at the same
     /// time, as the orderers may disagree on which of the two holders is spare. One of them,
     /// selected by a hash, therefore waits until it would know of the other withdrawal.
-    fn notice_before_drop(
+    fn notice_before_unload(
         &self,
         id: &ReplicaId,
         withdrawn: &ModelName,
@@ -374,7 +378,7 @@
         let fleet = view.fleet();
         let is_one_of_two = view.work.is_some() && fleet.current_holder_count(withdrawn) == 1;
         if is_one_of_two && fleet.ranks_first(withdrawn, id) {
-            WITHDRAWAL_HEARD_WITHIN.max(self.config.withdraw_notice)
+            WITHDRAWAL_PROPAGATION_TIME.max(self.config.withdraw_notice)
         } else {
             self.config.withdraw_notice
         }
@@ -383,7 +387,7 @@
     /// Returns true if the model withdrawn from a replica has lost its other holders and is
     /// worth more than the goal. Another orderer may have withdrawn it at the same time: which
     /// holders are spare depends on reported loads, which orderers know differently.
-    fn is_needed_after_all(
+    fn is_needed_again(
         &self,
         id: &ReplicaId,
         withdrawn: &ModelName,
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -163,7 +163,7 @@
 
     /// Returns the models that are considered for one more holder in this round: all busy
     /// ones, and some of the others.
-    pub(super) fn models_looked_at<'e>(
+    pub(super) fn models_to_consider<'e>(
         &self,
         engine: &'e EngineSpec,
         view: &ServicePlacement<'_>,
