--- a/crates/croftrill-scheduler/src/orderer/reports.rs
+++ b/crates/croftrill-scheduler/src/orderer/reports.rs
@@ -13,42 +13,42 @@
 
 /// Rate of routine reports: that of 60 replicas with one report every 2.5 s each. A report
 /// takes about 100 us of an orderer and, in a fleet of thousands of replicas, a connection.
-const ROUTINE_PER_SECOND: f64 = 24.0;
+const ROUTINE_REPORTS_PER_SECOND: f64 = 24.0;
 /// Maximum number of routine reports requested at once, as at the start of a term.
-const MOST_ROUTINE_AT_ONCE: f64 = 64.0;
+const MAX_ROUTINE_REPORT_BURST: f64 = 64.0;
 
 /// Token bucket that limits the rate of routine reports.
 #[derive(Debug)]
 pub(super) struct RoutineReports {
-    allowed: f64,
-    counted_at: Moment,
+    tokens: f64,
+    refilled_at: Moment,
 }
 
 impl RoutineReports {
     pub(super) fn new(now: Moment) -> Self {
         RoutineReports {
-            allowed: MOST_ROUTINE_AT_ONCE,
-            counted_at: now,
+            tokens: MAX_ROUTINE_REPORT_BURST,
+            refilled_at: now,
         }
     }
 
     /// Refills the bucket and returns the number of reports that may be requested now.
-    fn allowed(&mut self, now: Moment) -> usize {
-        let gained = now.since(self.counted_at).as_secs_f64() * ROUTINE_PER_SECOND;
-        self.allowed = (self.allowed + gained).min(MOST_ROUTINE_AT_ONCE);
-        self.counted_at = now;
-        self.allowed as usize
+    fn available(&mut self, now: Moment) -> usize {
+        let gained = now.since(self.refilled_at).as_secs_f64() * ROUTINE_REPORTS_PER_SECOND;
+        self.tokens = (self.tokens + gained).min(MAX_ROUTINE_REPORT_BURST);
+        self.refilled_at = now;
+        self.tokens as usize
     }
 
-    fn asked(&mut self, count: usize) {
-        self.allowed -= count as f64;
+    fn consume(&mut self, count: usize) {
+        self.tokens -= count as f64;
     }
 }
 
 impl Orderer {
     /// Requests the reports that are due, and marks the adapters that should have arrived.
     pub(super) fn request_reports(&mut self, now: Moment) -> Vec<OrdererAction> {
-        let mut asked: Vec<ReplicaId> = Vec::new();
+        let mut awaited: Vec<ReplicaId> = Vec::new();
         let mut routine: Vec<(Moment, ReplicaId)> = Vec::new();
         for (id, replica) in self.replicas.iter_mut_unindexed() {
             if replica.ordered_by != OrderedBy::ThisOrderer {
@@ -63,15 +63,15 @@
             }
             match replica.ledger.report_due(now) {
                 None => {}
-                Some(_) if replica.ledger.is_report_awaited() => asked.push(id.clone()),
+                Some(_) if replica.ledger.is_report_awaited() => awaited.push(id.clone()),
                 Some(due) => routine.push((due, id.clone())),
             }
         }
-        let allowed = self.routine_reports.allowed(now).min(routine.len());
+        let allowed = self.routine_reports.available(now).min(routine.len());
         routine.sort_unstable();
         routine.truncate(allowed);
-        self.routine_reports.asked(allowed);
-        let awaited = asked.into_iter().map(|id| (id, true));
+        self.routine_reports.consume(allowed);
+        let awaited = awaited.into_iter().map(|id| (id, true));
         let routine = routine.into_iter().map(|(_, id)| (id, false));
         let actions: Vec<OrdererAction> = awaited
             .chain(routine)
