--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -99,7 +99,7 @@
         model: &ModelName,
         now: Moment,
     ) {
-        let store_allowed = self.store_allowed(service, engine, now);
+        let store_allowed = self.may_plan_store_load(service, engine, now);
         let slots = self.usual_slots(service);
         let view = self.placement_of(service, engine, now);
         let key = ModelKey {
@@ -194,7 +194,7 @@
         gain: f64,
         now: Moment,
     ) {
-        let store_allowed = self.store_allowed(service, engine, now);
+        let store_allowed = self.may_plan_store_load(service, engine, now);
         // As long as the work is unknown, so is which model needs the weight store most.
         let store_allowed = store_allowed && (!self.follows_work(service) || self.knows_work(service));
         let view = self.placement_of(service, engine, now);
@@ -295,7 +295,7 @@
         let from_store =
             weight_source(self.replicas.get(id)?.ledger.holdings(), &goal) == WeightSource::Store;
         if from_store {
-            let ceiling = self.ceiling(service, engine);
+            let ceiling = self.own_ceiling(service, engine);
             if !self.ceiling_admits(service, ceiling, now) {
                 return None;
             }
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -15,60 +15,65 @@
 
 /// Time for which a free slot at the weight store is left to each shard before this one:
 /// twice the time that an orderer's plan takes to reach the others.
-const STORE_TURN: Duration = Duration::from_millis(300);
+const STORE_SLOT_DELAY: Duration = Duration::from_millis(300);
 
 impl Orderer {
     /// Returns the number of loads from the weight store that this orderer may start per
     /// window: a share in proportion to its share of the service's replicas, but at least one
     /// if the service may start one at all.
-    pub(super) fn ceiling(&self, service: &ServiceName, engine: &EngineSpec) -> usize {
-        let all = engine.loads_per_second * self.config.ceiling_window.as_secs_f64();
+    pub(super) fn own_ceiling(&self, service: &ServiceName, engine: &EngineSpec) -> usize {
+        let total_loads = engine.loads_per_second * self.config.ceiling_window.as_secs_f64();
         let fleet = self.replicas.fleet(service);
         let (total, own) = (fleet.len() as f64, fleet.own_count() as f64);
-        let part = (all * own / f64::max(total, 1.0)).floor() as usize;
-        part.max(usize::from(all >= 1.0))
+        let own_loads = (total_loads * own / f64::max(total, 1.0)).floor() as usize;
+        own_loads.max(usize::from(total_loads >= 1.0))
     }
 
     /// Returns true if one more load from the weight store may be planned, by the ceiling and
     /// by the limit on concurrent loads that all orderers share. Loads that are planned but
     /// have not started count.
-    pub(super) fn store_allowed(&mut self, service: &ServiceName, engine: &EngineSpec, now: Moment) -> bool {
-        let ceiling = self.ceiling(service, engine);
+    pub(super) fn may_plan_store_load(
+        &mut self,
+        service: &ServiceName,
+        engine: &EngineSpec,
+        now: Moment,
+    ) -> bool {
+        let ceiling = self.own_ceiling(service, engine);
         let planned = self.planned_store_loads(service);
         let at_store = self.running_store_loads(service) + planned + self.others_store_loads(service);
-        let pace = self.pace(service, engine);
-        if at_store >= pace.limit() {
+        let limit = self.load_concurrency(service, engine);
+        if at_store >= limit.limit() {
             self.store_free_since.remove(service);
             return false;
         }
         let free_since = *self.store_free_since.entry(service.clone()).or_insert(now);
-        self.has_store_turn(now.since(free_since))
+        self.may_use_store_slot(now.since(free_since))
             && self.ceiling_admits(service, ceiling.saturating_sub(planned), now)
     }
 
     /// Returns true if this orderer may use a slot at the store that has been free for
     /// `free_for`. The shards follow one after the other, so that each knows the loads that
     /// the ones before it planned.
-    fn has_store_turn(&self, free_for: Duration) -> bool {
+    fn may_use_store_slot(&self, free_for: Duration) -> bool {
         let OrderScope::One(own) = self.config.scope else {
             return true;
         };
         let before = Shard::all().take(own.index());
         let reachable = before.filter(|shard| self.reachable[shard.index()]);
-        free_for >= STORE_TURN * reachable.count() as u32
+        free_for >= STORE_SLOT_DELAY * reachable.count() as u32
     }
 
     /// Returns the limit on concurrent loads of a service.
-    fn pace(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
+    fn load_concurrency(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
         let usual = || engine.models.values().map(|model| model.store_load).max();
-        let pace = self.load_concurrency.entry(service.clone());
-        pace.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
+        let limit = self.load_concurrency.entry(service.clone());
+        limit.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
     }
 
     /// Returns the number of loads from the weight store that other orderers run or plan, by
     /// their published placements.
     fn others_store_loads(&self, service: &ServiceName) -> usize {
-        let loads = |replica: &&TrackedReplica| {
+        let is_store_load = |replica: &&TrackedReplica| {
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
@@ -77,7 +82,7 @@
         };
         let fleet = self.replicas.fleet(service);
         let with_goal = fleet.with_goal().filter_map(|id| self.replicas.get(id));
-        with_goal.filter(loads).count()
+        with_goal.filter(is_store_load).count()
     }
 
     /// Returns true if the ceiling admits one more load now.
@@ -97,7 +102,7 @@
     /// Returns the number of this orderer's goals that are yet to be loaded from the weight
     /// store.
     fn planned_store_loads(&self, service: &ServiceName) -> usize {
-        let planned = |(id, replica): &(&ReplicaId, &TrackedReplica)| {
+        let is_planned = |(id, replica): &(&ReplicaId, &TrackedReplica)| {
             let from_store =
                 |goal: &ModelName| weight_source(replica.ledger.holdings(), goal) == WeightSource::Store;
             replica.service == *service
@@ -107,7 +112,7 @@
         };
         let fleet = self.replicas.fleet(service);
         let with_goal = fleet.with_goal().filter_map(|id| self.replicas.get_key_value(id));
-        with_goal.filter(planned).count()
+        with_goal.filter(is_planned).count()
     }
 
     /// Returns the number of this orderer's running loads from the weight store.
@@ -129,12 +134,12 @@
         now: Moment,
     ) {
         let running = self.running_store_loads(service) + self.others_store_loads(service);
-        let Some(begun) = self.store_loads.remove(id) else {
+        let Some(started) = self.store_loads.remove(id) else {
             return;
         };
         // The end of a load shows in a report only after this delay.
-        let seen_late_by = self.config.ledger.poll_interval + self.config.ledger.report_lag;
-        let took = now.since(begun).saturating_sub(seen_late_by);
+        let detection_delay = self.config.ledger.poll_interval + self.config.ledger.report_lag;
+        let elapsed = now.since(started).saturating_sub(detection_delay);
         let configuration = self.configuration.clone();
         let engine = configuration
             .service(service)
@@ -143,8 +148,8 @@
             return;
         };
         if let Some(spec) = engine.models.get(model) {
-            self.pace(service, engine)
-                .record_ended(took, spec.store_load, running);
+            self.load_concurrency(service, engine)
+                .record_ended(elapsed, spec.store_load, running);
         }
     }
 }
--- a/crates/croftrill-scheduler/src/orderer/work.rs
+++ b/crates/croftrill-scheduler/src/orderer/work.rs
@@ -12,16 +12,16 @@
 use super::Orderer;
 
 /// Time constant of the mean work, the same as that of the token rate it is divided by.
-const WORK_MEMORY: Duration = Duration::from_secs(6);
+const WORK_TIME_CONSTANT: Duration = Duration::from_secs(6);
 /// Age up to which a reported load is used: a replica without a newer report has started
 /// almost no requests since.
-const LOAD_HOLDS: Duration = Duration::from_secs(2);
+const MAX_LOAD_AGE: Duration = Duration::from_secs(2);
 /// Minimum time over which work is observed before the result is used.
-const LEAST_OBSERVATION: Duration = Duration::from_secs(1);
+const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(1);
 
 /// Number of models that are considered in one round besides the busy ones. It bounds the cost
 /// of a round in a fleet of thousands.
-const MODELS_IN_TURN: usize = 512;
+const MODELS_PER_ROUND: usize = 512;
 
 /// Measures the work of one service: the number of requests that run concurrently, converted
 /// to replicas of usual speed.
@@ -31,13 +31,13 @@
     busy_s: f64,
     /// Integral of the time, decaying likewise.
     weight_s: f64,
-    began: Moment,
+    started_at: Moment,
     measured_at: Moment,
     /// Seconds of work per cost token, once they were observed for long enough.
     per_token_s: Option<f64>,
     late_shares: LateShares,
     /// Cache of the derived figures, with the number of holder changes it is valid for.
-    known: RefCell<Option<(u64, Rc<ServiceWork>)>>,
+    cache: RefCell<Option<(u64, Rc<ServiceWork>)>>,
 }
 
 impl WorkMeter {
@@ -45,26 +45,26 @@
         WorkMeter {
             busy_s: 0.0,
             weight_s: 0.0,
-            began: now,
+            started_at: now,
             measured_at: now,
             per_token_s: None,
             late_shares: LateShares::default(),
-            known: RefCell::default(),
+            cache: RefCell::default(),
         }
     }
 
     /// Skips the time until `now`, in which no replica reported its load. Earlier observations
     /// remain valid.
-    fn pass_over(&mut self, now: Moment) {
+    fn skip_until(&mut self, now: Moment) {
         self.measured_at = now;
     }
 
     /// Adds the time since the last measurement, with the work and the token rate in it.
     fn measure(&mut self, running: f64, tokens_per_second: f64, now: Moment) {
         let passed = now.since(self.measured_at).as_secs_f64();
-        let left = (-passed / WORK_MEMORY.as_secs_f64()).exp();
-        self.busy_s = self.busy_s * left + running * passed;
-        self.weight_s = self.weight_s * left + passed;
+        let decay = (-passed / WORK_TIME_CONSTANT.as_secs_f64()).exp();
+        self.busy_s = self.busy_s * decay + running * passed;
+        self.weight_s = self.weight_s * decay + passed;
         self.measured_at = now;
         if running <= 0.0 && self.busy_s <= 0.0 {
             // Without requests there is nothing to observe: the observation starts with the
@@ -72,7 +72,7 @@
             *self = WorkMeter::new(now);
             return;
         }
-        let is_observed = now.since(self.began) >= LEAST_OBSERVATION;
+        let is_observed = now.since(self.started_at) >= MIN_OBSERVATION_TIME;
         if is_observed && tokens_per_second > 0.0 && self.weight_s > 0.0 {
             self.per_token_s = Some(self.busy_s / self.weight_s / tokens_per_second);
         }
@@ -100,7 +100,7 @@
         }
         let Some(running) = self.running_work(service, now) else {
             if let Some(meter) = self.work.get_mut(service) {
-                meter.pass_over(now);
+                meter.skip_until(now);
             }
             return;
         };
@@ -112,7 +112,7 @@
             .or_insert_with(|| WorkMeter::new(now));
         meter.measure(running, tokens, now);
         meter.late_shares = late_shares;
-        meter.known.take();
+        meter.cache.take();
     }
 
     /// Returns the share of requests that replicas of each speed class serve late although
@@ -130,8 +130,8 @@
         if view.work.is_none() {
             return shares;
         }
-        let turn = self.models_in_turn(engine);
-        for model in engine.model_order.iter().skip(turn.start).take(turn.len()) {
+        let round = self.models_of_round(engine);
+        for model in engine.model_order.iter().skip(round.start).take(round.len()) {
             let Some(replica) = view.only_holder_with_free_capacity(model) else {
                 continue;
             };
@@ -151,14 +151,14 @@
     fn running_work(&self, service: &ServiceName, now: Moment) -> Option<f64> {
         let of_service = |(_, replica): &(_, &TrackedReplica)| replica.service == *service;
         let running = |(_, replica): (_, &TrackedReplica)| {
-            let told = replica.capacity.newest();
-            let (load, _) = told.filter(|(_, at)| now.since(*at) <= LOAD_HOLDS)?;
+            let newest = replica.capacity.newest();
+            let (load, _) = newest.filter(|(_, at)| now.since(*at) <= MAX_LOAD_AGE)?;
             // The request whose answer reports the load is included in it.
-            let met = load.running.saturating_sub(1);
-            Some(f64::from(met) * replica.capacity.lasting_speed())
+            let other_requests = load.running.saturating_sub(1);
+            Some(f64::from(other_requests) * replica.capacity.lasting_speed())
         };
-        let told = self.replicas.iter().filter(of_service).filter_map(running);
-        told.fold(None, |sum, running| Some(sum.unwrap_or(0.0) + running))
+        let running = self.replicas.iter().filter(of_service).filter_map(running);
+        running.fold(None, |sum, running| Some(sum.unwrap_or(0.0) + running))
     }
 
     /// Returns the models that are considered for one more holder in this round: all busy
@@ -168,18 +168,18 @@
         engine: &'e EngineSpec,
         view: &ServicePlacement<'_>,
     ) -> Vec<&'e ModelName> {
-        let turn = self.models_in_turn(engine);
+        let round = self.models_of_round(engine);
         let is_busy = |model: &ModelName| view.is_busy(model);
-        let others = engine.model_order.iter().enumerate();
-        let others = others.filter(|(index, model)| turn.contains(index) || is_busy(model));
-        others.map(|(_, model)| model).collect()
+        let considered = engine.model_order.iter().enumerate();
+        let considered = considered.filter(|(index, model)| round.contains(index) || is_busy(model));
+        considered.map(|(_, model)| model).collect()
     }
 
     /// Returns the models of this round, as indices in the order of the configuration.
-    fn models_in_turn(&self, engine: &EngineSpec) -> std::ops::Range<usize> {
-        let turns = engine.model_order.len().div_ceil(MODELS_IN_TURN).max(1);
-        let first = self.balance_rounds % turns * MODELS_IN_TURN;
-        first..first + MODELS_IN_TURN
+    fn models_of_round(&self, engine: &EngineSpec) -> std::ops::Range<usize> {
+        let rounds = engine.model_order.len().div_ceil(MODELS_PER_ROUND).max(1);
+        let first = self.balance_rounds % rounds * MODELS_PER_ROUND;
+        first..first + MODELS_PER_ROUND
     }
 
     /// Returns the number of slots that the first known replica of the service lists.
@@ -208,12 +208,12 @@
         let meter = self.work.get(service)?;
         let per_token_s = meter.per_token_s?;
         let holder_changes = self.replicas.fleet(service).holder_changes();
-        let mut known = meter.known.borrow_mut();
-        if let Some((_, work)) = known.as_ref().filter(|(at, _)| *at == holder_changes) {
+        let mut cache = meter.cache.borrow_mut();
+        if let Some((_, work)) = cache.as_ref().filter(|(at, _)| *at == holder_changes) {
             return Some(Rc::clone(work));
         }
         let work = Rc::new(ServiceWork::new(per_token_s, meter.late_shares.clone()));
-        *known = Some((holder_changes, Rc::clone(&work)));
+        *cache = Some((holder_changes, Rc::clone(&work)));
         Some(work)
     }
 }
