--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -3,7 +3,7 @@
 //! [`goals`] selects what replicas load and evict, [`adapters`] places adapters,
 //! [`store_loads`] limits loads from the weight store, [`reports`] selects the replicas to
 //! request reports from, [`work`] measures the work at the replicas, [`incarnation`] handles
-//! restarted replicas, and [`telling`] determines what is published to the nodes.
+//! restarted replicas, and [`placement_updates`] determines what is published to the nodes.
 //!
 //! The orderer has no durable state. A new orderer starts with the listed replicas, confirms
 //! each of them by a report, and counts its predecessor's loads as just started.
@@ -11,9 +11,9 @@
 mod adapters;
 mod goals;
 mod incarnation;
+mod placement_updates;
 mod reports;
 mod store_loads;
-mod telling;
 mod work;
 
 use std::collections::{BTreeMap, BTreeSet};
