--- a/crates/croftrill-scheduler/src/orderer/placement_updates.rs
+++ b/crates/croftrill-scheduler/src/orderer/placement_updates.rs
@@ -18,7 +18,7 @@
         let placements: Vec<Placement> = changed.iter().filter_map(|id| self.placement(id, now)).collect();
         placements
             .into_iter()
-            .filter_map(|placement| self.news(placement))
+            .filter_map(|placement| self.record_published(placement))
             .collect()
     }
 
@@ -26,7 +26,7 @@
     /// published before. Copies are included only if they changed: the first ones are in the
     /// replica's listing, and in a message about all replicas they would take more bytes than
     /// everything else.
-    fn news(&mut self, placement: Placement) -> Option<Placement> {
+    fn record_published(&mut self, placement: Placement) -> Option<Placement> {
         let known = self.published.get(&placement.replica);
         if known.is_some_and(|known| placement.is_equivalent_to(known)) {
             return None;
@@ -106,14 +106,14 @@
         }
         _ => {}
     }
-    leave_out_held_copies(&mut usable);
+    remove_redundant_copies(&mut usable);
     usable
 }
 
 /// Removes copies of models that are held, and copies on disk of models that are also in
 /// memory, as they carry no information. Without them an update about one replica takes about
 /// 100 bytes instead of 300, and it goes to each of a few hundred listeners.
-fn leave_out_held_copies(usable: &mut Holdings) {
+fn remove_redundant_copies(usable: &mut Holdings) {
     let held: HashSet<&ModelName> = usable.models.iter().map(|held| &held.model).collect();
     let copies = &mut usable.copies;
     copies.in_memory.retain(|model| !held.contains(model));
--- a/crates/croftrill-scheduler/src/orderer/store_loads.rs
+++ b/crates/croftrill-scheduler/src/orderer/store_loads.rs
@@ -41,8 +41,8 @@
         let ceiling = self.own_ceiling(service, engine);
         let planned = self.planned_store_loads(service);
         let at_store = self.running_store_loads(service) + planned + self.others_store_loads(service);
-        let limit = self.load_concurrency(service, engine);
-        if at_store >= limit.limit() {
+        let concurrency = self.load_concurrency(service, engine);
+        if at_store >= concurrency.limit() {
             self.store_free_since.remove(service);
             return false;
         }
@@ -66,8 +66,8 @@
     /// Returns the limit on concurrent loads of a service.
     fn load_concurrency(&mut self, service: &ServiceName, engine: &EngineSpec) -> &mut LoadConcurrency {
         let usual = || engine.models.values().map(|model| model.store_load).max();
-        let limit = self.load_concurrency.entry(service.clone());
-        limit.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
+        let concurrency = self.load_concurrency.entry(service.clone());
+        concurrency.or_insert_with(|| LoadConcurrency::new(usual().unwrap_or_default()))
     }
 
     /// Returns the number of loads from the weight store that other orderers run or plan, by
