--- a/crates/croftrill-scheduler/src/orderer/goals.rs
+++ b/crates/croftrill-scheduler/src/orderer/goals.rs
@@ -141,8 +141,9 @@
         }
     }
 
-    /// Moves the models that were tried in this round behind the others. Otherwise the
-    /// neediest models, which all replicas with a copy hold already, would block all others.
+    /// Moves the models that were tried in this round behind the others, and marks the first
+    /// ones as tried. Otherwise the neediest models, which all replicas with a copy hold
+    /// already, would block all others.
     fn move_tried_models_last(&mut self, underprovisioned: &mut [(f64, ModelName)]) {
         if underprovisioned
             .iter()
--- a/crates/croftrill-scheduler/src/orderer/mod.rs
+++ b/crates/croftrill-scheduler/src/orderer/mod.rs
@@ -219,7 +219,7 @@
         self.history.continue_own_term(now);
     }
 
-    /// Returns the orders and loads that a successor must take into account. To be called
+    /// Returns the orders and loads that a successor must take into account. Must be called
     /// after the last order of the term.
     pub fn hand_over(&self, now: Moment) -> HandOver {
         let window = self.config.ceiling_window;
