--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -1,4 +1,5 @@
-//! Holders follow the work that models bring, where replicas tell what they can do.
+//! Tests that the number of holders follows the work for each model where replicas report their
+//! capacity.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,18 +15,19 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Time within which callers want a first event.
+/// Objective of the requests: time until the first event.
 const OBJECTIVE: Duration = Duration::from_millis(2500);
-/// Cost of each request, in tokens, and the time that it takes at the usual speed.
+/// Cost of each request in tokens.
 const TOKENS: f64 = 1000.0;
+/// Time that each request takes at a replica of usual speed.
 const TAKES_S: f64 = 1.0;
-/// Requests that a replica runs at once.
+/// Number of requests that a replica runs concurrently.
 const SLOTS: u32 = 24;
-/// Work times of fast, usual and slow replicas, in hundredths of the usual one.
+/// Work times of fast, usual and slow replicas, in percent of the usual one.
 const FAST: u32 = 60;
 const USUAL: u32 = 100;
 const SLOW: u32 = 160;
-/// Time between two accounts of requests and loads.
+/// Interval at which requests are counted and loads are reported.
 const TOLD_EVERY_MS: u64 = 100;
 const MODELS: usize = 30;
 
@@ -37,18 +39,18 @@
     }
 }
 
-/// Replicas of different speeds that take what is asked, and tell their loads.
+/// Replicas of different speeds that serve the requests and report their loads.
 struct Fleet {
     world: World,
-    /// How long work takes at each replica.
+    /// Work time of each replica, in percent of the usual one.
     work_times_pct: Vec<u32>,
-    /// Requests a second.
+    /// Requests per second for each model.
     rates: BTreeMap<&'static str, f64>,
-    /// Requests that were not counted yet.
+    /// Fractions of requests that were not counted yet.
     due: BTreeMap<&'static str, f64>,
-    /// Numbers that vary the times between requests; none for even ones.
+    /// State of the generator that varies the request rate; `None` for an even rate.
     seed: Option<u64>,
-    /// False while no load is told.
+    /// False while replicas report no load.
     tells_loads: bool,
     config: OrdererConfig,
 }
@@ -86,7 +88,7 @@
         }
     }
 
-    /// A number from 0 to 2, of mean 1: requests come in bunches.
+    /// Returns a pseudo-random factor from 0 to 2 of mean 1, so that requests arrive in bursts.
     fn varied(&mut self) -> f64 {
         let Some(seed) = &mut self.seed else { return 1.0 };
         *seed = seed
@@ -119,7 +121,8 @@
         }
     }
 
-    /// Each model's requests are spread over its holders by their speeds.
+    /// Reports the load of each replica. The requests for a model are spread over its holders in
+    /// proportion to their speeds.
     fn tell_loads(&mut self) {
         let speed = |index: &usize| 100.0 / f64::from(self.work_times_pct[*index]);
         let mut running = vec![0.0; self.work_times_pct.len()];
@@ -132,7 +135,7 @@
         }
         for (index, running) in running.into_iter().enumerate() {
             let load = ReplicaLoad {
-                // The request whose answer tells it is there, too.
+                // The request whose answer reports the load is included in it.
                 running: running.round() as u32 + 1,
                 waiting: 0,
                 slots: Some(SLOTS),
@@ -143,7 +146,7 @@
         }
     }
 
-    /// The replicas that hold a model, by their numbers.
+    /// Returns the indices of the replicas that hold a model.
     fn holders(&self, model: &str) -> Vec<usize> {
         let number = |id: &ReplicaId| id[1..].parse().expect("its number");
         let holders = self.world.replicas.iter();
@@ -151,6 +154,7 @@
         holders.map(|(id, _)| number(id)).collect()
     }
 
+    /// Returns the orders to load a model.
     fn loads(&self) -> Vec<(Moment, ReplicaId, Order)> {
         let orders = self.world.orders.iter();
         let loads = orders.filter(|(.., order)| matches!(order, Order::LoadModel(_)));
@@ -158,8 +162,8 @@
     }
 }
 
-/// A model had one holder the whole day for 667 requests: its holders followed late
-/// requests alone, and were counted as equal.
+/// Guards against holders that follow only late requests and count as equally fast: a model with
+/// 667 requests had one holder all the time.
 #[test]
 fn model_that_becomes_busy_gains_holders_before_it_is_late() {
     let mut fleet = Fleet::new(&[
@@ -174,17 +178,17 @@
     fleet.run(8000);
     assert_eq!(fleet.holders("m1").len(), 1);
     fleet.ask("m1", 30.0);
-    // What comes beyond the first holder's slots is late after the objective.
+    // Requests beyond the first holder's slots are late once the objective has passed.
     let filled_ms = 1000 * u64::from(SLOTS) / 30;
     fleet.run(filled_ms + OBJECTIVE.as_millis() as u64);
     assert!(fleet.holders("m1").len() >= 2, "orders: {:?}", fleet.world.orders);
-    // Its work fills more than two, without any that was late.
+    // Its work fills more than two holders, although no late request was counted.
     fleet.run(OBJECTIVE.as_millis() as u64);
     assert!(fleet.holders("m1").len() >= 3, "orders: {:?}", fleet.world.orders);
 }
 
-/// Loads are told no more, as after replicas went back to a build that tells none: a busy
-/// model must not seem to need one holder for that, beside rare ones that want its places.
+/// If replicas stop reporting loads, as after a rollback to a build that reports none, a busy
+/// model must not seem to need only one holder while rare models compete for its replicas.
 #[test]
 fn holders_of_a_busy_model_stay_while_no_load_is_told() {
     let mut fleet = Fleet::new(&[
@@ -206,7 +210,8 @@
     assert_eq!(fleet.holders("m1").len(), 3, "orders: {:?}", fleet.world.orders);
 }
 
-/// Two models were asked alike, and had one holder and ten.
+/// Guards against surplus holders that remain: two models with the same demand had one holder and
+/// ten holders.
 #[test]
 fn ten_holders_of_a_quiet_model_are_given_back() {
     const RARE: [&str; 20] = [
@@ -234,8 +239,8 @@
     }
 }
 
-/// Ten slow replicas of sixty served two thirds of all that was late: busy models were
-/// there as often as elsewhere.
+/// Guards against busy models on slow replicas: ten slow replicas of sixty served two thirds of
+/// all late requests, as busy models were there as often as elsewhere.
 #[test]
 fn slow_replicas_take_rare_models() {
     let mut fleet = Fleet::new(&[
@@ -246,7 +251,7 @@
     ]);
     fleet.ask("m1", 16.0);
     for model in ["m2", "m4", "m5", "m7", "m8", "m10", "m11"] {
-        // More than a spare holder of the busy one counts for.
+        // This is more than the value of a spare holder of the busy model.
         fleet.ask(model, 1.0);
     }
     fleet.run(15_000);
@@ -261,7 +266,7 @@
     }
 }
 
-/// A load takes a place from another model: it pays over the horizon or not at all.
+/// A load evicts another model, so it must pay off over the horizon.
 #[test]
 fn places_change_no_faster_than_loads_pay() {
     let mut fleet = Fleet::new(&[
@@ -307,7 +312,7 @@
     }
 }
 
-/// Elsewhere nothing changes: where replicas tell no work time, holders follow what is late.
+/// Where replicas report no work time, holders follow late requests instead of the work.
 #[test]
 fn holders_follow_late_requests_where_replicas_tell_no_work_time() {
     let mut fleet = Fleet::new(&[(USUAL, &["m1", "m2"]), (USUAL, &["m3", "m4"])]);
@@ -328,19 +333,19 @@
     }
 }
 
-/// Two orderers at one fleet, each with what it was told; a replica of each one's shard.
+/// Two orderers of one fleet, each with its own knowledge of it, and one replica per shard.
 struct TwoOrderers {
     worlds: [World; 2],
     ids: [ReplicaId; 2],
     tables: [ReplicaTable; 2],
-    /// What each changed, on its way to the other.
+    /// Placements that each orderer published and the other has not received yet.
     on_the_way: VecDeque<[Vec<Placement>; 2]>,
-    /// Steps that it takes besides the first.
+    /// Number of steps by which they are delayed.
     late_steps: usize,
 }
 
 impl TwoOrderers {
-    /// Both replicas hold a shared model, and one each that is asked for more.
+    /// Creates two replicas that both hold the shared model, and each one of the others.
     fn new(shared: &str, others: [&str; 2]) -> Self {
         let first = Shard::of_replica("r0");
         let second = (1..)
@@ -390,7 +395,8 @@
         }
     }
 
-    /// Runs one step; what each orderer changed reaches the other a step later, or some more.
+    /// Runs one step. Published placements reach the other orderer at the end of the step, or
+    /// `late_steps` steps later.
     fn step(&mut self) {
         let told = [0, 1].map(|place: usize| {
             let world = &mut self.worlds[place];
@@ -415,7 +421,7 @@
         }
     }
 
-    /// Replicas that hold a model.
+    /// Returns the number of replicas that hold a model.
     fn holders(&self, model: &str) -> usize {
         let held = |place: &usize| {
             self.worlds[*place].replicas[&self.ids[*place]]
@@ -426,8 +432,9 @@
     }
 }
 
-/// Two orderers with a shared model, told different work times, each asked for another model
-/// that is worth less; answers the first step at which nobody holds the shared one.
+/// Runs two orderers that hold a shared model, know different work times, and each get requests
+/// for another model that is worth less. Returns the first step at which no replica holds the
+/// shared model.
 fn first_step_without_holder(
     both: &mut TwoOrderers,
     work_times: [[u32; 2]; 2],
@@ -479,8 +486,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Which of several holders is spare goes by their speeds, and each orderer may have been
-    /// told others: still no two drop both, where neither goal is worth the model.
+    /// Two orderers may know different speeds of the holders and so disagree on which one is
+    /// spare. They must not evict both while neither goal is worth more than the model.
     #[test]
     fn no_two_orderers_drop_both_holders(
         work_times in prop::array::uniform2(prop::array::uniform2(prop::sample::select(vec![FAST, USUAL, SLOW]))),
@@ -492,8 +499,8 @@
         prop_assert_eq!(without, None);
     }
 
-    /// Guards against a model without a holder, where each orderer withdrew one of its last
-    /// two before it heard of the other's withdrawal.
+    /// Guards against the loss of both holders where each orderer withdraws one of them before
+    /// it knows of the other's withdrawal.
     #[test]
     fn no_two_orderers_drop_both_holders_as_news_are_late(
         work_times in prop::array::uniform2(prop::array::uniform2(prop::sample::select(vec![FAST, USUAL, SLOW]))),
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -1,4 +1,4 @@
-//! The orderer against replicas that lose answers and carry orders out late.
+//! Tests of the orderer with simulated replicas that lose answers or execute orders late.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,12 +61,13 @@
     assert!(holder.serves("m2", Some("a1")), "orders: {:?}", world.orders);
 }
 
-/// With many waiting models a plan took most of a small machine's processor time.
+/// Guards against plans that select targets for all waiting models at once, which took most of
+/// a small machine's processor time.
 #[test]
 fn plan_chooses_places_for_a_few_waiting_models_at_a_time() {
     let held: Vec<&[&str]> = vec![&[]; 12];
     let mut world = World::new(40, &held);
-    // From their disks, as the weight store has a bound of its own.
+    // The models are on the disks, as loads from the weight store are limited separately.
     for replica in world.replicas.values_mut() {
         replica.holdings.copies.on_disk = (1..=12).map(|index| format!("m{index}").into()).collect();
     }
@@ -88,8 +89,8 @@
     assert_eq!(counts.iter().sum::<usize>(), 12, "{counts:?}");
 }
 
-/// A third of a small ceiling is less than one load: split evenly, a shard could
-/// never load anything from the weight store.
+/// Guards against a ceiling that is split evenly between the shards: a third of a small one is
+/// less than one load, so that a shard never loads anything from the weight store.
 #[test]
 fn ceiling_of_a_shard_goes_by_its_part_of_the_replicas() {
     let config = OrdererConfig {
@@ -104,12 +105,12 @@
     assert!(holds(&world, "m5"), "orders: {:?}", world.orders);
 }
 
-/// A victim was dropped, and its place then stood empty until the ceiling let the
-/// next load begin.
+/// Guards against goals beyond what the weight store can serve: their victims are unloaded, and
+/// the memory stays empty until the ceiling admits the next load.
 #[test]
 fn no_more_goals_than_the_weight_store_can_serve() {
     let held: Vec<&[&str]> = vec![&["m1", "m2"]; 9];
-    // All orderers together begin with two loads of 12 s at once.
+    // The initial limit for all orderers together is two concurrent loads of 12 s.
     let configuration = with_store_load(40, Duration::from_secs(12));
     let mut world = World::with(configuration, orderer_config(), &held);
     world.run(6000);
@@ -126,8 +127,9 @@
     assert!(unloads.count() <= 2, "orders: {:?}", world.orders);
 }
 
-/// The weight store serves one load of 13 s at full speed; three orderers that began
-/// two each had all six take 79 s, longer than anybody asked for the models.
+/// Guards against orderers that ignore each other's loads: the weight store serves one load of
+/// 13 s at full speed. With two loads by each of three orderers all six took 79 s, longer than
+/// requests for the models kept arriving.
 #[test]
 fn loads_of_other_orderers_count_at_the_weight_store() {
     let own = Shard::of_replica("r0");
@@ -165,7 +167,7 @@
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(2000);
     assert!(world.orders.is_empty(), "orders: {:?}", world.orders);
-    // The other load is done.
+    // The other orderer's load is done.
     tell(&mut table, Vec::new());
     world.orderer.apply_entry(&entry(&table), world.now);
     world.orderer.mark_waiting(&key("m5", None), world.now);
@@ -173,7 +175,7 @@
     assert_eq!(world.orders.len(), 1, "orders: {:?}", world.orders);
 }
 
-/// The usual configuration with another time of loads from the weight store.
+/// Returns the usual configuration with the given duration of loads from the weight store.
 fn with_store_load(models: usize, store_load: Duration) -> Arc<Configuration> {
     let usual = configuration(models);
     let mut service = Service::clone(usual.service("llm").expect("the service exists"));
@@ -186,8 +188,8 @@
     Arc::new(Configuration::new(1, limits, vec![service], Vec::new()))
 }
 
-/// Loads that take about as long as reports lag seemed slowed down, so that one
-/// at a time was the most that was ever planned.
+/// Guards against short loads that count as slowed down: if a load takes about as long as
+/// reports lag, it seems slow, and only one load at a time was planned.
 #[test]
 fn short_loads_are_not_taken_for_slow_ones() {
     let configuration = with_store_load(40, Duration::from_millis(250));
@@ -207,9 +209,9 @@
     );
 }
 
-/// Nodes learn of holdings from placements alone. Replicas that the orderer knew
-/// from listings only were never told: a seventh of the requests of a calm day
-/// were refused as their models seemed absent.
+/// Guards against listed holdings that are never published. Nodes learn of holdings only from
+/// placements, so a seventh of the requests at low load were refused as their models seemed
+/// absent.
 #[test]
 fn listed_holdings_are_told_as_placements() {
     let mut world = World::new(4, &[&["m1"], &["m2"]]);
@@ -223,8 +225,8 @@
     assert!(world.orderer.take_changes(now).is_empty());
 }
 
-/// Every replica's copies of all that it holds went to every listener: at 3,000 replicas
-/// and 300 nodes the busiest node sent 5.5 MB a second, and configurations came late.
+/// Guards against publishing the copies of held models to every listener: with 3,000 replicas
+/// and 300 nodes the busiest node sent 5.5 MB per second, and configurations arrived late.
 #[test]
 fn copies_are_told_only_of_what_is_not_held() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
@@ -237,7 +239,7 @@
     let copies = &told[0].usable.copies;
     assert_eq!(copies.in_memory, ["m3".into()]);
     assert_eq!(copies.on_disk, ["m4".into()]);
-    // Nor are any told of that did not change.
+    // Copies that did not change are not published either.
     let first = world.orderer.take_changes(world.now);
     assert!(
         first.iter().all(|placement| !placement.includes_copies),
@@ -252,8 +254,9 @@
     );
 }
 
-/// A model loaded for one waiting request was dropped on arrival, as it had the
-/// least demand of all: loaded at 9.2 s, dropped at 11.5 s, loaded elsewhere.
+/// Guards against the eviction of a model right after its load: loaded for one waiting request,
+/// it has the least demand of all, and was loaded at 9.2 s, unloaded at 11.5 s and loaded
+/// elsewhere again.
 #[test]
 fn a_model_that_was_just_loaded_does_not_make_way() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
@@ -270,13 +273,13 @@
     world.run(1000);
     assert!(
         holds(&world, "m4"),
-        "the fresh model stays; orders: {:?}",
+        "the recently loaded model stays; orders: {:?}",
         world.orders
     );
 }
 
-/// Rare models went round: each request for an absent one dropped another of the
-/// same demand, whose next request dropped a third.
+/// Guards against rare models that evict each other in a cycle: each request for an absent one
+/// evicted another of the same demand, whose next request evicted a third.
 #[test]
 fn a_waiting_model_drops_no_model_with_more_to_lose() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
@@ -303,8 +306,8 @@
     );
 }
 
-/// The adapter that made way was the one just brought: nobody had asked for it
-/// again yet.
+/// Guards against the eviction of an adapter right after its load, when no further request for
+/// it has arrived yet.
 #[test]
 fn an_adapter_that_was_just_brought_does_not_make_way() {
     let mut world = World::new(4, &[&["m1"]]);
@@ -322,12 +325,12 @@
     assert!(held.serves("m1", Some("a3")), "orders: {:?}", world.orders);
     assert!(
         !held.serves("m1", Some("a1")),
-        "the one not asked for longest goes"
+        "the least recently requested adapter is evicted"
     );
 }
 
-/// Replicas with a goal took no adapter orders, so an adapter of a model with
-/// one holder waited for as long as goals followed each other there.
+/// Guards against replicas that get no adapter orders while they have a goal: an adapter of a
+/// model with one holder waited for as long as one goal followed another there.
 #[test]
 fn adapters_go_before_weights_orders() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
@@ -372,8 +375,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever answers are lost and whenever orders are carried out: no replica
-    /// is told to hold more than fits, and the weight store's ceiling is kept.
+    /// Whichever answers are lost and whenever orders are executed, no replica is ordered to
+    /// hold more than fits, and the weight store's ceiling is not exceeded.
     #[test]
     fn limits_hold_whatever_happens_to_orders(
         fates in prop::collection::vec(fate(), 0..60),
@@ -401,8 +404,8 @@
     }
 }
 
-/// The former's loads counted as just begun when the first load was wished for,
-/// not when the orderer took over: 5 s more without a load from the weight store.
+/// Guards against a predecessor's loads that count as started at the first requested load
+/// instead of the takeover, which allowed no load from the weight store for 5 s more.
 #[test]
 fn the_formers_loads_count_from_the_takeover() {
     let mut world = World::new(12, &[&[], &[]]);
@@ -425,12 +428,12 @@
     world.run(4500);
     assert!(
         world.store_loads.is_empty(),
-        "within the window the former's loads count"
+        "the predecessor's loads count within the window"
     );
     assert_eq!(most_in_window(&world.store_loads, Duration::from_secs(5)), 0);
 }
 
-/// A replica told its orderer's node that it leaves; its entry says so much later.
+/// A replica reports to its orderer's node that it is leaving, long before its entry does.
 #[test]
 fn known_replica_that_leaves_by_its_own_word_gets_no_load() {
     let mut world = World::new(6, &[&["m1"], &["m2"]]);
@@ -460,7 +463,7 @@
     );
 }
 
-/// The orderer's node heard from replicas that they take only so many calls.
+/// Applies signals by which the replicas limit the calls that they take.
 fn hear_limits(world: &mut World, ids: &[&str]) {
     let mut table = ReplicaTable::new();
     for id in ids {
@@ -481,7 +484,7 @@
     }
 }
 
-/// Orders and questions for reports count at a replica in need as its callers' requests do.
+/// A replica that limits calls counts orders and report requests like its callers' requests.
 #[test]
 fn known_replica_in_need_gets_a_load_only_where_no_other_place_is() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
@@ -499,7 +502,7 @@
     world.run(4000);
     assert!(
         holds(&world, "m6"),
-        "the need of all ends no load: {:?}",
+        "models are loaded even if all replicas limit calls: {:?}",
         world.orders
     );
 }
@@ -522,8 +525,8 @@
     assert!(holds(&world, "m4"), "orders: {:?}", world.orders);
 }
 
-/// A replica started again while its entry stood: its reports tell fewer orders than it
-/// had taken before, and were passed over for good.
+/// Guards against a replica that restarts while its entry remains: its reports show a lower
+/// order sequence than before, and were ignored forever.
 #[test]
 fn a_replica_that_started_again_is_ordered_at_again() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
@@ -543,7 +546,8 @@
     }
 }
 
-/// An order's answer came after its replica had started again, and counted for it.
+/// Guards against an answer of an earlier incarnation that arrives after the restart and counts
+/// for the new one.
 #[test]
 fn order_answered_by_an_earlier_incarnation_changes_nothing() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
