--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_model_that_is_waited_for_is_loaded() {
+fn plan_loads_waiting_model() {
     let mut world = World::new(8, &[&["m1", "m2"], &["m1", "m4"]]);
     world.run(6000);
     world
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_adapter_that_is_waited_for_is_loaded_on_a_holder_of_its_model() {
+fn plan_loads_waiting_adapter_on_holder_of_its_model() {
     let mut world = World::new(4, &[&["m1"], &["m2"]]);
     world.run(1000);
     world.orderer.mark_waiting(&key("m2", Some("a1")), world.now);
@@ -64,7 +64,7 @@
 /// Guards against plans that select targets for all waiting models at once, which took most of
 /// a small machine's processor time.
 #[test]
-fn plan_chooses_places_for_a_few_waiting_models_at_a_time() {
+fn plan_selects_targets_for_few_waiting_models_at_a_time() {
     let held: Vec<&[&str]> = vec![&[]; 12];
     let mut world = World::new(40, &held);
     // The models are on the disks, as loads from the weight store are limited separately.
@@ -92,7 +92,7 @@
 /// Guards against a ceiling that is split evenly between the shards: a third of a small one is
 /// less than one load, so that a shard never loads anything from the weight store.
 #[test]
-fn ceiling_of_a_shard_goes_by_its_part_of_the_replicas() {
+fn own_ceiling_follows_share_of_replicas() {
     let config = OrdererConfig {
         scope: OrderScope::One(Shard::of_replica("r0")),
         ceiling_window: Duration::from_secs(1),
@@ -108,7 +108,7 @@
 /// Guards against goals beyond what the weight store can serve: their victims are unloaded, and
 /// the memory stays empty until the ceiling admits the next load.
 #[test]
-fn no_more_goals_than_the_weight_store_can_serve() {
+fn plan_sets_no_more_goals_than_weight_store_can_serve() {
     let held: Vec<&[&str]> = vec![&["m1", "m2"]; 9];
     // The initial limit for all orderers together is two concurrent loads of 12 s.
     let configuration = with_store_load(40, Duration::from_secs(12));
@@ -131,7 +131,7 @@
 /// 13 s at full speed. With two loads by each of three orderers all six took 79 s, longer than
 /// requests for the models kept arriving.
 #[test]
-fn loads_of_other_orderers_count_at_the_weight_store() {
+fn plan_counts_store_loads_of_other_orderers() {
     let own = Shard::of_replica("r0");
     let other = (1..).map(|index| format!("x{index}"));
     let other = other
@@ -148,7 +148,7 @@
     world.run(6000);
     let mut table = ReplicaTable::new();
     table.apply_listing(listing(&other.as_str().into(), &Holdings::default()));
-    let tell = |table: &mut ReplicaTable, arriving: Vec<Arrival>| {
+    let publish = |table: &mut ReplicaTable, arriving: Vec<Arrival>| {
         table.apply_placement(Placement {
             replica: other.as_str().into(),
             started_ms: None,
@@ -161,14 +161,14 @@
         model: "m9".into(),
         ready_at: world.now + load,
     };
-    tell(&mut table, vec![arrival]);
+    publish(&mut table, vec![arrival]);
     let entry = |table: &ReplicaTable| table.get(&other).expect("listed").clone();
     world.orderer.apply_entry(&entry(&table), world.now);
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(2000);
     assert!(world.orders.is_empty(), "orders: {:?}", world.orders);
     // The other orderer's load is done.
-    tell(&mut table, Vec::new());
+    publish(&mut table, Vec::new());
     world.orderer.apply_entry(&entry(&table), world.now);
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(2000);
@@ -191,7 +191,7 @@
 /// Guards against short loads that count as slowed down: if a load takes about as long as
 /// reports lag, it seems slow, and only one load at a time was planned.
 #[test]
-fn short_loads_are_not_taken_for_slow_ones() {
+fn plan_does_not_treat_short_store_loads_as_slow() {
     let configuration = with_store_load(40, Duration::from_millis(250));
     let held: Vec<&[&str]> = vec![&[]; 12];
     let mut world = World::with(configuration, orderer_config(), &held);
@@ -213,30 +213,34 @@
 /// placements, so a seventh of the requests at low load were refused as their models seemed
 /// absent.
 #[test]
-fn listed_holdings_are_told_as_placements() {
+fn take_changes_includes_listed_holdings() {
     let mut world = World::new(4, &[&["m1"], &["m2"]]);
     let now = world.now;
-    let told = world.orderer.take_changes(now);
-    let tells = |replica: &str, model: &str| {
-        told.iter()
+    let published = world.orderer.take_changes(now);
+    let contains = |replica: &str, model: &str| {
+        published
+            .iter()
             .any(|placement| &*placement.replica == replica && placement.usable.serves(model, None))
     };
-    assert!(tells("r0", "m1") && tells("r1", "m2"), "told: {told:?}");
+    assert!(
+        contains("r0", "m1") && contains("r1", "m2"),
+        "told: {published:?}"
+    );
     assert!(world.orderer.take_changes(now).is_empty());
 }
 
 /// Guards against publishing the copies of held models to every listener: with 3,000 replicas
 /// and 300 nodes the busiest node sent 5.5 MB per second, and configurations arrived late.
 #[test]
-fn copies_are_told_only_of_what_is_not_held() {
+fn all_placements_omits_copies_of_held_models() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
     for replica in world.replicas.values_mut() {
         replica.holdings.copies.in_memory = vec!["m1".into(), "m3".into()];
         replica.holdings.copies.on_disk = vec!["m1".into(), "m2".into(), "m3".into(), "m4".into()];
     }
     world.run(6000);
-    let told = world.orderer.all_placements(world.now);
-    let copies = &told[0].usable.copies;
+    let published = world.orderer.all_placements(world.now);
+    let copies = &published[0].usable.copies;
     assert_eq!(copies.in_memory, ["m3".into()]);
     assert_eq!(copies.on_disk, ["m4".into()]);
     // Copies that did not change are not published either.
@@ -258,7 +262,7 @@
 /// it has the least demand of all, and was loaded at 9.2 s, unloaded at 11.5 s and loaded
 /// elsewhere again.
 #[test]
-fn a_model_that_was_just_loaded_does_not_make_way() {
+fn plan_does_not_evict_recently_loaded_model() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
     world.run(6000);
     for model in ["m1", "m2"] {
@@ -281,7 +285,7 @@
 /// Guards against rare models that evict each other in a cycle: each request for an absent one
 /// evicted another of the same demand, whose next request evicted a third.
 #[test]
-fn a_waiting_model_drops_no_model_with_more_to_lose() {
+fn plan_does_not_evict_more_valuable_models() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
     world.run(6000);
     for _ in 0..10 {
@@ -309,15 +313,15 @@
 /// Guards against the eviction of an adapter right after its load, when no further request for
 /// it has arrived yet.
 #[test]
-fn an_adapter_that_was_just_brought_does_not_make_way() {
+fn plan_does_not_evict_recently_loaded_adapter() {
     let mut world = World::new(4, &[&["m1"]]);
     world.run(1000);
     for adapter in ["a1", "a2", "a3", "a4"] {
-        let wanted = key("m1", Some(adapter));
+        let requested = key("m1", Some(adapter));
         world
             .orderer
-            .count_demand(&wanted, &asked(1.0, 1000.0), world.now);
-        world.orderer.mark_waiting(&wanted, world.now);
+            .count_demand(&requested, &asked(1.0, 1000.0), world.now);
+        world.orderer.mark_waiting(&requested, world.now);
         world.run(200);
     }
     let held = &world.replicas["r0"].holdings;
@@ -332,7 +336,7 @@
 /// Guards against replicas that get no adapter orders while they have a goal: an adapter of a
 /// model with one holder waited for as long as one goal followed another there.
 #[test]
-fn adapters_go_before_weights_orders() {
+fn plan_orders_adapters_before_weights() {
     let mut world = World::new(8, &[&["m1", "m2"]]);
     world.run(6000);
     world.orderer.mark_waiting(&key("m4", None), world.now);
@@ -343,7 +347,7 @@
 }
 
 #[test]
-fn a_draining_replica_gets_no_load() {
+fn plan_sends_no_load_to_draining_replica() {
     let mut world = World::new(6, &[&["m1"], &["m2"]]);
     world.run(6000);
     let id = "r0".into();
@@ -378,14 +382,14 @@
     /// Whichever answers are lost and whenever orders are executed, no replica is ordered to
     /// hold more than fits, and the weight store's ceiling is not exceeded.
     #[test]
-    fn limits_hold_whatever_happens_to_orders(
+    fn plan_respects_limits_whatever_happens_to_orders(
         fates in prop::collection::vec(fate(), 0..60),
-        wishes in prop::collection::vec((0usize..14, 0usize..5, 20u64..900), 1..50),
+        requests in prop::collection::vec((0usize..14, 0usize..5, 20u64..900), 1..50),
     ) {
         let mut world = World::new(14, &[&["m1", "m2"], &["m3", "m4"], &["m0", "m6", "m9"]]);
         world.fates = fates.into();
         world.run(500);
-        for (model, adapter, pause) in wishes {
+        for (model, adapter, pause) in requests {
             let model = format!("m{model}");
             let adapter = (adapter > 0).then(|| format!("a{adapter}"));
             let requested = key(&model, adapter.as_deref());
@@ -407,7 +411,7 @@
 /// Guards against a predecessor's loads that count as started at the first requested load
 /// instead of the takeover, which allowed no load from the weight store for 5 s more.
 #[test]
-fn the_formers_loads_count_from_the_takeover() {
+fn new_counts_predecessor_loads_from_takeover() {
     let mut world = World::new(12, &[&[], &[]]);
     world.may_order = false;
     world.run(4000);
@@ -418,7 +422,7 @@
 }
 
 #[test]
-fn the_first_loads_of_an_orderer_count_the_formers() {
+fn new_counts_predecessor_loads_towards_ceiling() {
     let mut world = World::new(12, &[&[], &[], &[], &[]]);
     for model in 0..12 {
         world
@@ -435,7 +439,7 @@
 
 /// A replica reports to its orderer's node that it is leaving, long before its entry does.
 #[test]
-fn known_replica_that_leaves_by_its_own_word_gets_no_load() {
+fn apply_entry_of_leaving_replica_prevents_loads() {
     let mut world = World::new(6, &[&["m1"], &["m2"]]);
     world.run(6000);
     let id: ReplicaId = "r0".into();
@@ -464,7 +468,7 @@
 }
 
 /// Applies signals by which the replicas limit the calls that they take.
-fn hear_limits(world: &mut World, ids: &[&str]) {
+fn apply_limits(world: &mut World, ids: &[&str]) {
     let mut table = ReplicaTable::new();
     for id in ids {
         let id: ReplicaId = (*id).into();
@@ -474,11 +478,11 @@
             sent_at: world.now,
             answered_at: world.now,
         };
-        let word = ReplicaSignals {
+        let signals = ReplicaSignals {
             limit: LimitSignal::Limited(RequestRate::from_millis_per_s(1000)),
             ..ReplicaSignals::default()
         };
-        assert!(table.apply_signals(&id, call, word).limit);
+        assert!(table.apply_signals(&id, call, signals).limit);
         let entry = table.get(&id).expect("it is listed").clone();
         world.orderer.apply_entry(&entry, world.now);
     }
@@ -486,10 +490,10 @@
 
 /// A replica that limits calls counts orders and report requests like its callers' requests.
 #[test]
-fn known_replica_in_need_gets_a_load_only_where_no_other_place_is() {
+fn apply_entry_of_limited_replica_makes_it_last_choice() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
     world.run(6000);
-    hear_limits(&mut world, &["r0"]);
+    apply_limits(&mut world, &["r0"]);
     for model in ["m4", "m5"] {
         world.orderer.mark_waiting(&key(model, None), world.now);
         world.run(4000);
@@ -497,7 +501,7 @@
     assert!(!world.orders.is_empty());
     let elsewhere = |(_, replica, _): &(_, ReplicaId, _)| &**replica == "r1";
     assert!(world.orders.iter().all(elsewhere), "{:?}", world.orders);
-    hear_limits(&mut world, &["r1"]);
+    apply_limits(&mut world, &["r1"]);
     world.orderer.mark_waiting(&key("m6", None), world.now);
     world.run(4000);
     assert!(
@@ -508,10 +512,10 @@
 }
 
 #[test]
-fn plan_sends_nothing_to_a_replica_whose_calls_pause() {
+fn plan_sends_nothing_to_paused_replica() {
     let mut world = World::new(8, &[&["m1"]]);
     world.run(6000);
-    hear_limits(&mut world, &["r0"]);
+    apply_limits(&mut world, &["r0"]);
     world.orderer.pause_calls("r0", true);
     world.orderer.mark_waiting(&key("m4", None), world.now);
     for _ in 0..300 {
@@ -528,7 +532,7 @@
 /// Guards against a replica that restarts while its entry remains: its reports show a lower
 /// order sequence than before, and were ignored forever.
 #[test]
-fn a_replica_that_started_again_is_ordered_at_again() {
+fn record_report_of_restarted_replica_resumes_orders() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
     world.run(1000);
     for model in ["m3", "m4"] {
@@ -549,7 +553,7 @@
 /// Guards against an answer of an earlier incarnation that arrives after the restart and counts
 /// for the new one.
 #[test]
-fn order_answered_by_an_earlier_incarnation_changes_nothing() {
+fn record_order_outcome_from_earlier_incarnation_changes_nothing() {
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
     world.run(1000);
     let id: std::sync::Arc<str> = "r0".into();
