--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -20,7 +20,7 @@
 /// Cost of each request in tokens.
 const TOKENS: f64 = 1000.0;
 /// Time that each request takes at a replica of usual speed.
-const TAKES_S: f64 = 1.0;
+const SERVICE_TIME_S: f64 = 1.0;
 /// Number of requests that a replica runs concurrently.
 const SLOTS: u32 = 24;
 /// Work times of fast, usual and slow replicas, in percent of the usual one.
@@ -28,7 +28,7 @@
 const USUAL: u32 = 100;
 const SLOW: u32 = 160;
 /// Interval at which requests are counted and loads are reported.
-const TOLD_EVERY_MS: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 100;
 const MODELS: usize = 30;
 
 fn key(model: &str) -> ModelKey {
@@ -51,7 +51,7 @@
     /// State of the generator that varies the request rate; `None` for an even rate.
     seed: Option<u64>,
     /// False while replicas report no load.
-    tells_loads: bool,
+    reports_loads: bool,
     config: OrdererConfig,
 }
 
@@ -69,27 +69,27 @@
             rates: BTreeMap::new(),
             due: BTreeMap::new(),
             seed: None,
-            tells_loads: true,
+            reports_loads: true,
             config,
         }
     }
 
-    fn ask(&mut self, model: &'static str, per_second: f64) {
+    fn set_rate(&mut self, model: &'static str, per_second: f64) {
         self.rates.insert(model, per_second);
     }
 
     fn run(&mut self, millis: u64) {
-        for _ in 0..millis / TOLD_EVERY_MS {
+        for _ in 0..millis / REPORT_INTERVAL_MS {
             self.count_requests();
-            if self.tells_loads {
-                self.tell_loads();
+            if self.reports_loads {
+                self.report_loads();
             }
-            self.world.run(TOLD_EVERY_MS);
+            self.world.run(REPORT_INTERVAL_MS);
         }
     }
 
     /// Returns a pseudo-random factor from 0 to 2 of mean 1, so that requests arrive in bursts.
-    fn varied(&mut self) -> f64 {
+    fn rate_factor(&mut self) -> f64 {
         let Some(seed) = &mut self.seed else { return 1.0 };
         *seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -99,9 +99,9 @@
 
     fn count_requests(&mut self) {
         for (model, rate) in self.rates.clone() {
-            let varied = self.varied();
+            let rate_factor = self.rate_factor();
             let due = self.due.entry(model).or_default();
-            *due += rate * varied * TOLD_EVERY_MS as f64 / 1000.0;
+            *due += rate * rate_factor * REPORT_INTERVAL_MS as f64 / 1000.0;
             let requests = due.floor();
             *due -= requests;
             if requests == 0.0 {
@@ -123,14 +123,14 @@
 
     /// Reports the load of each replica. The requests for a model are spread over its holders in
     /// proportion to their speeds.
-    fn tell_loads(&mut self) {
+    fn report_loads(&mut self) {
         let speed = |index: &usize| 100.0 / f64::from(self.work_times_pct[*index]);
         let mut running = vec![0.0; self.work_times_pct.len()];
         for (model, rate) in &self.rates {
             let holders = self.holders(model);
             let speeds: f64 = holders.iter().map(speed).sum();
             for holder in &holders {
-                running[*holder] += rate * TAKES_S / speeds;
+                running[*holder] += rate * SERVICE_TIME_S / speeds;
             }
         }
         for (index, running) in running.into_iter().enumerate() {
@@ -165,7 +165,7 @@
 /// Guards against holders that follow only late requests and count as equally fast: a model with
 /// 667 requests had one holder all the time.
 #[test]
-fn model_that_becomes_busy_gains_holders_before_it_is_late() {
+fn plan_adds_holders_of_busy_model_before_requests_are_late() {
     let mut fleet = Fleet::new(&[
         (USUAL, &["m1", "m2"]),
         (USUAL, &["m3", "m4"]),
@@ -173,11 +173,11 @@
         (USUAL, &["m8", "m10"]),
     ]);
     for model in ["m1", "m2", "m3", "m4", "m5", "m7", "m8", "m10"] {
-        fleet.ask(model, 0.3);
+        fleet.set_rate(model, 0.3);
     }
     fleet.run(8000);
     assert_eq!(fleet.holders("m1").len(), 1);
-    fleet.ask("m1", 30.0);
+    fleet.set_rate("m1", 30.0);
     // Requests beyond the first holder's slots are late once the objective has passed.
     let filled_ms = 1000 * u64::from(SLOTS) / 30;
     fleet.run(filled_ms + OBJECTIVE.as_millis() as u64);
@@ -190,21 +190,21 @@
 /// If replicas stop reporting loads, as after a rollback to a build that reports none, a busy
 /// model must not seem to need only one holder while rare models compete for its replicas.
 #[test]
-fn holders_of_a_busy_model_stay_while_no_load_is_told() {
+fn plan_keeps_holders_of_busy_model_without_load_reports() {
     let mut fleet = Fleet::new(&[
         (USUAL, &["m1", "m2"]),
         (USUAL, &["m1", "m3"]),
         (USUAL, &["m1", "m4"]),
     ]);
-    fleet.ask("m1", 30.0);
+    fleet.set_rate("m1", 30.0);
     for model in ["m2", "m3", "m4"] {
-        fleet.ask(model, 0.3);
+        fleet.set_rate(model, 0.3);
     }
     fleet.run(10_000);
     assert_eq!(fleet.holders("m1").len(), 3);
-    fleet.tells_loads = false;
+    fleet.reports_loads = false;
     for model in ["m5", "m7", "m8", "m10", "m11", "m13"] {
-        fleet.ask(model, 0.6);
+        fleet.set_rate(model, 0.6);
     }
     fleet.run(60_000);
     assert_eq!(fleet.holders("m1").len(), 3, "orders: {:?}", fleet.world.orders);
@@ -213,7 +213,7 @@
 /// Guards against surplus holders that remain: two models with the same demand had one holder and
 /// ten holders.
 #[test]
-fn ten_holders_of_a_quiet_model_are_given_back() {
+fn plan_evicts_spare_holders_of_quiet_model() {
     const RARE: [&str; 20] = [
         "m1", "m2", "m4", "m5", "m7", "m8", "m10", "m11", "m13", "m14", "m16", "m17", "m19", "m20", "m22",
         "m23", "m25", "m26", "m28", "m29",
@@ -222,14 +222,14 @@
     let held: Vec<[&str; 3]> = RARE.chunks(2).map(|pair| ["m0", pair[0], pair[1]]).collect();
     let rows: Vec<(u32, &[&str])> = held.iter().map(|models| (USUAL, models.as_slice())).collect();
     let mut fleet = Fleet::new(&rows);
-    fleet.ask("m0", 3.0);
+    fleet.set_rate("m0", 3.0);
     for model in RARE {
-        fleet.ask(model, 0.6);
+        fleet.set_rate(model, 0.6);
     }
     fleet.run(5000);
     assert_eq!(fleet.holders("m0").len(), 10);
     for model in ABSENT {
-        fleet.ask(model, 0.6);
+        fleet.set_rate(model, 0.6);
     }
     fleet.run(10_000);
     let quiet = fleet.holders("m0").len();
@@ -242,17 +242,17 @@
 /// Guards against busy models on slow replicas: ten slow replicas of sixty served two thirds of
 /// all late requests, as busy models were there as often as elsewhere.
 #[test]
-fn slow_replicas_take_rare_models() {
+fn plan_places_rare_models_on_slow_replicas() {
     let mut fleet = Fleet::new(&[
         (FAST, &["m2", "m4"]),
         (FAST, &["m5", "m7"]),
         (SLOW, &["m1", "m8"]),
         (SLOW, &["m10", "m11"]),
     ]);
-    fleet.ask("m1", 16.0);
+    fleet.set_rate("m1", 16.0);
     for model in ["m2", "m4", "m5", "m7", "m8", "m10", "m11"] {
         // This is more than the value of a spare holder of the busy model.
-        fleet.ask(model, 1.0);
+        fleet.set_rate(model, 1.0);
     }
     fleet.run(15_000);
     let busy = fleet.holders("m1");
@@ -268,7 +268,7 @@
 
 /// A load evicts another model, so it must pay off over the horizon.
 #[test]
-fn places_change_no_faster_than_loads_pay() {
+fn plan_loads_no_more_than_pays_off() {
     let mut fleet = Fleet::new(&[
         (FAST, &["m1", "m2"]),
         (USUAL, &["m4", "m5"]),
@@ -279,10 +279,10 @@
     ]);
     fleet.seed = Some(7);
     for model in ["m1", "m4"] {
-        fleet.ask(model, 15.0);
+        fleet.set_rate(model, 15.0);
     }
     for model in ["m2", "m5", "m7", "m8", "m10", "m11", "m13", "m14"] {
-        fleet.ask(model, 0.6);
+        fleet.set_rate(model, 0.6);
     }
     let steady_ms = 60_000;
     fleet.run(10_000);
@@ -314,7 +314,7 @@
 
 /// Where replicas report no work time, holders follow late requests instead of the work.
 #[test]
-fn holders_follow_late_requests_where_replicas_tell_no_work_time() {
+fn work_of_models_is_empty_without_reported_work_time() {
     let mut fleet = Fleet::new(&[(USUAL, &["m1", "m2"]), (USUAL, &["m3", "m4"])]);
     let load = ReplicaLoad {
         running: 20,
@@ -325,7 +325,7 @@
     for step in 0..50 {
         let now = fleet.world.now;
         fleet.world.orderer.record_load("r0", load, now);
-        fleet.world.run(TOLD_EVERY_MS);
+        fleet.world.run(REPORT_INTERVAL_MS);
         assert!(
             fleet.world.orderer.work_of_models(&"llm".into(), now).is_empty(),
             "step {step}"
@@ -339,13 +339,13 @@
     ids: [ReplicaId; 2],
     tables: [ReplicaTable; 2],
     /// Placements that each orderer published and the other has not received yet.
-    on_the_way: VecDeque<[Vec<Placement>; 2]>,
+    in_transit: VecDeque<[Vec<Placement>; 2]>,
     /// Number of steps by which they are delayed.
-    late_steps: usize,
+    delay_steps: usize,
 }
 
 impl TwoOrderers {
-    /// Creates two replicas that both hold the shared model, and each one of the others.
+    /// Creates two replicas that orderers hold the shared model, and each one of the others.
     fn new(shared: &str, others: [&str; 2]) -> Self {
         let first = Shard::of_replica("r0");
         let second = (1..)
@@ -354,15 +354,15 @@
         let numbers = [0, second];
         let rows: Vec<Vec<&str>> = (0..=second)
             .map(|index| match numbers.iter().position(|number| *number == index) {
-                Some(place) => vec![shared, others[place]],
+                Some(index) => vec![shared, others[index]],
                 None => Vec::new(),
             })
             .collect();
         let held: Vec<&[&str]> = rows.iter().map(Vec::as_slice).collect();
         let ids = numbers.map(|number| ReplicaId::from(format!("r{number}")));
-        let worlds = [0, 1].map(|place: usize| {
+        let worlds = [0, 1].map(|index: usize| {
             let config = OrdererConfig {
-                scope: OrderScope::One(Shard::of_replica(&ids[place])),
+                scope: OrderScope::One(Shard::of_replica(&ids[index])),
                 ..orderer_config()
             };
             let mut world = World::with(configuration(MODELS), config, &held);
@@ -379,10 +379,10 @@
             world.orderer.set_reachable(reachable);
             world
         });
-        let tables = [0, 1].map(|place: usize| {
+        let tables = [0, 1].map(|index: usize| {
             let mut table = ReplicaTable::new();
             for id in &ids {
-                table.apply_listing(listing(id, &worlds[place].replicas[id].holdings));
+                table.apply_listing(listing(id, &worlds[index].replicas[id].holdings));
             }
             table
         });
@@ -390,26 +390,26 @@
             worlds,
             ids,
             tables,
-            on_the_way: VecDeque::new(),
-            late_steps: 0,
+            in_transit: VecDeque::new(),
+            delay_steps: 0,
         }
     }
 
     /// Runs one step. Published placements reach the other orderer at the end of the step, or
-    /// `late_steps` steps later.
+    /// `delay_steps` steps later.
     fn step(&mut self) {
-        let told = [0, 1].map(|place: usize| {
-            let world = &mut self.worlds[place];
+        let updates = [0, 1].map(|index: usize| {
+            let world = &mut self.worlds[index];
             world.run(20);
             world.orderer.take_changes(world.now)
         });
-        self.on_the_way.push_back(told);
-        if self.on_the_way.len() <= self.late_steps {
+        self.in_transit.push_back(updates);
+        if self.in_transit.len() <= self.delay_steps {
             return;
         }
-        let told = self.on_the_way.pop_front().expect("just pushed");
-        for (place, placements) in told.into_iter().enumerate() {
-            let other = 1 - place;
+        let updates = self.in_transit.pop_front().expect("just pushed");
+        for (index, placements) in updates.into_iter().enumerate() {
+            let other = 1 - index;
             for placement in placements {
                 let id = placement.replica.clone();
                 self.tables[other].apply_placement(placement);
@@ -423,12 +423,12 @@
 
     /// Returns the number of replicas that hold a model.
     fn holders(&self, model: &str) -> usize {
-        let held = |place: &usize| {
-            self.worlds[*place].replicas[&self.ids[*place]]
+        let held = |index: &usize| {
+            self.worlds[*index].replicas[&self.ids[*index]]
                 .holdings
                 .serves(model, None)
         };
-        [0, 1].iter().filter(|place| held(place)).count()
+        [0, 1].iter().filter(|index| held(index)).count()
     }
 }
 
@@ -436,23 +436,23 @@
 /// for another model that is worth less. Returns the first step at which no replica holds the
 /// shared model.
 fn first_step_without_holder(
-    both: &mut TwoOrderers,
+    orderers: &mut TwoOrderers,
     work_times: [[u32; 2]; 2],
     rate: u32,
     late_steps: u64,
 ) -> Option<u64> {
     let waiting = ["m5", "m7"];
     for step in 0..500u64 {
-        for place in 0..2 {
-            let world = &mut both.worlds[place];
+        for index in 0..2 {
+            let world = &mut orderers.worlds[index];
             let now = world.now;
             if step % 5 == 0 {
-                for (seen, id) in both.ids.iter().enumerate() {
+                for (seen, id) in orderers.ids.iter().enumerate() {
                     let load = ReplicaLoad {
                         running: rate,
                         waiting: 0,
                         slots: Some(SLOTS),
-                        work_time_pct: Some(work_times[place][seen]),
+                        work_time_pct: Some(work_times[index][seen]),
                     };
                     world.orderer.record_load(id, load, now);
                 }
@@ -466,12 +466,12 @@
                     world.orderer.count_demand(&key(model), &asked, now);
                 }
             }
-            if step >= 250 + late_steps * place as u64 {
-                world.orderer.mark_waiting(&key(waiting[place]), now);
+            if step >= 250 + late_steps * index as u64 {
+                world.orderer.mark_waiting(&key(waiting[index]), now);
             }
         }
-        both.step();
-        if both.holders("m1") == 0 {
+        orderers.step();
+        if orderers.holders("m1") == 0 {
             return Some(step);
         }
     }
@@ -487,30 +487,30 @@
     })]
 
     /// Two orderers may know different speeds of the holders and so disagree on which one is
-    /// spare. They must not evict both while neither goal is worth more than the model.
+    /// spare. They must not evict orderers while neither goal is worth more than the model.
     #[test]
-    fn no_two_orderers_drop_both_holders(
+    fn two_orderers_never_evict_both_holders(
         work_times in prop::array::uniform2(prop::array::uniform2(prop::sample::select(vec![FAST, USUAL, SLOW]))),
         rate in 3u32..7,
         late_steps in 0u64..10,
     ) {
-        let mut both = TwoOrderers::new("m1", ["m2", "m4"]);
-        let without = first_step_without_holder(&mut both, work_times, rate, late_steps);
+        let mut orderers = TwoOrderers::new("m1", ["m2", "m4"]);
+        let without = first_step_without_holder(&mut orderers, work_times, rate, late_steps);
         prop_assert_eq!(without, None);
     }
 
-    /// Guards against the loss of both holders where each orderer withdraws one of them before
+    /// Guards against the loss of orderers holders where each orderer withdraws one of them before
     /// it knows of the other's withdrawal.
     #[test]
-    fn no_two_orderers_drop_both_holders_as_news_are_late(
+    fn two_orderers_never_evict_both_holders_with_late_updates(
         work_times in prop::array::uniform2(prop::array::uniform2(prop::sample::select(vec![FAST, USUAL, SLOW]))),
         rate in 3u32..7,
         late_steps in 0u64..25,
-        news_steps in 0usize..12,
+        delay_steps in 0usize..12,
     ) {
-        let mut both = TwoOrderers::new("m1", ["m2", "m4"]);
-        both.late_steps = news_steps;
-        let without = first_step_without_holder(&mut both, work_times, rate, late_steps);
+        let mut orderers = TwoOrderers::new("m1", ["m2", "m4"]);
+        orderers.delay_steps = delay_steps;
+        let without = first_step_without_holder(&mut orderers, work_times, rate, late_steps);
         prop_assert_eq!(without, None);
     }
 }
