--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -345,7 +345,7 @@
 }
 
 impl TwoOrderers {
-    /// Creates two replicas that orderers hold the shared model, and each one of the others.
+    /// Creates two replicas that both hold the shared model, and each one of the others.
     fn new(shared: &str, others: [&str; 2]) -> Self {
         let first = Shard::of_replica("r0");
         let second = (1..)
@@ -487,7 +487,7 @@
     })]
 
     /// Two orderers may know different speeds of the holders and so disagree on which one is
-    /// spare. They must not evict orderers while neither goal is worth more than the model.
+    /// spare. They must not evict both while neither goal is worth more than the model.
     #[test]
     fn two_orderers_never_evict_both_holders(
         work_times in prop::array::uniform2(prop::array::uniform2(prop::sample::select(vec![FAST, USUAL, SLOW]))),
@@ -499,7 +499,7 @@
         prop_assert_eq!(without, None);
     }
 
-    /// Guards against the loss of orderers holders where each orderer withdraws one of them before
+    /// Guards against the loss of both holders where each orderer withdraws one of them before
     /// it knows of the other's withdrawal.
     #[test]
     fn two_orderers_never_evict_both_holders_with_late_updates(
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -224,7 +224,7 @@
     };
     assert!(
         contains("r0", "m1") && contains("r1", "m2"),
-        "told: {published:?}"
+        "published: {published:?}"
     );
     assert!(world.orderer.take_changes(now).is_empty());
 }
