--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -353,7 +353,7 @@
             .expect("a replica of another shard");
         let numbers = [0, second];
         let rows: Vec<Vec<&str>> = (0..=second)
-            .map(|index| match numbers.iter().position(|number| *number == index) {
+            .map(|number| match numbers.iter().position(|other| *other == number) {
                 Some(index) => vec![shared, others[index]],
                 None => Vec::new(),
             })
@@ -366,8 +366,8 @@
                 ..orderer_config()
             };
             let mut world = World::with(configuration(MODELS), config, &held);
-            for index in (0..=second).filter(|index| !numbers.contains(index)) {
-                world.orderer.remove_replica(&format!("r{index}"));
+            for number in (0..=second).filter(|number| !numbers.contains(number)) {
+                world.orderer.remove_replica(&format!("r{number}"));
             }
             for replica in world.replicas.values_mut() {
                 replica.holdings.copies.on_disk =
