--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -432,9 +432,9 @@
     }
 }
 
-/// Runs two orderers that hold a shared model, know different work times, and each get requests
-/// for another model that is worth less. Returns the first step at which no replica holds the
-/// shared model.
+/// Runs two orderers whose replicas hold a shared model. The orderers know different work times,
+/// and each gets requests for another model that is worth less. Returns the first step at which
+/// no replica holds the shared model.
 fn first_step_without_holder(
     orderers: &mut TwoOrderers,
     work_times: [[u32; 2]; 2],
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -204,7 +204,7 @@
     world.run(3000);
     assert!(
         most_in_window(&world.store_loads, Duration::from_millis(200)) >= 3,
-        "loads began at {:?}",
+        "loads started at {:?}",
         world.store_loads
     );
 }
