--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -291,22 +291,22 @@
     let loads = fleet.loads();
     let horizons =
         Duration::from_millis(steady_ms).as_secs_f64() / fleet.config.placement.horizon.as_secs_f64();
-    let places = 2.0 * fleet.work_times_pct.len() as f64;
+    let slots = 2.0 * fleet.work_times_pct.len() as f64;
     let count = loads.len() - before;
-    assert!(count as f64 <= places * horizons, "{count} loads");
+    assert!(count as f64 <= slots * horizons, "{count} loads");
     let residence = fleet.config.placement.min_residence;
     for (at, replica, order) in &loads {
-        let dropped = fleet
+        let unloaded = fleet
             .world
             .orders
             .iter()
-            .find(|(dropped_at, at_replica, dropped)| {
+            .find(|(unloaded_at, at_replica, unloaded)| {
                 at_replica == replica
-                    && dropped_at > at
-                    && matches!(dropped, Order::UnloadModel(model) if model == order.model())
+                    && unloaded_at > at
+                    && matches!(unloaded, Order::UnloadModel(model) if model == order.model())
             });
         assert!(
-            dropped.is_none_or(|(dropped_at, ..)| dropped_at.since(*at) >= residence),
+            unloaded.is_none_or(|(unloaded_at, ..)| unloaded_at.since(*at) >= residence),
             "{order:?} at {replica}"
         );
     }
