--- a/crates/croftrill-node/src/broken_requests.rs
+++ b/crates/croftrill-node/src/broken_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that broke at replicas, until it is known whether these ended.
+//! Requests that broke at replicas that may have ended.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,8 +8,9 @@
 
 use crate::ports::CallerAddress;
 
-/// A request whose answer went on for longer had been running well, and did not end
-/// its replica by beginning: the longest step of an engine under load.
+/// Duration of an answer up to which its request counts as just started: the longest step
+/// of an engine under load. A request that ran for longer did not end its replica by
+/// starting there.
 const BEGINS_WITHIN: Duration = Duration::from_secs(2);
 
 /// A request that broke at a replica.
@@ -17,40 +18,41 @@
 pub struct BrokenRequest {
     /// The caller's id of the attempt.
     pub id: String,
-    /// Identity of its content.
+    /// Hash of the request's content.
     pub fingerprint: Fingerprint,
-    /// Where it came from.
+    /// Address of the caller.
     pub caller: Option<CallerAddress>,
-    /// Time from the head of its answer to the last that came of it; `None` if there
-    /// was no head yet.
+    /// Time from the head of the answer to the last data received; `None` if no head was
+    /// received.
     pub went_on_for: Option<Duration>,
 }
 
 impl BrokenRequest {
-    /// True if it may have ended its replica by beginning there.
+    /// Returns whether the request may have ended its replica by starting there.
     pub fn had_just_begun(&self) -> bool {
         self.went_on_for.is_none_or(|age| age <= BEGINS_WITHIN)
     }
 }
 
-/// Requests that broke, by replica.
+/// Broken requests by replica, until a check shows whether the replica has ended.
 #[derive(Debug, Default)]
 pub struct BrokenRequests(BTreeMap<ReplicaId, Vec<BrokenRequest>>);
 
 impl BrokenRequests {
-    /// Adds one; true if it is the first at its replica, which is to be judged then.
+    /// Adds a request. Returns true if it is the first at its replica, which must then be
+    /// checked.
     pub fn add(&mut self, replica: &ReplicaId, request: BrokenRequest) -> bool {
         let broken = self.0.entry(replica.clone()).or_default();
         broken.push(request);
         broken.len() == 1
     }
 
-    /// True while it is not known whether the replica ended.
+    /// Returns whether the replica's check is pending.
     pub fn is_awaited(&self, replica: &ReplicaId) -> bool {
         self.0.contains_key(replica)
     }
 
-    /// Those of a replica that has been judged.
+    /// Removes and returns the requests of a replica that has been checked.
     pub fn take(&mut self, replica: &ReplicaId) -> Vec<BrokenRequest> {
         self.0.remove(replica).unwrap_or_default()
     }
--- a/crates/croftrill-node/src/crash_reports.rs
+++ b/crates/croftrill-node/src/crash_reports.rs
@@ -1,13 +1,13 @@
-//! What nodes tell each other of requests that crash replicas.
+//! Exchange of reports between nodes about requests that crash replicas.
 //!
-//! Each node keeps one item in the store, its report; the store's changes reach all
-//! nodes over the tree of relays, and nodes that start anew read them with the rest.
-//! So nothing is lost with an orderer, a relay or the node itself. A report goes
-//! with its lease: it is written again whenever its content changes, and while
-//! requests in it still come.
+//! Each node stores one item, its report. Changes to it reach all nodes over the tree
+//! of relays, and a node that starts reads all reports from the store, so no evidence
+//! is lost with an orderer, a relay or the reporting node. A report is removed when its
+//! lease ends, so a node writes it again whenever its content changes, and while
+//! requests in it still arrive.
 //!
-//! While a node cannot write to the store itself, the nodes that it listens to
-//! report for it.
+//! While a node cannot write to the store, the nodes that it listens to add its report
+//! to theirs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,24 +26,23 @@
 use crate::ports::{ConditionalPut, Item, KeyValueStore, Platform, StoreError, Write};
 use crate::wire::decode;
 
-/// Prefix of the reports' keys.
+/// Prefix of the keys of reports.
 const REPORT_PREFIX: &str = "croftrill/crashes/";
-/// Changes within this time go out together: what broke with one rack of replicas
-/// is one write.
+/// Delay before a write, so that one write covers all ends of replicas of one rack.
 const GATHER: Duration = Duration::from_millis(40);
-/// Pause after a write that failed, on average. With the store's own time to
-/// answer and the relay's, a report is everywhere within a second of its return.
+/// Average delay before a failed write is retried. Including the latencies of the store
+/// and the relays, a report reaches all nodes within a second of the store's recovery.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Age from which on a lease is not used for further reports, so that what is
-/// written lives nearly as long as a lease.
+/// Age from which a lease is not used for further writes, so that each written report is
+/// stored nearly as long as a full lease.
 const LEASE_USED_FOR: Duration = Duration::from_secs(60);
 
-/// True if a key of the store is a node's report.
+/// Returns whether a key of the store is that of a node's report.
 pub(crate) fn is_report(key: &str) -> bool {
     key.starts_with(REPORT_PREFIX)
 }
 
-/// A node's report was written.
+/// Applies a node's report that was written to the store.
 pub(crate) fn report_written<P: Platform>(node: &Node<P>, item: &Item) {
     let Ok(report) = decode::<WireCrashReport>(&item.value) else {
         tracing::warn!(target: "crash", event = "report cannot be read", key = item.key);
@@ -54,7 +53,8 @@
     ledger.apply_report(&item.key, report.into_report(), now);
 }
 
-/// A key of the store was removed: if it held this node's report, that is told anew.
+/// Handles the removal of a key from the store: if it held this node's report, the report
+/// is published again.
 pub(crate) fn key_removed<P: Platform>(node: &Node<P>, key: &str) {
     let own = key
         .strip_prefix(REPORT_PREFIX)
@@ -64,7 +64,7 @@
     }
 }
 
-/// The store may have lost this node's report.
+/// Publishes this node's report again, since the store may have lost it.
 pub(crate) fn tell_again<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let has_some = !node.state.borrow_mut().crash_ledger.own_report(now).is_empty();
@@ -73,7 +73,7 @@
     }
 }
 
-/// Requests of one replica that ended had just begun there.
+/// Records that a replica ended when these requests had just started there.
 pub(crate) fn replica_ended<P: Platform>(
     node: &Node<P>,
     replica: EndedReplica,
@@ -93,8 +93,8 @@
     }
 }
 
-/// What may happen with a request. One that is refused stays in this node's report
-/// for as long as it comes.
+/// Returns whether a request may be sent. A refused request stays in this node's report
+/// while callers keep sending it.
 pub(crate) fn verdict<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> Verdict {
     let now = node.clock.now();
     let ledger = &mut node.state.borrow_mut().crash_ledger;
@@ -105,7 +105,7 @@
     verdict
 }
 
-/// A replica answered a request whole.
+/// Clears a request that a replica answered completely.
 pub(crate) fn answered_whole<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
     let now = node.clock.now();
     let is_cleared = node.state.borrow_mut().crash_ledger.clear(fingerprint, now);
@@ -115,7 +115,8 @@
     }
 }
 
-/// An operator lets a request be sent again. False if nothing stands against it.
+/// Clears a request on behalf of an operator. Returns false if there is no evidence
+/// against it.
 pub fn lift<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> bool {
     let now = node.clock.now();
     let is_cleared = node.state.borrow_mut().crash_ledger.clear(fingerprint, now);
@@ -127,7 +128,7 @@
     is_cleared
 }
 
-/// Another node cannot write its report: this one's tells it too.
+/// Adds the report of a node that cannot write it to this node's report.
 pub(crate) fn adopt<P: Platform>(node: &Node<P>, report: WireCrashReport) {
     let now = node.clock.now();
     let ledger = &mut node.state.borrow_mut().crash_ledger;
@@ -136,7 +137,7 @@
     }
 }
 
-/// All reports as items of the store, by key.
+/// Returns the keys and values of all reports as the store holds them.
 pub(crate) fn items(ledger: &CrashLedger) -> Vec<(String, Vec<u8>)> {
     let reports = ledger.reports();
     let items = reports.map(|(key, report)| {
@@ -146,15 +147,15 @@
     items.collect()
 }
 
-/// The lease under which this node's report stands.
+/// The lease under which this node's report is stored.
 #[derive(Debug, Clone, Copy)]
 struct ReportLease {
     number: u64,
     granted_at: Moment,
 }
 
-/// Writes this node's report whenever it changes, until the process ends.
-/// `incarnation`: a former process's report stands beside it until its lease is over.
+/// Writes this node's report whenever it changes, until the process ends. The key contains
+/// `incarnation`, so an earlier process's report remains until its lease ends.
 pub async fn publish<P: Platform>(node: Rc<Node<P>>, incarnation: u64) {
     let key = format!("{REPORT_PREFIX}{}/{incarnation}", node.settings.identity.name);
     let mut lease = None;
@@ -168,7 +169,7 @@
             if failures == 1 {
                 tracing::warn!(target: "crash", event = "report not written", %error);
             }
-            // Each time, as more may have joined it.
+            // Sent on each attempt, as the report may have grown since the last.
             hand_over(&node);
             let share = rand::rng().random_range(0.5..1.5);
             sleep(RETRY_PAUSE.mul_f64(share)).await;
@@ -176,7 +177,7 @@
     }
 }
 
-/// Writes the report as it is now.
+/// Writes the current report.
 async fn write<P: Platform>(
     node: &Node<P>,
     key: &str,
@@ -209,7 +210,7 @@
     Ok(())
 }
 
-/// The nodes that this one listens to are asked to tell its report.
+/// Sends the report to the nodes that this one listens to, which add it to theirs.
 fn hand_over<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let report = node.state.borrow_mut().crash_ledger.own_report(now);
--- a/crates/croftrill-node/src/crash_trial.rs
+++ b/crates/croftrill-node/src/crash_trial.rs
@@ -1,11 +1,11 @@
-//! One run at a time, over the whole fleet, of a request under which replicas ended.
+//! A fleet-wide lock by which a request under which replicas ended runs once at a time.
 //!
-//! Callers send such a request to several nodes, and its copies wait together for
-//! the model that went with its replica. Sent together, they end as many replicas,
-//! or one under as many streams, before any node knows of the next end. So each run
-//! takes a key of the store first, and leaves it once all nodes know how it ended.
-//! An innocent request is rarely sent twice at once, and pays three calls to the
-//! store, and some 10 ms, once.
+//! Callers send such a request to several nodes, and its copies wait together for the
+//! model that was lost with its replica. If they were sent together, they would end as
+//! many replicas, or one replica with many streams, before any node knows of the next
+//! end. So each run first creates a key in the store, and releases it once all nodes
+//! know how the run ended. An innocent request is rarely sent twice at once; the lock
+//! costs it three store calls, about 10 ms, once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 use crate::node::Node;
 use crate::ports::{ConditionalPut, Expectation, KeyValueStore, Platform, PutOutcome, StoreError, Write};
 
-/// Prefix of the keys of runs.
+/// Prefix of the keys of trials.
 const TRIAL_PREFIX: &str = "croftrill/trials/";
-/// Longest time that a run keeps others away: the 2 s within which a request that
-/// begins crashes its replica, and a second until all nodes know of it.
+/// Maximum time for which a trial blocks others: the 2 s within which a request crashes its
+/// replica after it starts, and a second until all nodes know of the end.
 const LONGEST_TRIAL: Duration = Duration::from_secs(3);
-/// Longest wait for the key: many times what two calls take (10 ms), and little beside
-/// objectives (500 ms). A request does not wait for a store that is slow or away.
+/// Maximum wait for the key: much longer than two store calls take (10 ms), and short
+/// compared with objectives (500 ms). A request does not wait for a slow or unreachable store.
 const LONGEST_WAIT: Duration = Duration::from_millis(100);
-/// Time until all nodes know that a run crashed its replica: until the node is sure
-/// (10 ms), has written it (50 ms), and a relay has told it.
+/// Time until all nodes know that a trial crashed its replica: until the node has detected
+/// it (10 ms) and written it (50 ms), and the relays have published it.
 const END_IS_KNOWN: Duration = Duration::from_millis(400);
 
-/// A run that keeps other copies of its request away while this lives.
+/// A run of a request that blocks other copies of the request until it is dropped.
 pub(crate) struct Trial<P: Platform> {
     node: Rc<Node<P>>,
     lease: u64,
@@ -41,23 +41,23 @@
         tokio::task::spawn_local(async move {
             sleep(END_IS_KNOWN).await;
             if let Err(error) = node.store().end_lease(lease).await {
-                tracing::debug!(target: "crash", event = "the key of a run goes with its lease", %error);
+                tracing::debug!(target: "crash", event = "trial key not released; it expires with its lease", %error);
             }
         });
     }
 }
 
-/// Whether a run may begin.
+/// Whether a trial may start.
 pub(crate) enum TrialOutcome<P: Platform> {
-    /// It may.
+    /// The trial may start.
     Won(Trial<P>),
-    /// Another one has just begun.
+    /// Another trial of the request is running.
     Lost,
-    /// The store cannot tell.
+    /// The store did not answer.
     Unknown,
 }
 
-/// Takes the key of a request's run.
+/// Acquires the trial key of a request.
 pub(crate) async fn begin<P: Platform>(node: &Rc<Node<P>>, fingerprint: Fingerprint) -> TrialOutcome<P> {
     let taken = timeout(LONGEST_WAIT, take_key(node, fingerprint)).await;
     match taken.unwrap_or(Err(StoreError::NoAnswer)) {
@@ -67,13 +67,13 @@
         }),
         Ok(None) => TrialOutcome::Lost,
         Err(error) => {
-            tracing::info!(target: "crash", event = "no run at a time, the store cannot tell", %fingerprint, %error);
+            tracing::info!(target: "crash", event = "request not limited to one run at a time; the store did not answer", %fingerprint, %error);
             TrialOutcome::Unknown
         }
     }
 }
 
-/// The lease that the key stands under; `None` if another run has the key.
+/// Creates the key and returns its lease; `None` if another trial holds the key.
 async fn take_key<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> Result<Option<u64>, StoreError> {
     let store = node.store();
     let key = format!("{TRIAL_PREFIX}{fingerprint}");
--- a/crates/croftrill-node/src/crash_watch.rs
+++ b/crates/croftrill-node/src/crash_watch.rs
@@ -1,9 +1,9 @@
-//! Finds out whether a replica at which requests broke has ended.
+//! Detects whether a replica at which requests broke has ended.
 //!
-//! A broken exchange alone says little: its connection may have been reset, or its
-//! answer spoiled. A replica that ended refuses new connections, and all that it
-//! ran breaks at the same moment; so the requests that break at one replica are
-//! gathered, and one connection is tried.
+//! A broken exchange alone is weak evidence: its connection may have been reset, or its
+//! answer corrupted. A replica that ended refuses new connections, and all of its
+//! requests break at the same moment. So the requests that break at one replica are
+//! collected, and then one connection to it is tried.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,20 +20,21 @@
 use crate::node::Node;
 use crate::ports::Platform;
 
-/// Time in which the requests that break with a replica are noticed.
+/// Time within which this node notices all requests that break with a replica.
 const GATHER: Duration = Duration::from_millis(10);
-/// Longest wait for the connection that is tried: an ended replica's machine
-/// refuses it within a round trip.
+/// Timeout of the connection attempt: the machine of an ended replica refuses it within a
+/// round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait of a request that could go on elsewhere: some round trips, and
-/// little beside the pauses that callers bear (300 ms at least).
+/// Maximum wait of a request that could be retried at another replica: some round trips,
+/// and short compared with the pauses that callers accept (at least 300 ms).
 const LONGEST_WAIT: Duration = Duration::from_millis(60);
-/// A request broke at a replica: its connection ended, or fell silent, before its
-/// answer did.
+
+/// Records that a request broke at a replica: its connection ended, or became silent,
+/// before its answer was complete.
 pub(crate) fn request_broke<P: Platform>(node: &Rc<Node<P>>, replica: &ReplicaId, request: BrokenRequest) {
     let mut state = node.state.borrow_mut();
     let entry = state.replicas.get(replica);
-    // The end of a replica that is leaving, or has left, was planned.
+    // A replica that is leaving or has left was stopped on purpose.
     let ready = entry.filter(|entry| entry.is_ready());
     let Some(listing) = ready.map(|entry| &entry.listing) else {
         return;
@@ -41,7 +42,7 @@
     let Ok(address) = listing.address.parse() else {
         return;
     };
-    // By the time of the verdict it may be listed as started again.
+    // The replica may be listed as restarted by the time the check is done.
     let incarnation = EndedReplica::of(replica, listing.started_ms);
     if state.broken_requests.add(replica, request) {
         spawn_local(judge(node.clone(), replica.clone(), incarnation, address));
@@ -59,11 +60,11 @@
             changed.await;
         }
     };
-    // A replica that does not even refuse is not known to have ended.
+    // After a timeout the replica is not known to have ended, as it refused no connection.
     let _ = timeout(LONGEST_WAIT, judged).await;
 }
 
-/// Tries one connection to the replica, and notes what it shows.
+/// Tries to connect to the replica once and records the result.
 async fn judge<P: Platform>(
     node: Rc<Node<P>>,
     replica: ReplicaId,
@@ -78,13 +79,13 @@
     if refused {
         note_end(&node, &replica, incarnation, &broken);
     } else {
-        tracing::info!(target: "crash", event = "requests broke, the replica lives", replica = &*replica,
+        tracing::info!(target: "crash", event = "requests broke, but the replica is not known to have ended", replica = &*replica,
             requests = broken.len(), connected = ?connected.map(|connected| connected.is_ok()));
     }
     node.crash_judged.notify_waiters();
 }
 
-/// A replica ended: each request that had just begun there may be the cause.
+/// Records that a replica ended. Each request that had just started there may be the cause.
 fn note_end<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
--- a/crates/croftrill-node/src/crash_wire.rs
+++ b/crates/croftrill-node/src/crash_wire.rs
@@ -1,29 +1,29 @@
-//! Reports of requests that crash replicas, on the wire.
+//! The wire format of reports about requests that crash replicas.
 
 use croftrill_scheduler::crash_ledger::{CrashReport, EndedReplica, Fingerprint, Suspicion};
 use nanoserde::{DeBin, SerBin};
 
 use crate::wire::WireList;
 
-/// A request in a report, on the wire.
+/// The evidence against one request.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct WireSuspicion {
-    /// Upper and lower half of its fingerprint.
+    /// Upper and lower half of the request's fingerprint.
     fingerprint: [u64; 2],
-    /// Replicas that ended under it.
+    /// Replicas that ended when the request had just started there.
     ended: WireList<u64>,
-    /// Those of them of which it was cleared.
+    /// Those of them of which the request was cleared.
     cleared: WireList<u64>,
 }
 
-/// A node's report, on the wire.
+/// A node's report.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct WireCrashReport {
     suspicions: WireList<WireSuspicion>,
 }
 
 impl WireCrashReport {
-    /// The message form of a report.
+    /// Converts a report to its wire format.
     pub fn from_report(report: &CrashReport) -> Self {
         let suspicions = report.iter().map(|(fingerprint, suspicion)| WireSuspicion {
             fingerprint: [(fingerprint.0 >> 64) as u64, fingerprint.0 as u64],
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The report.
+    /// Converts the wire format back to a report.
     pub fn into_report(self) -> CrashReport {
         let suspicions = self.suspicions.into_iter().map(|wire| {
             let [upper, lower] = wire.fingerprint;
