--- a/crates/croftrill-node/src/limit_header.rs
+++ b/crates/croftrill-node/src/limit_header.rs
@@ -1,10 +1,10 @@
-//! The limit on requests that a replica names in its answers.
+//! Parses the limit on requests that a replica reports in its answers.
 
 use croftrill_scheduler::replica::{LimitSignal, RequestRate};
 use http::header::{HeaderMap, HeaderName};
 
-/// The limit that an answer names: a decimal number of requests a second, the least of
-/// several. What is no such number says nothing: it neither sets a limit nor ends one.
+/// Parses the limit in an answer: a decimal number of requests per second, or the minimum of
+/// several. Any other value neither sets a limit nor ends one.
 pub fn limit_named(headers: &HeaderMap, name: &HeaderName) -> LimitSignal {
     if !headers.contains_key(name) {
         return LimitSignal::Unlimited;
--- a/crates/croftrill-node/src/load_header.rs
+++ b/crates/croftrill-node/src/load_header.rs
@@ -1,9 +1,9 @@
-//! The load that a replica tells in its answers.
+//! Parses the load that a replica reports in its answers.
 
 use croftrill_scheduler::capacity::ReplicaLoad;
 
-/// The load of `RUNNING[,WAITING[,SLOTS[,WORK TIME]]]`; `None` if no number of running
-/// requests can be read.
+/// Parses `RUNNING[,WAITING[,SLOTS[,WORK TIME]]]`; returns `None` if it does not start with
+/// the number of running requests.
 pub fn load_told(value: &str) -> Option<ReplicaLoad> {
     let mut numbers = value.split(',').map(|part| part.trim().parse::<u32>().ok());
     Some(ReplicaLoad {
--- a/crates/croftrill-node/src/own_word.rs
+++ b/crates/croftrill-node/src/own_word.rs
@@ -1,4 +1,4 @@
-//! Takes in what replicas say of themselves in their answers.
+//! Applies the signals that replicas send in their answers.
 
 use croftrill_scheduler::replica::{ReplicaId, ReplicaSignals};
 use croftrill_scheduler::replica_table::{AnsweredCall, SignalChanges};
@@ -8,8 +8,8 @@
 use crate::orderer_task::OrdererInput;
 use crate::ports::Platform;
 
-/// A replica said something of itself in the answer to a call. From now on this node goes
-/// by it, and what it orders does. `answer_to`: the request's id, or what else was answered.
+/// Applies the signals in a replica's answer to a call. This node's requests and orders use
+/// them from now on. `answer_to` is the request's id or the kind of call, for the log.
 pub(crate) fn hear<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
@@ -24,7 +24,7 @@
     drop(state);
     if let Some(rest) = word.cooldown {
         Metrics::count(&node.metrics.replica_words, "rest", "heard");
-        tracing::info!(target: "replica", event = "wants rest", replica = &**replica, answer_to, ?listed,
+        tracing::info!(target: "replica", event = "requests a cooldown", replica = &**replica, answer_to, ?listed,
             rest_ms = rest.as_millis() as u64);
     }
     if news.limit {
@@ -39,7 +39,7 @@
     }
     if news.leaving {
         Metrics::count(&node.metrics.replica_words, "leaving", "heard");
-        tracing::info!(target: "replica", event = "leaves, by its own word", replica = &**replica, answer_to, ?listed);
+        tracing::info!(target: "replica", event = "signals that it is leaving", replica = &**replica, answer_to, ?listed);
     }
     if news != SignalChanges::default() {
         node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
--- a/crates/croftrill-node/src/replica_turn.rs
+++ b/crates/croftrill-node/src/replica_turn.rs
@@ -1,4 +1,4 @@
-//! Asks whether a call may go to a replica that named a limit.
+//! Requests reservations for calls to replicas that reported a limit.
 
 use croftrill_scheduler::quota::limits::{LimitRequest, ReportedLimit};
 use croftrill_scheduler::replica::ReplicaId;
@@ -8,14 +8,14 @@
 use crate::ports::Platform;
 use crate::quota::{LimitAsk, LimitVerdict};
 
-/// What was said of a call's turn at a replica in need, and by which limit.
+/// The answer to a request for a reservation, and the limit that it is based on.
 pub(crate) struct Turn {
     pub(crate) limit: ReportedLimit,
     pub(crate) verdict: LimitVerdict,
 }
 
-/// Asks for a call's turn; `None`, at once, if the replica named no limit. `call`: what kind
-/// of call it is.
+/// Requests a reservation for a call; returns `None` at once if the replica reported no limit.
+/// `call` is the kind of call for metrics.
 pub(crate) async fn ask<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
--- a/crates/croftrill-node/src/rest_header.rs
+++ b/crates/croftrill-node/src/rest_header.rs
@@ -1,16 +1,16 @@
-//! The rest that a replica asks for in the answer to a request that it turned away.
+//! Parses the cooldown that a replica requests in the answer to a request that it rejected.
 
 use std::time::Duration;
 
 use http::header::{HeaderMap, RETRY_AFTER};
 use http::StatusCode;
 
-/// Longest rest that is believed. More than a replica recovers in; a wrong number must
-/// not take it from a node for good.
+/// Maximum cooldown. A replica recovers in less, and a wrong number must not exclude it from
+/// a node's use forever.
 const LONGEST_REST: Duration = Duration::from_secs(24 * 3600);
 
-/// The rest that an answer asks for: seconds, fractions allowed. A date asks for
-/// nothing, as the clocks of two machines differ by more than a rest lasts.
+/// Parses the cooldown that an answer requests, in seconds with optional fraction. A date is
+/// ignored, as the clocks of two machines may differ by more than a cooldown.
 pub fn rest_asked(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
--- a/crates/croftrill-node/tests/limit_header.rs
+++ b/crates/croftrill-node/tests/limit_header.rs
@@ -1,4 +1,4 @@
-//! The header by which a replica names a limit, whatever it holds.
+//! Parsing of the header with which a replica reports a limit.
 
 use croftrill_node::limit_header::limit_named;
 use croftrill_scheduler::replica::{LimitSignal, RequestRate};
