--- a/crates/croftrill-node/src/load_news.rs
+++ b/crates/croftrill-node/src/load_news.rs
@@ -1,14 +1,14 @@
-//! News of replicas' loads between nodes: what this node heard goes up to the orderers,
-//! what these tell comes down, over relays both ways.
+//! Exchange of load samples between nodes: samples that this node receives go up to the
+//! orderers, and samples that the orderers publish come down, both ways over relays.
 //!
-//! Nothing is sent unless replicas tell how fast they work, or the node's settings say that
-//! callers compete. Whoever listens says so by such a message of its own, if only an empty
-//! one, which goes only to nodes whose entries say that they understand it.
+//! Nothing is sent unless replicas report their work time or the node's settings say that
+//! callers compete. A node subscribes by sending a message of this kind itself, which may be
+//! empty. Such messages go only to nodes whose entries say that they support them.
 //!
-//! Accounts come from a replica ([`hear_answer`]), from a follower of this relay
-//! ([`LoadFollower`]) and from orderers ([`hear_told`]). [`tell`] sends what the first two
-//! brought to the orderers, and what these told to the followers. What an orderer of this
-//! node makes of them: `orderer_task::loads`.
+//! Samples come from a replica ([`hear_answer`]), from a follower of this relay
+//! ([`LoadFollower`]) and from orderers ([`hear_told`]). [`tell`] sends samples of the first
+//! two to the orderers, and those of the orderers to the followers. `orderer_task::loads`
+//! handles the samples that reach an orderer of this node.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -33,33 +33,33 @@
 use crate::ports::Platform;
 use crate::tree::Uplink;
 
-/// Least time between two messages to the same side.
+/// Minimum time between two messages in the same direction.
 const TELL_EVERY: Duration = Duration::from_millis(100);
-/// A node with nothing to tell says so often that it listens.
+/// Interval at which a node without samples sends an empty message to stay subscribed.
 const HELLO_EVERY: Duration = Duration::from_secs(1);
-/// Time after the last told work time for which replicas count as telling it: several times
-/// as long as a node usually goes without an answer of any replica.
+/// Time for which replicas count as reporting their work time after the last report: several
+/// times as long as a node usually goes without an answer of any replica.
 const WORK_TIME_COUNTS: Duration = Duration::from_secs(30);
-/// Messages that a slow follower may fall behind before it misses the oldest.
+/// Number of messages by which a slow follower may lag before it misses the oldest.
 const BACKLOG: usize = 4;
-/// Time between two lines of the log.
+/// Minimum time between two log lines about samples.
 const LOG_EVERY: Duration = Duration::from_secs(1);
-/// Ages kept for such a line.
+/// Maximum number of ages stored for such a log line.
 const MOST_AGES: usize = 512;
 
-/// What a node heard of replicas' loads, and tells on.
+/// Load samples that a node forwards.
 pub struct LoadNews {
-    /// Until when replicas count as telling their work time.
+    /// Until when replicas count as reporting their work time.
     on_until: Cell<Moment>,
     keys: RefCell<LoadKeys>,
-    /// For the orderers, from this node's answers and its followers.
+    /// Samples for the orderers, from answers to this node and from its followers.
     to_orderers: RefCell<LoadBuffer>,
-    /// For the followers, from the orderers.
+    /// Samples for the followers, from the orderers.
     to_followers: RefCell<LoadBuffer>,
-    /// When the orderers were last told that this node listens.
+    /// When this node last sent a message to stay subscribed at the orderers.
     said_hello_at: Cell<Moment>,
     followers: broadcast::Sender<Rc<ToldLoads>>,
-    /// Told when there is something to send.
+    /// Notified when there are samples to send.
     wanted: Notify,
     arrivals: RefCell<Arrivals>,
 }
@@ -79,14 +79,14 @@
     }
 }
 
-/// Ages of the accounts that came from other nodes since the last line of the log.
+/// Ages of the samples that the orderers published since the last log line.
 #[derive(Default)]
 struct Arrivals {
     ages_ms: Vec<u64>,
     since: Moment,
 }
 
-/// Accounts for followers, encoded once for those that know all replicas.
+/// Samples for followers, encoded once for all followers with a full view.
 #[derive(Debug)]
 pub struct ToldLoads {
     accounts: Vec<(ReplicaId, LoadSample)>,
@@ -104,12 +104,13 @@
         }
     }
 
-    /// The message about all of them.
+    /// Returns the message with all samples.
     pub fn message(&self) -> &Bytes {
         &self.message
     }
 
-    /// The message about some replicas; `None` if there is nothing about them.
+    /// Returns the message with the samples of those replicas that a follower knows; `None` if
+    /// there are none.
     pub fn message_about(&self, knows: impl Fn(&str) -> bool) -> Option<Bytes> {
         let known = self.accounts.iter().filter(|(id, _)| knows(id));
         let known: Vec<&LoadSample> = known.map(|(_, account)| account).collect();
@@ -121,7 +122,7 @@
     FromOrderer::Loads(WireLoads::from_accounts(accounts, now)).encode()
 }
 
-/// True while this node tells on what it hears of replicas' loads, of all services.
+/// Returns whether this node forwards load samples, which applies to all services alike.
 pub(crate) fn is_on<P: Platform>(node: &Node<P>) -> bool {
     node.settings.callers_compete || node.clock.now() < node.load_news.on_until.get()
 }
@@ -136,13 +137,14 @@
     Metrics::count(&node.metrics.load_news, kind, outcome);
 }
 
-/// Counts accounts that are not told on, as there are too many.
+/// Counts samples that are not forwarded because there are too many.
 pub(crate) fn note_left_out<P: Platform>(node: &Node<P>, kind: &'static str, count: usize) {
     Metrics::count_many(&node.metrics.load_news, kind, "left out", count as u64);
 }
 
-/// An answer told the load of a replica, of the incarnation that started at `started_ms`.
-/// `is_sure`: false if the answer may be another replica's, of which others are not told.
+/// Records the load in an answer from the incarnation of a replica that started at
+/// `started_ms`. If `is_sure` is false, the answer may be another replica's, and the sample is
+/// not forwarded to other nodes.
 pub(crate) fn hear_answer<P: Platform>(
     node: &Node<P>,
     id: &ReplicaId,
@@ -186,8 +188,8 @@
     news.wanted.notify_one();
 }
 
-/// Takes accounts of other nodes into this node's table; returns those that are about
-/// replicas that it knows.
+/// Applies samples from other nodes to this node's replica table. Returns those of replicas
+/// that this node knows.
 pub(crate) fn take_in<P: Platform>(
     node: &Node<P>,
     accounts: &[LoadSample],
@@ -218,7 +220,8 @@
     known
 }
 
-/// The orderers told of loads, over a link of `delay`.
+/// Applies samples that an orderer published, over a link with the given delay, and queues
+/// them for the followers.
 pub(crate) fn hear_told<P: Platform>(node: &Node<P>, told: &WireLoads, delay: &mut LinkDelay) {
     let now = node.clock.now();
     let accounts = told.to_accounts(delay, now);
@@ -227,7 +230,7 @@
     pass_on(node, known.iter().map(|(_, account)| account), now);
 }
 
-/// Accounts for this node's followers.
+/// Queues samples for this node's followers.
 pub(crate) fn pass_on<'a, P: Platform>(
     node: &Node<P>,
     accounts: impl IntoIterator<Item = &'a LoadSample>,
@@ -244,17 +247,17 @@
     news.wanted.notify_one();
 }
 
-/// The accounts of a message from this node to its own orderer.
+/// Returns the samples of a message from this node to its own orderer.
 pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, told: &WireLoads) -> Vec<LoadSample> {
     let now = node.clock.now();
     let mut delay = LinkDelay::default();
-    // The queue between them is a link whose least delay is zero.
+    // The queue between them acts as a link whose minimum delay is zero.
     delay.excess(now.since(Moment::default()), now);
     told.to_accounts(&mut delay, now)
 }
 
-/// A message as it goes to the node at an address; `None` for news of loads unless its
-/// entry says that it understands them.
+/// Encodes a message for the node at an address. Returns `None` for load samples unless the
+/// node's entry says that it supports them.
 pub(crate) fn outgoing<P: Platform>(node: &Node<P>, peer: SocketAddr, message: &ToOrderer) -> Option<Bytes> {
     let is_loads = matches!(message, ToOrderer::Loads(_));
     if is_loads && !node.state.borrow().members.tell_loads_at(peer) {
@@ -268,12 +271,12 @@
     Some(message)
 }
 
-/// A message with accounts goes out.
+/// Counts the bytes of a message with samples that is sent.
 pub(crate) fn note_sent<P: Platform>(node: &Node<P>, message: &Bytes) {
     node.metrics.load_news_bytes.inc_by(message.len() as u64);
 }
 
-/// Tells on what was heard, whenever there is something and at a bounded pace.
+/// Forwards samples as they arrive, at a limited rate.
 pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
     loop {
         tokio::select! {
@@ -308,7 +311,7 @@
     }
 }
 
-/// Each orderer is told of the replicas of its shard.
+/// Sends each orderer the samples of its shard's replicas.
 fn tell_each_orderer<P: Platform>(node: &Node<P>, accounts: &[LoadSample], is_hello: bool, now: Moment) {
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&node.state.borrow().replicas);
@@ -341,11 +344,11 @@
         .into_iter()
         .filter_map(|account| keys.replica(account.key).map(|id| (id.clone(), account)));
     let told = ToldLoads::new(known.collect(), now);
-    // It fails only once the last follower has left.
+    // Sending fails only after the last follower has disconnected.
     let _ = news.followers.send(Rc::new(told));
 }
 
-/// A node that may listen to news of loads at this node's orderer.
+/// A node that may subscribe to load samples at this node's orderer.
 #[derive(Default)]
 pub(crate) struct LoadListener {
     delay: LinkDelay,
@@ -353,7 +356,8 @@
 }
 
 impl LoadListener {
-    /// It told of loads, so it understands such news: from now on it listens at `source`.
+    /// Returns the samples of a message from the node, and subscribes the node to `source`: a
+    /// node that sends samples supports them.
     pub(crate) fn hear(
         &mut self,
         told: &WireLoads,
@@ -364,13 +368,13 @@
         told.to_accounts(&mut self.delay, now)
     }
 
-    /// The next message for it; never if it does not listen.
+    /// Returns the next message for the node; never completes if the node is not subscribed.
     pub(crate) async fn next(&mut self) -> Bytes {
         next(&mut self.news).await
     }
 }
 
-/// A follower of this relay that may listen to news of loads.
+/// A follower of this relay that may subscribe to load samples.
 #[derive(Default)]
 pub(crate) struct LoadFollower {
     delay: LinkDelay,
@@ -378,7 +382,8 @@
 }
 
 impl LoadFollower {
-    /// It told of loads, which go up with this node's own; from now on it listens.
+    /// Applies the samples of a message from the follower, queues them for the orderers, and
+    /// subscribes the follower.
     pub(crate) fn hear<P: Platform>(&mut self, node: &Node<P>, told: &WireLoads) {
         self.news
             .get_or_insert_with(|| node.load_news.followers.subscribe());
@@ -388,7 +393,7 @@
         }
     }
 
-    /// The next news for it; never if it does not listen.
+    /// Returns the next samples for the follower; never completes if it is not subscribed.
     pub(crate) async fn next(&mut self) -> Rc<ToldLoads> {
         next(&mut self.news).await
     }
@@ -401,7 +406,7 @@
     loop {
         match receiver.recv().await {
             Ok(news) => return news,
-            // What it missed is old by now.
+            // The missed samples are outdated by now.
             Err(RecvError::Lagged(_)) => {}
             // The link ends for the same reason.
             Err(RecvError::Closed) => return std::future::pending().await,
@@ -409,7 +414,7 @@
     }
 }
 
-/// Notes how old accounts are as they come, for the log.
+/// Records the ages of arriving samples, and logs them from time to time.
 fn note_arrivals<P: Platform>(node: &Node<P>, accounts: &[LoadSample], now: Moment) {
     let mut arrivals = node.load_news.arrivals.borrow_mut();
     let room = MOST_AGES.saturating_sub(arrivals.ages_ms.len());
@@ -424,6 +429,6 @@
     let mut ages_ms = std::mem::take(&mut arrivals.ages_ms);
     ages_ms.sort_unstable();
     let part = |numerator: usize| ages_ms[(ages_ms.len() - 1) * numerator / 10];
-    tracing::debug!(target: "load news", event = "accounts came", count = ages_ms.len(),
+    tracing::debug!(target: "load news", event = "samples received", count = ages_ms.len(),
         p50_ms = part(5), p90_ms = part(9), sent_bytes = node.metrics.load_news_bytes.get());
 }
