--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -1,4 +1,4 @@
-//! Takes the orderer's lease, and records who could order last.
+//! Acquires the orderer's lease, and records the last machine that was allowed to order.
 
 use std::time::Duration;
 
@@ -21,34 +21,35 @@
 };
 use crate::store_era::same_era;
 
-/// Added to the least gap between two orderers, for clocks that run unevenly.
+/// Margin for differences in clock rates, added to the minimum gap between two orderers.
 const GAP_MARGIN: Duration = Duration::from_millis(250);
-/// Longest wait for the orderer's keys.
+/// Timeout for reading the orderer's keys.
 const READ_LIMIT: Duration = Duration::from_millis(900);
-/// Stands for a key without a lease.
+/// Value of [`Write::lease`] for a key without a lease.
 const NO_LEASE: u64 = 0;
-/// Part of the lease given up for imprecise timers.
+/// Safety margin for imprecise timers, subtracted from the lease's time to live.
 const LEASE_MARGIN: Duration = Duration::from_millis(150);
-/// Pause of a node that is not first in line for the lease, for each place.
+/// Delay before a node requests the lease, for each position in line ahead of it.
 const CANDIDACY_STEP: Duration = Duration::from_millis(70);
-/// Longest wait of a node that knows no other, if it has a whole core.
+/// Maximum wait of a node with one full core that knows no other node.
 const LONE_WAIT_OF_A_CORE: Duration = Duration::from_millis(250);
-/// The same of any node: traffic may come ten seconds after the start.
+/// Maximum wait of any node that knows no other: traffic may arrive ten seconds after the
+/// start.
 const LONGEST_LONE_WAIT: Duration = Duration::from_millis(2500);
-/// Least time between two attempts to hand a shard on to stronger nodes: many times what a
-/// change of orderers costs (some 0.3 s without orders).
+/// Minimum time between two attempts to hand a shard over to stronger nodes: many times the
+/// cost of a change of orderers (about 0.3 s without orders).
 const HANDS_ON_AGAIN: Duration = Duration::from_secs(60);
-/// Time from a node's start until it knows what the others did meanwhile.
+/// Time from when a node is ready until it knows what other nodes did while it started.
 const SETTLING: Duration = Duration::from_millis(900);
 
-/// An item and its revision.
+/// A value from the store and its revision.
 #[derive(Debug, Clone)]
 pub(super) struct Revised<T> {
     value: T,
     revision: u64,
 }
 
-/// What the store holds about the orderer.
+/// The store's items about a shard's orderer.
 #[derive(Debug, Default)]
 pub(super) struct OrdererKeys {
     present: Option<Revised<MemberEntry>>,
@@ -56,15 +57,15 @@
     era: Option<RecordEra>,
 }
 
-/// A lease that was taken, and what the former orderer left, if that is known.
+/// An acquired lease, and the former orderer's resignation if the term is based on it.
 pub(super) struct Acquired {
     pub(super) lease: OrdererLease,
     pub(super) inherited: Option<ReceivedResignation>,
 }
 
-/// Takes the lease if nobody else holds it.
+/// Acquires the lease if no other machine holds it.
 ///
-/// Its validity, and how the term begins, is judged by [`OrdererLease`].
+/// [`OrdererLease`] determines its validity, and [`term_start`] how the term starts.
 pub(super) async fn become_orderer<P: Platform>(
     node: &Node<P>,
     shard: Shard,
@@ -117,15 +118,15 @@
     })
 }
 
-/// Time until a node that just started knows the others: when many start
-/// together, most of them need not ask who the orderer is.
+/// Returns the time until a node that just started knows the others. When many nodes start
+/// together, most of them then need no store calls to learn which one is the orderer.
 fn settling_left<P: Platform>(node: &Node<P>) -> Duration {
     let ready_at = node.state.borrow().ready_at.unwrap_or_default();
     SETTLING.saturating_sub(node.clock.now().since(ready_at))
 }
 
-/// True if no other node is known: at the first start of all there is nobody
-/// to stand in line with.
+/// Returns whether no other node is known, as when all nodes start for the first time. The
+/// queue position says nothing then.
 fn knows_nobody<P: Platform>(node: &Node<P>) -> bool {
     let own = &node.settings.identity.name;
     let state = node.state.borrow();
@@ -133,8 +134,9 @@
     others.next().is_none()
 }
 
-/// A node's wait for others to appear: the longer, the less processor time it
-/// has, so that a strong one is first, and of random length, so that few ask.
+/// Returns how long a node waits for others to appear. Nodes with less processor time wait
+/// longer, so that a strong one is first; the wait is random, so that few nodes request the
+/// lease.
 fn lone_wait(processor_millicores: u32) -> Duration {
     let share = rand::rng().random_range(0.5..1.0);
     let weakness = 1000.0 / f64::from(processor_millicores.max(1));
@@ -143,13 +145,14 @@
         .min(LONGEST_LONE_WAIT)
 }
 
-/// Least time between the orders of two machines at one replica, with a margin.
+/// Returns the minimum time between the orders of two machines at one replica, including a
+/// margin.
 pub(super) fn least_gap<P: Platform>(node: &Node<P>) -> Duration {
     node.settings.bounds.order_gap + GAP_MARGIN
 }
 
-/// True if nobody holds the orderer's key, or this machine does, or its holder
-/// said that its term is over.
+/// Returns whether no machine holds the orderer's key, or this machine holds it, or its holder
+/// has resigned.
 fn is_free(keys: &OrdererKeys, entry: &MemberEntry, heard: Option<&ReceivedResignation>) -> bool {
     let Some(present) = &keys.present else {
         return true;
@@ -158,26 +161,27 @@
     present.value.name == entry.name || resigned
 }
 
-/// True if nobody can have ordered after the record stands as it was read: it was written
-/// since the store last came back from an older copy.
+/// Returns whether no machine can have ordered after the record that was read: the record was
+/// written after the store was last restored from an older copy.
 fn is_record_proven<P: Platform>(node: &Node<P>, keys: &OrdererKeys) -> bool {
     let present = node.platform.store().era();
     match keys.era {
         Some(era) => Some(era.recorded) == present.newest(),
-        // An older build wrote it, or nobody has: at a store that counts eras only the
-        // processes that were there from the start know that no copy was of before.
+        // The record was written by an older build, or there is none. At a store that counts
+        // eras, only processes of the system's first start know that it was not restored from
+        // an older copy before they started.
         None => present.is_first() || (node.settings.is_first_start && present.rises() == 0),
     }
 }
 
-/// True if a resignation is of the store's present era: the revisions that one of a former
-/// era names were given out again.
+/// Returns whether a resignation is from the store's present era. The revisions that a
+/// resignation of an earlier era names have been assigned again since.
 fn is_of_present_era<P: Platform>(node: &Node<P>, heard: &ReceivedResignation) -> bool {
     let present = node.platform.store().era().point(0);
     same_era(heard.resignation.fencing_token, present)
 }
 
-/// The record of the last orderer as [`term_start`] judges it.
+/// Returns the record of the last orderer in the form that [`term_start`] needs.
 fn last_record(keys: &OrdererKeys, entry: &MemberEntry) -> Option<LastRecord> {
     keys.last.as_ref().map(|last| LastRecord {
         is_own: last.value.entry.name == entry.name,
@@ -186,18 +190,19 @@
     })
 }
 
-/// True if this node should try: it takes requests, and no other node is known to hold the lease.
+/// Returns whether this node may try to acquire the lease: it serves requests, and no other
+/// node is known to hold the lease.
 pub(super) fn may_try<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> bool {
     let state = node.state.borrow();
     let free = state
         .members
         .orderer(shard)
         .is_none_or(|holder| holder.name == entry.name);
-    // An orderer that knows some of the replicas would load what others hold.
+    // An orderer that knows only part of the replicas would load models that others hold.
     state.lifecycle == Lifecycle::Ready && free && !state.tree.is_narrow()
 }
 
-/// This node's place in line for a shard.
+/// Returns this node's position in line for a shard.
 fn place_in_line<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> u32 {
     let state = node.state.borrow();
     let last_orderer = state.members.last_orderer(shard).map(|last| &*last.name);
@@ -205,14 +210,14 @@
         shard,
         own: entry.candidate(),
         terms_held: node.terms_held(),
-        // Whoever handed it on lets those pass that it was meant for.
+        // A node that handed the shard over lets the stronger nodes go first.
         last_orderer: last_orderer.filter(|_| !handed_on_lately(node, shard)),
     };
     candidacy.queue_position(state.members.nodes().map(MemberEntry::candidate))
 }
 
-/// True if this node handed the shard on not long ago: either it was taken, or the stronger
-/// nodes cannot take it, and to hand it on again would only cost orders.
+/// Returns whether this node handed the shard over recently. Either another node has taken it,
+/// or the stronger nodes cannot, and another attempt would only interrupt orders.
 pub(super) fn handed_on_lately<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
     let handed_on_at = node.handed_on_at[shard.index()].get();
     handed_on_at.is_some_and(|at| node.clock.now().since(at) < HANDS_ON_AGAIN)
@@ -240,9 +245,8 @@
     Some(keys)
 }
 
-/// Writes the orderer's key, if the keys still stand as they were read; answers
-/// the revision, which is the fencing token. A machine that continues writes its
-/// record with it.
+/// Writes the orderer's key if the keys have not changed since they were read. Returns its
+/// revision, which is the fencing token. A machine that continues also writes its record.
 async fn claim_key<P: Platform>(
     node: &Node<P>,
     shard: Shard,
@@ -252,7 +256,7 @@
     start: TermStart,
 ) -> Option<u64> {
     let present = revision_of(&keys.present);
-    // First: the answer names the revision of what is written last.
+    // The era is written first, as the answer contains the revision of the last write.
     let is_era_wanted = keys.era.is_none() && start != TermStart::AfterRestore;
     let era = write_record_era(node, shard).filter(|_| is_era_wanted);
     let mut writes: Vec<Write> = era.into_iter().collect();
@@ -270,7 +274,8 @@
     match node.store().put(put).await {
         Ok(PutOutcome::Done { revision }) => Some(revision),
         Err(StoreError::NoAnswer) => {
-            // It may have been done: the key then carries this very process, at a later revision.
+            // The write may have succeeded. If so, the key holds this process's entry at a
+            // later revision.
             let now_present = read_keys(node, shard).await?.present?;
             let is_ours = now_present.value == *entry && now_present.revision > present;
             is_ours.then_some(now_present.revision)
@@ -279,8 +284,8 @@
     }
 }
 
-/// Records this machine as the last that could order, if it still holds the key
-/// at the revision `fencing_token`; answers the record's revision.
+/// Records this machine as the last that was allowed to order, if it still holds the key at
+/// the revision `fencing_token`. Returns the record.
 pub(super) async fn record_last<P: Platform>(
     node: &Node<P>,
     shard: Shard,
@@ -319,7 +324,8 @@
     }
 }
 
-/// The present era as that of the record; nothing at a store without eras.
+/// Returns the write that marks the record as made in the present era; `None` at a store
+/// without eras.
 fn write_record_era<P: Platform>(node: &Node<P>, shard: Shard) -> Option<Write> {
     let present = node.platform.store().era();
     let era = RecordEra {
--- a/crates/croftrill-node/src/orderer_task/decision_log.rs
+++ b/crates/croftrill-node/src/orderer_task/decision_log.rs
@@ -1,4 +1,4 @@
-//! How the orderer's decisions stand in the log and in the metrics.
+//! Log lines and metric labels of the orderer's decisions and orders.
 
 use croftrill_scheduler::orderer::Decision;
 use croftrill_scheduler::replica::{Order, OrderOutcome};
--- a/crates/croftrill-node/src/orderer_task/limited.rs
+++ b/crates/croftrill-node/src/orderer_task/limited.rs
@@ -1,5 +1,5 @@
-//! Orders and questions for reports at replicas that named a limit: the replica counts
-//! them with callers' requests, so they take their turns and come rarely.
+//! Orders and report requests to replicas with a limit. The replica counts them like callers'
+//! requests, so each needs a reservation, and their rate is limited.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::quota::{Credit, LimitVerdict};
 use crate::replica_turn;
 
-/// Part of a limit that an orderer's calls take at most. The rest is its callers': a load
-/// needs an order and a report, and serves many requests.
+/// Maximum fraction of a limit for an orderer's calls. The remainder is for callers: a load
+/// needs one order and one report, and serves many requests.
 const CONTROL_PART: f64 = 0.25;
 
-/// When the next call may go to each replica that named a limit.
+/// Times of the next call to each replica with a limit.
 #[derive(Debug, Default)]
 pub(super) struct ControlPace {
     next_at: HashMap<ReplicaId, Moment>,
 }
 
 impl ControlPace {
-    /// A call goes to the replica now, or would if its turn came in time.
+    /// Records that a call to the replica is made now, whether or not it gets a reservation.
     pub(super) fn note_call<P: Platform>(&mut self, node: &Node<P>, replica: &ReplicaId) {
         let Some((limit, _)) = node.state.borrow().replicas.limit_of(replica) else {
             return;
@@ -34,7 +34,7 @@
         self.next_at.insert(replica.clone(), node.clock.now() + pause);
     }
 
-    /// Replicas whose pause is over since the last time.
+    /// Returns the replicas whose pause has ended since the last call.
     pub(super) fn take_due(&mut self, now: Moment) -> Vec<ReplicaId> {
         let due = self.next_at.iter().filter(|(_, at)| **at <= now);
         let due: Vec<ReplicaId> = due.map(|(id, _)| id.clone()).collect();
@@ -44,21 +44,22 @@
         due
     }
 
-    /// True while no call should go to the replica.
+    /// Returns whether no call may be made to the replica yet.
     pub(super) fn is_paused(&self, replica: &str) -> bool {
         self.next_at.contains_key(replica)
     }
 }
 
-/// Whether an orderer's call may go to a replica now.
+/// Whether an orderer's call may be sent to a replica now.
 pub(super) enum ControlTurn {
-    /// It may. The turn goes back unless the credit is spent.
+    /// The call may be sent. The reservation is returned unless the credit is spent.
     Taken(Option<Credit>),
-    /// The replica takes no more now.
+    /// The replica's limit is used up.
     Refused,
 }
 
-/// Takes a call's turn at a replica, and waits for it, `patience` at most.
+/// Requests a reservation for a call, and waits until its time, which is at most `patience`
+/// ahead.
 pub(super) async fn take_turn<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -1,4 +1,4 @@
-//! What the orderer of a shard tells all nodes of its replicas' loads.
+//! Publishes the loads of a shard's replicas from its orderer to all nodes.
 
 use std::time::Duration;
 
@@ -15,22 +15,22 @@
 use crate::peer::{FromOrderer, WireLoads, WIRE_LOAD_BYTES};
 use crate::ports::Platform;
 
-/// Bytes of accounts a second for each node, from all orderers together: with the rest of
-/// their messages below the 2 KB that a node has for control.
+/// Bytes of samples per second that each node receives from all orderers together. With the
+/// orderers' other messages this stays below a node's 2 KB for control traffic.
 const BYTES_PER_S: u32 = 1500;
-/// Least time between two tellings.
+/// Minimum time between two messages.
 const TELL_EVERY: Duration = Duration::from_millis(150);
-/// Time between two lines of the log.
+/// Minimum time between two log lines about samples.
 const LOG_EVERY: Duration = Duration::from_secs(1);
-/// Tellings that a slow listener may fall behind before it misses the oldest.
+/// Number of messages by which a slow listener may lag before it misses the oldest.
 const BACKLOG: usize = 4;
 
-/// The loads of a shard's replicas, and who is told of them.
+/// The loads of a shard's replicas, and the subscribers to them.
 pub(super) struct ShardLoads {
     telling: LoadPublisher,
     listeners: broadcast::Sender<Bytes>,
     told_at: Moment,
-    /// What was told since the last line of the log.
+    /// Counts since the last log line.
     told: ToldCounts,
 }
 
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Where to listen.
+    /// Returns the sender at which subscribers receive the messages.
     pub(super) fn listeners(&self) -> broadcast::Sender<Bytes> {
         self.listeners.clone()
     }
 
-    /// Nodes heard these.
+    /// Applies samples from nodes.
     pub(super) fn hear<P: Platform>(
         &mut self,
         node: &Node<P>,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Tells what is due.
+    /// Publishes the samples that are due.
     pub(super) fn tell<P: Platform>(&mut self, node: &Node<P>, now: Moment) {
         if self.telling.is_empty() || now.since(self.told_at) < TELL_EVERY {
             return;
@@ -98,7 +98,7 @@
         }
         load_news::pass_on(node, &due.samples, now);
         let message = FromOrderer::Loads(WireLoads::from_accounts(&due.samples, now)).encode();
-        // It fails only while nobody listens.
+        // Sending fails only while there are no subscribers.
         let _ = self.listeners.send(message);
     }
 }
@@ -108,7 +108,7 @@
         self.accounts += accounts;
         self.left_out += left_out;
         if now.since(self.since) >= LOG_EVERY {
-            tracing::debug!(target: "load news", event = "accounts told", accounts = self.accounts,
+            tracing::debug!(target: "load news", event = "samples published", accounts = self.accounts,
                 left_out = self.left_out);
             *self = ToldCounts {
                 since: now,
--- a/crates/croftrill-node/src/orderer_task/mod.rs
+++ b/crates/croftrill-node/src/orderer_task/mod.rs
@@ -1,7 +1,8 @@
-//! Holds the orderer's lease when it is free, and carries out the orderer's plans.
+//! Acquires the orderer's lease when it is free, and executes the orderer's plans.
 //!
-//! [`acquisition`] takes the lease, [`term`] uses it, [`decision_log`] says what
-//! was decided.
+//! [`acquisition`] acquires the lease, [`term`] runs the orderer while it is held, [`limited`]
+//! limits calls to replicas with a limit, [`loads`] publishes loads, and [`decision_log`] logs
+//! decisions.
 
 mod acquisition;
 mod decision_log;
@@ -32,39 +33,39 @@
 /// An event for the orderer task.
 #[derive(Debug)]
 pub enum OrdererInput {
-    /// A node's message.
+    /// A message from a node.
     FromNode(ToOrderer),
-    /// Replicas' loads, as nodes heard of them.
+    /// Load samples from nodes.
     Loads(Vec<LoadSample>),
     /// The list of replicas or the configuration changed.
     DirectoryChanged,
-    /// The watch of the store was answered.
+    /// The watch of the store returned changes.
     Watched(WatchedSpan),
-    /// A node wants all placements, then every change.
+    /// A node subscribes to all placements and their changes.
     Subscribe(oneshot::Sender<Subscription>),
     /// An order was answered.
     OrderAnswered {
         /// The replica.
         replica: ReplicaId,
-        /// When the incarnation that was meant started, if it tells.
+        /// When the addressed incarnation started, if it reports that.
         started_ms: Option<StartedMs>,
         /// Its answer.
         outcome: OrderOutcome,
     },
-    /// A report came, or did not.
+    /// A report was received, or the call failed.
     Reported {
         /// The replica.
         replica: ReplicaId,
-        /// What it reported.
+        /// The report, if one was received.
         report: Option<ReplicaReport>,
-        /// When it was asked.
+        /// When the report was requested.
         asked_at: Moment,
     },
-    /// The store was asked to record this machine as the last orderer.
+    /// The write that records this machine as the last orderer ended.
     Recorded {
-        /// Token of the lease under which it was asked.
+        /// Fencing token of the term that requested it.
         fencing_token: u64,
-        /// The record, if it did.
+        /// The record, if it was written.
         record: Option<Record>,
     },
     /// A renewal of the lease ended.
@@ -76,18 +77,18 @@
     },
 }
 
-/// What a node gets that listens to the orderer: encoded messages, shared by all links.
+/// A node's subscription to the orderer: encoded messages, shared by all links.
 #[derive(Debug)]
 pub struct Subscription {
-    /// Everything that is known now.
+    /// All placements known now.
     pub first: Vec<Bytes>,
-    /// What follows.
+    /// Later changes.
     pub changes: broadcast::Receiver<Bytes>,
-    /// News of replicas' loads, for those who understand them.
+    /// Load samples, for nodes that support them.
     pub loads: broadcast::Sender<Bytes>,
 }
 
-/// Runs the orderer's part of a node for one shard until it stops.
+/// Runs a node's orderer task for one shard until the node stops.
 pub async fn run<P: Platform>(
     node: Rc<Node<P>>,
     shard: Shard,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Events that reach a node that does not give orders concern nobody.
+/// Discards events that arrived while this node was not the orderer.
 fn drain(inbox: &mut mpsc::Receiver<OrdererInput>) {
     while inbox.try_recv().is_ok() {}
 }
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -1,4 +1,4 @@
-//! The time during which a node holds the orderer's lease.
+//! A term: the time during which a node holds the orderer's lease.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,55 +37,56 @@
 use crate::store_era::same_era;
 use crate::tree;
 
-/// Time from the decision on an order after which it is not sent any more: less than
-/// the lease's margin, and more than a busy node takes to begin a task.
+/// Time after the decision on an order after which it is not sent any more: shorter than the
+/// lease's margin, and longer than a busy node takes to start a task.
 const LONGEST_ORDER_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest wait of a question for a report for its turn at a replica in need: its answer
-/// must not be taken for much newer than the question.
+/// Maximum wait of a report request for its reservation at a replica with a limit: the orderer
+/// dates the report by its request, so the replica must receive the request soon.
 const LONGEST_REPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// Least length of a term that is handed on: in less, nodes that start together may not be
-/// listed, and not know of each other's terms.
+/// Minimum age of a term at which its shard may be handed over. Before, nodes that start
+/// together may not be listed yet, or may not know of each other's terms.
 const LEAST_TERM: Duration = Duration::from_secs(3);
-/// Time between two looks for stronger nodes, at the whole list of nodes.
+/// Interval at which the full list of nodes is checked for stronger ones.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Time between two looks at the loads that nodes told of: the orderer weighs holders as
-/// often.
+/// Interval at which the orderer reads the loads that this node knows; it reconsiders the
+/// number of holders at the same interval.
 const LOADS_EVERY: Duration = Duration::from_millis(250);
 
-/// Changes that a slow listener may fall behind before it must begin anew.
+/// Number of changes by which a slow subscriber may lag before it must subscribe anew.
 const CHANGE_BACKLOG: usize = 128;
 
-/// The time during which a node holds the lease.
+/// The state of a node while it holds the lease.
 pub(super) struct Term<P: Platform> {
     node: Rc<Node<P>>,
     shard: Shard,
     lease: OrdererLease,
     orderer: Orderer,
     changes: broadcast::Sender<Bytes>,
-    /// What it tells of replicas' loads.
+    /// The loads that it publishes.
     loads: ShardLoads,
-    /// All placements, encoded, as long as nothing changed.
+    /// All placements, encoded; `None` if they changed since they were last encoded.
     snapshot: Option<Vec<Bytes>>,
     last_renewal: Moment,
     last_alive: Moment,
     renewing: bool,
     entry: MemberEntry,
     recording: bool,
-    /// The list of replicas or what is known of them changed since the last plan.
+    /// True if the list of replicas, their state or the configuration changed since the last
+    /// plan.
     directory_changed: bool,
-    /// How far the orderer has followed the table of replicas.
+    /// Version of the replica table that the orderer has applied.
     followed: TableVersion,
-    /// Fencing token, and the record under which this term could order.
+    /// Fencing token and record under which this term may order, retained after the lease ends.
     authority: Option<(u64, Record)>,
-    /// Orders under way. They end with the term: none may leave after it.
+    /// Orders in flight. They are aborted at the end of the term, as none may be sent after it.
     orders: JoinSet<()>,
-    /// The pace of calls to replicas that named a limit.
+    /// Rate limits of calls to replicas with a limit.
     pace: ControlPace,
-    /// When it looks next for stronger nodes.
+    /// Time of the next check for stronger nodes.
     next_look: Moment,
-    /// When the orderer is told next of loads.
+    /// Time of the next update of the orderer's loads.
     next_loads: Moment,
 }
 
@@ -150,7 +151,8 @@
         }
     }
 
-    /// True while the lease is valid and the node does not stop.
+    /// Returns whether the term continues: the lease is valid, the node is not stopping, and the
+    /// shard is not handed over.
     pub(super) fn continues(&mut self) -> bool {
         let now = self.node.clock.now();
         if self.node.lifecycle() == Lifecycle::Stopping {
@@ -162,17 +164,18 @@
             .token(now)
             .is_some_and(|token| !same_era(token, present))
         {
-            // What stands in the store now may be of before this lease, or of after it.
-            tracing::warn!(target: "orderer", event = "the lease is of a former era of the store");
+            // The store's present state may be older than this lease, or include later leases.
+            tracing::warn!(target: "orderer", event = "lease is from an earlier era of the store");
             self.lease.clear();
         }
         if self.lease.expire(now) {
-            tracing::warn!(target: "orderer", event = "lease expired without renewal");
+            tracing::warn!(target: "orderer", event = "lease expired before it was renewed");
         }
         self.lease.lease().is_some() && !self.hands_on(now)
     }
 
-    /// True once the shard is to go to a node with much more processor time.
+    /// Checks from time to time for a node with much more processor time. Returns true if the
+    /// shard should be handed over to one.
     fn hands_on(&mut self, now: Moment) -> bool {
         if now < self.next_look || self.renewing {
             return false;
@@ -186,7 +189,7 @@
         if !should_hand_over(self.entry.candidate(), idle_nodes(&state.members)) {
             return false;
         }
-        tracing::info!(target: "orderer", event = "hands on to a stronger node", shard = self.shard.index(),
+        tracing::info!(target: "orderer", event = "handing over to a stronger node", shard = self.shard.index(),
             processor_millicores = self.entry.processor_millicores);
         node.handed_on_at[self.shard.index()].set(Some(now));
         true
@@ -240,7 +243,8 @@
         });
     }
 
-    /// Records this machine in the store before its first order, and when it is settled.
+    /// Records this machine in the store before its first order, and again once the record is
+    /// settled.
     pub(super) fn record_if_due(&mut self, now: Moment) {
         let wanted = self.lease.missing_record(now).filter(|_| !self.recording);
         let (Some(kind), Some(fencing_token)) = (wanted, self.lease.token(now)) else {
@@ -268,7 +272,8 @@
         }
     }
 
-    /// Keeps what a resignation must name, as the lease may be over by then.
+    /// Stores the token and record that a resignation must name, as the lease may have ended by
+    /// then.
     fn note_authority(&mut self, now: Moment) {
         let token = self.lease.token(now);
         self.authority = token.zip(self.lease.record()).or(self.authority);
@@ -301,7 +306,7 @@
         let target = self.address(&replica);
         let token = self.lease.order_token(now);
         let (Some(target), Some(fencing_token)) = (target, token) else {
-            // Not sent, so nothing happened.
+            // The order was not sent; like a conflict, this changed nothing at the replica.
             self.orderer
                 .record_order_outcome(&replica, OrderOutcome::Conflict, now);
             return;
@@ -318,7 +323,7 @@
         self.orders.spawn_local(async move {
             let turn = take_turn(&node, &target.replica, "order", LONGEST_ORDER_DELAY / 2, true).await;
             let sent_at = node.clock.now();
-            // The lease may have run out while the process stood still.
+            // The lease may have expired while the process was suspended.
             let is_fresh = sent_at.since(now) <= LONGEST_ORDER_DELAY;
             let answered = match turn {
                 ControlTurn::Taken(credit) if is_fresh => {
@@ -416,7 +421,7 @@
                 outcome,
             } => {
                 if outcome == OrderOutcome::Fenced {
-                    tracing::warn!(target: "orderer", event = "a newer token was seen", replica = &*replica);
+                    tracing::warn!(target: "orderer", event = "replica has seen a newer fencing token", replica = &*replica);
                     self.lease.clear();
                 }
                 self.orderer
@@ -443,7 +448,7 @@
         match result {
             Ok(()) => self.lease.record_renewal(asked_at),
             Err(StoreError::NoSuchLease) => {
-                tracing::warn!(target: "orderer", event = "lease is over at the store");
+                tracing::warn!(target: "orderer", event = "lease has ended at the store");
                 self.lease.clear();
             }
             Err(error) => tracing::warn!(target: "orderer", event = "renewal failed", %error),
@@ -458,11 +463,11 @@
                     self.orderer.count_demand(&key, &item.asked(), now);
                 }
             }
-            // Only a link's first message.
+            // These only occur as a link's first message.
             ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::AskQuotas(_) => {}
-            // For relays.
+            // These are for relays.
             ToOrderer::Want(_) | ToOrderer::Forget(_) => {}
-            // Taken by the link itself.
+            // These are handled by the link.
             ToOrderer::Replay(_) | ToOrderer::Crashes(_) | ToOrderer::Loads(_) => {}
             ToOrderer::Waiting(model) => self.orderer.mark_waiting(&model.to_key(), now),
         }
@@ -481,16 +486,16 @@
         let _ = reply.send(subscription);
     }
 
-    /// Tells all nodes what the store told.
+    /// Publishes changes of the store to all nodes.
     pub(super) fn relay(&mut self, span: WatchedSpan, now: Moment) {
         for part in span.into_news(now) {
-            // It fails only while nobody listens.
+            // Sending fails only while there are no subscribers.
             let _ = self.changes.send(FromOrderer::Directory(part).encode());
         }
         self.last_alive = now;
     }
 
-    /// Brings the orderer's list of replicas in line with the node's.
+    /// Applies changes of the node's replica table and configuration to the orderer.
     pub(super) fn sync_directory(&mut self) {
         let now = self.node.clock.now();
         let state = self.node.state.borrow();
@@ -516,8 +521,8 @@
         }
     }
 
-    /// Tells the orderer of the loads that this node knows: of other shards' replicas, too,
-    /// as a place is chosen among all.
+    /// Records the loads that this node knows at the orderer. Those of other shards' replicas
+    /// are included, as models are placed on replicas of all shards.
     fn hear_loads_if_due(&mut self, now: Moment) {
         if now < self.next_loads || !load_news::is_on(&self.node) {
             return;
@@ -549,19 +554,19 @@
         }
     }
 
-    /// Tells all nodes what replicas hold.
+    /// Publishes placements to all nodes.
     fn tell_placements(&self, placements: &[Placement], now: Moment) {
         let wire = placements.iter();
         let wire = wire.map(|placement| WirePlacement::from_placement(placement, now));
         for part in WirePlacement::in_parts(wire.collect()) {
             let message = FromOrderer::Placements(part.clone().into()).encode();
             tree::pass_on_placements(&self.node, &part, &message);
-            // It fails only while nobody listens.
+            // Sending fails only while there are no subscribers.
             let _ = self.changes.send(message);
         }
     }
 
-    /// Tells all nodes what a successor must know. No order leaves after this.
+    /// Publishes what a successor must know to all nodes. No order is sent after this.
     fn resign(&self) {
         let Some((fencing_token, record)) = self.authority else {
             return;
@@ -588,7 +593,7 @@
         self.node.hear_resignation(self.shard, peer, resignation);
     }
 
-    /// Gives the lease back if it is still held.
+    /// Ends the term: resigns, and releases the lease if it is still held.
     pub(super) async fn end(mut self) {
         self.node.term_ended();
         self.node.state.borrow_mut().replicas.orderer_lost(self.shard);
@@ -603,7 +608,7 @@
     }
 }
 
-/// Nodes that are no orderers.
+/// Returns the nodes that are not orderers.
 fn idle_nodes(members: &Members) -> impl Iterator<Item = Candidate<'_>> {
     let is_idle = |node: &&MemberEntry| !members.orderers().any(|(_, orderer)| orderer.name == node.name);
     members.nodes().filter(is_idle).map(MemberEntry::candidate)
