--- a/crates/croftrill-node/src/crash_trial.rs
+++ b/crates/croftrill-node/src/crash_trial.rs
@@ -41,7 +41,8 @@
         tokio::task::spawn_local(async move {
             sleep(END_IS_KNOWN).await;
             if let Err(error) = node.store().end_lease(lease).await {
-                tracing::debug!(target: "crash", event = "trial key not released; it expires with its lease", %error);
+                tracing::debug!(target: "crash", event = "trial key not released; it expires with its lease",
+                    %error);
             }
         });
     }
@@ -67,7 +68,8 @@
         }),
         Ok(None) => TrialOutcome::Lost,
         Err(error) => {
-            tracing::info!(target: "crash", event = "request not limited to one run at a time; the store did not answer", %fingerprint, %error);
+            tracing::info!(target: "crash",
+                event = "request not limited to one run at a time; the store did not answer", %fingerprint, %error);
             TrialOutcome::Unknown
         }
     }
--- a/crates/croftrill-node/src/crash_watch.rs
+++ b/crates/croftrill-node/src/crash_watch.rs
@@ -79,8 +79,8 @@
     if refused {
         note_end(&node, &replica, incarnation, &broken);
     } else {
-        tracing::info!(target: "crash", event = "requests broke, but the replica is not known to have ended", replica = &*replica,
-            requests = broken.len(), connected = ?connected.map(|connected| connected.is_ok()));
+        tracing::info!(target: "crash", event = "requests broke, but the replica is not known to have ended",
+            replica = &*replica, requests = broken.len(), connected = ?connected.map(|connected| connected.is_ok()));
     }
     node.crash_judged.notify_waiters();
 }
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -110,7 +110,8 @@
         quiet_period: least_gap(node),
     });
     held.record_acquisition(lease, fencing_token, asked_at, node.clock.now(), start);
-    tracing::info!(target: "orderer", event = "lease acquired", shard = shard.index(), fencing_token, lease, ?start);
+    tracing::info!(target: "orderer", event = "lease acquired", shard = shard.index(), fencing_token,
+        lease, ?start);
     let inherited = heard.filter(|_| matches!(start, TermStart::HandedOver { .. }));
     Some(Acquired {
         lease: held,
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -189,8 +189,8 @@
         if !should_hand_over(self.entry.candidate(), idle_nodes(&state.members)) {
             return false;
         }
-        tracing::info!(target: "orderer", event = "handing over to a stronger node", shard = self.shard.index(),
-            processor_millicores = self.entry.processor_millicores);
+        tracing::info!(target: "orderer", event = "handing over to a stronger node",
+            shard = self.shard.index(), processor_millicores = self.entry.processor_millicores);
         node.handed_on_at[self.shard.index()].set(Some(now));
         true
     }
@@ -421,7 +421,8 @@
                 outcome,
             } => {
                 if outcome == OrderOutcome::Fenced {
-                    tracing::warn!(target: "orderer", event = "replica has seen a newer fencing token", replica = &*replica);
+                    tracing::warn!(target: "orderer", event = "replica has seen a newer fencing token",
+                        replica = &*replica);
                     self.lease.clear();
                 }
                 self.orderer
--- a/crates/croftrill-node/src/own_word.rs
+++ b/crates/croftrill-node/src/own_word.rs
@@ -24,8 +24,8 @@
     drop(state);
     if let Some(rest) = word.cooldown {
         Metrics::count(&node.metrics.replica_words, "rest", "heard");
-        tracing::info!(target: "replica", event = "requests a cooldown", replica = &**replica, answer_to, ?listed,
-            rest_ms = rest.as_millis() as u64);
+        tracing::info!(target: "replica", event = "requests a cooldown", replica = &**replica, answer_to,
+            ?listed, rest_ms = rest.as_millis() as u64);
     }
     if news.limit {
         let limit_per_s = limit.map(|(limit, _)| limit.rate.per_s());
@@ -39,7 +39,8 @@
     }
     if news.leaving {
         Metrics::count(&node.metrics.replica_words, "leaving", "heard");
-        tracing::info!(target: "replica", event = "signals that it is leaving", replica = &**replica, answer_to, ?listed);
+        tracing::info!(target: "replica", event = "signals that it is leaving", replica = &**replica, answer_to,
+            ?listed);
     }
     if news != SignalChanges::default() {
         node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
