--- a/crates/croftrill-node/src/crash_reports.rs
+++ b/crates/croftrill-node/src/crash_reports.rs
@@ -29,13 +29,13 @@
 /// Prefix of the keys of reports.
 const REPORT_PREFIX: &str = "croftrill/crashes/";
 /// Delay before a write, so that one write covers all ends of replicas of one rack.
-const GATHER: Duration = Duration::from_millis(40);
+const BATCH_DELAY: Duration = Duration::from_millis(40);
 /// Average delay before a failed write is retried. Including the latencies of the store
 /// and the relays, a report reaches all nodes within a second of the store's recovery.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const AVERAGE_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Age from which a lease is not used for further writes, so that each written report is
 /// stored nearly as long as a full lease.
-const LEASE_USED_FOR: Duration = Duration::from_secs(60);
+const MAX_LEASE_REUSE_AGE: Duration = Duration::from_secs(60);
 
 /// Returns whether a key of the store is that of a node's report.
 pub(crate) fn is_report(key: &str) -> bool {
@@ -43,7 +43,7 @@
 }
 
 /// Applies a node's report that was written to the store.
-pub(crate) fn report_written<P: Platform>(node: &Node<P>, item: &Item) {
+pub(crate) fn apply_report<P: Platform>(node: &Node<P>, item: &Item) {
     let Ok(report) = decode::<WireCrashReport>(&item.value) else {
         tracing::warn!(target: "crash", event = "report cannot be read", key = item.key);
         return;
@@ -55,17 +55,17 @@
 
 /// Handles the removal of a key from the store: if it held this node's report, the report
 /// is published again.
-pub(crate) fn key_removed<P: Platform>(node: &Node<P>, key: &str) {
+pub(crate) fn handle_removed_key<P: Platform>(node: &Node<P>, key: &str) {
     let own = key
         .strip_prefix(REPORT_PREFIX)
         .and_then(|rest| rest.split('/').next());
     if own == Some(node.settings.identity.name.as_str()) {
-        tell_again(node);
+        republish(node);
     }
 }
 
 /// Publishes this node's report again, since the store may have lost it.
-pub(crate) fn tell_again<P: Platform>(node: &Node<P>) {
+pub(crate) fn republish<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let has_some = !node.state.borrow_mut().crash_ledger.own_report(now).is_empty();
     if has_some {
@@ -74,15 +74,15 @@
 }
 
 /// Records that a replica ended when these requests had just started there.
-pub(crate) fn replica_ended<P: Platform>(
+pub(crate) fn record_replica_end<P: Platform>(
     node: &Node<P>,
     replica: EndedReplica,
-    begun: impl Iterator<Item = Fingerprint>,
+    just_started: impl Iterator<Item = Fingerprint>,
 ) {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let mut count = 0;
-    for fingerprint in begun {
+    for fingerprint in just_started {
         state.crash_ledger.record_end(fingerprint, replica, now);
         count += 1;
     }
@@ -106,7 +106,7 @@
 }
 
 /// Clears a request that a replica answered completely.
-pub(crate) fn answered_whole<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
+pub(crate) fn record_complete_answer<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) {
     let now = node.clock.now();
     let is_cleared = node.state.borrow_mut().crash_ledger.clear(fingerprint, now);
     if is_cleared {
@@ -150,7 +150,7 @@
 /// The lease under which this node's report is stored.
 #[derive(Debug, Clone, Copy)]
 struct ReportLease {
-    number: u64,
+    id: u64,
     granted_at: Moment,
 }
 
@@ -161,7 +161,7 @@
     let mut lease = None;
     loop {
         node.crash_report_changed.notified().await;
-        sleep(GATHER).await;
+        sleep(BATCH_DELAY).await;
         let mut failures = 0;
         while let Err(error) = write(&node, &key, &mut lease).await {
             failures += 1;
@@ -170,9 +170,9 @@
                 tracing::warn!(target: "crash", event = "report not written", %error);
             }
             // Sent on each attempt, as the report may have grown since the last.
-            hand_over(&node);
+            send_to_orderers(&node);
             let share = rand::rng().random_range(0.5..1.5);
-            sleep(RETRY_PAUSE.mul_f64(share)).await;
+            sleep(AVERAGE_RETRY_DELAY.mul_f64(share)).await;
         }
     }
 }
@@ -185,11 +185,11 @@
 ) -> Result<(), StoreError> {
     let store = node.store();
     let now = node.clock.now();
-    let usable = lease.filter(|lease| now.since(lease.granted_at) < LEASE_USED_FOR);
+    let usable = lease.filter(|lease| now.since(lease.granted_at) < MAX_LEASE_REUSE_AGE);
     let usable = match usable {
         Some(lease) => lease,
         None => ReportLease {
-            number: store.grant_lease(REPORT_RETENTION).await?,
+            id: store.grant_lease(REPORT_RETENTION).await?,
             granted_at: now,
         },
     };
@@ -199,7 +199,7 @@
     let write = Write {
         key: key.to_string(),
         value: Bytes::from(WireCrashReport::from_report(&report).serialize_bin()),
-        lease: usable.number,
+        lease: usable.id,
     };
     let put = ConditionalPut {
         conditions: Vec::new(),
@@ -211,7 +211,7 @@
 }
 
 /// Sends the report to the nodes that this one listens to, which add it to theirs.
-fn hand_over<P: Platform>(node: &Node<P>) {
+fn send_to_orderers<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let report = node.state.borrow_mut().crash_ledger.own_report(now);
     let wire = WireCrashReport::from_report(&report);
--- a/crates/croftrill-node/src/crash_watch.rs
+++ b/crates/croftrill-node/src/crash_watch.rs
@@ -92,12 +92,13 @@
     incarnation: EndedReplica,
     broken: &[BrokenRequest],
 ) {
-    let begun: Vec<&BrokenRequest> = broken.iter().filter(|request| request.had_just_begun()).collect();
+    let just_started: Vec<&BrokenRequest> =
+        broken.iter().filter(|request| request.had_just_begun()).collect();
     tracing::warn!(target: "crash", event = "replica ended", replica = &**replica, requests = broken.len(),
-        had_just_begun = begun.len());
-    let fingerprints = begun.iter().map(|request| request.fingerprint);
-    crash_reports::replica_ended(node, incarnation, fingerprints);
-    for request in begun {
+        had_just_begun = just_started.len());
+    let fingerprints = just_started.iter().map(|request| request.fingerprint);
+    crash_reports::record_replica_end(node, incarnation, fingerprints);
+    for request in just_started {
         tracing::info!(target: "crash", event = "had just begun at a replica that ended", id = request.id,
             fingerprint = %request.fingerprint, replica = &**replica,
             caller = request.caller.map(|caller| tracing::field::display(caller.0)),
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -157,7 +157,7 @@
                 state.members.removed(key);
             }
             drop(state);
-            crash_reports::key_removed(node, key);
+            crash_reports::handle_removed_key(node, key);
         }
     }
 }
@@ -180,7 +180,7 @@
                 node.state.borrow_mut().replicas.remove(&id);
             }
         }
-        Record::Other if crash_reports::is_report(&item.key) => crash_reports::report_written(node, item),
+        Record::Other if crash_reports::is_report(&item.key) => crash_reports::apply_report(node, item),
         Record::Other => {
             if let Some(era) = membership::read_record_era(item) {
                 node.platform.store().era().learn_first(era.first);
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -67,7 +67,7 @@
     /// A replica answered whole, so the request did not crash it.
     pub(super) fn answered_whole(&self) {
         if !self.node.state.borrow().crash_ledger.is_empty() {
-            crash_reports::answered_whole(&self.node, self.fingerprint());
+            crash_reports::record_complete_answer(&self.node, self.fingerprint());
         }
     }
 
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -89,7 +89,7 @@
         let (newest, first) = (era.newest(), era.first());
         tracing::warn!(target: "store", event = "a new era: what was written since an older copy is lost", newest, first);
         node.metrics.store_rises.inc();
-        crash_reports::tell_again(&node);
+        crash_reports::republish(&node);
         node.relay_changed.notify_waiters();
     }
 }
