--- a/crates/croftrill-node/src/crash_trial.rs
+++ b/crates/croftrill-node/src/crash_trial.rs
@@ -21,13 +21,13 @@
 const TRIAL_PREFIX: &str = "croftrill/trials/";
 /// Maximum time for which a trial blocks others: the 2 s within which a request crashes its
 /// replica after it starts, and a second until all nodes know of the end.
-const LONGEST_TRIAL: Duration = Duration::from_secs(3);
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(3);
 /// Maximum wait for the key: much longer than two store calls take (10 ms), and short
 /// compared with objectives (500 ms). A request does not wait for a slow or unreachable store.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_STORE_WAIT: Duration = Duration::from_millis(100);
 /// Time until all nodes know that a trial crashed its replica: until the node has detected
 /// it (10 ms) and written it (50 ms), and the relays have published it.
-const END_IS_KNOWN: Duration = Duration::from_millis(400);
+const RELEASE_DELAY: Duration = Duration::from_millis(400);
 
 /// A run of a request that blocks other copies of the request until it is dropped.
 pub(crate) struct Trial<P: Platform> {
@@ -39,7 +39,7 @@
     fn drop(&mut self) {
         let (node, lease) = (self.node.clone(), self.lease);
         tokio::task::spawn_local(async move {
-            sleep(END_IS_KNOWN).await;
+            sleep(RELEASE_DELAY).await;
             if let Err(error) = node.store().end_lease(lease).await {
                 tracing::debug!(target: "crash", event = "trial key not released; it expires with its lease",
                     %error);
@@ -51,35 +51,38 @@
 /// Whether a trial may start.
 pub(crate) enum TrialOutcome<P: Platform> {
     /// The trial may start.
-    Won(Trial<P>),
+    Acquired(Trial<P>),
     /// Another trial of the request is running.
-    Lost,
+    Busy,
     /// The store did not answer.
-    Unknown,
+    StoreUnavailable,
 }
 
 /// Acquires the trial key of a request.
-pub(crate) async fn begin<P: Platform>(node: &Rc<Node<P>>, fingerprint: Fingerprint) -> TrialOutcome<P> {
-    let taken = timeout(LONGEST_WAIT, take_key(node, fingerprint)).await;
-    match taken.unwrap_or(Err(StoreError::NoAnswer)) {
-        Ok(Some(lease)) => TrialOutcome::Won(Trial {
+pub(crate) async fn acquire<P: Platform>(node: &Rc<Node<P>>, fingerprint: Fingerprint) -> TrialOutcome<P> {
+    let created = timeout(MAX_STORE_WAIT, create_key(node, fingerprint)).await;
+    match created.unwrap_or(Err(StoreError::NoAnswer)) {
+        Ok(Some(lease)) => TrialOutcome::Acquired(Trial {
             node: node.clone(),
             lease,
         }),
-        Ok(None) => TrialOutcome::Lost,
+        Ok(None) => TrialOutcome::Busy,
         Err(error) => {
             tracing::info!(target: "crash",
                 event = "request not limited to one run at a time; the store did not answer", %fingerprint, %error);
-            TrialOutcome::Unknown
+            TrialOutcome::StoreUnavailable
         }
     }
 }
 
 /// Creates the key and returns its lease; `None` if another trial holds the key.
-async fn take_key<P: Platform>(node: &Node<P>, fingerprint: Fingerprint) -> Result<Option<u64>, StoreError> {
+async fn create_key<P: Platform>(
+    node: &Node<P>,
+    fingerprint: Fingerprint,
+) -> Result<Option<u64>, StoreError> {
     let store = node.store();
     let key = format!("{TRIAL_PREFIX}{fingerprint}");
-    let lease = store.grant_lease(LONGEST_TRIAL).await?;
+    let lease = store.grant_lease(MAX_TRIAL_DURATION).await?;
     let absent = Expectation {
         key: key.clone(),
         revision: 0,
@@ -93,6 +96,6 @@
         conditions: vec![absent],
         writes: vec![write],
     };
-    let taken = matches!(store.put(put).await?, PutOutcome::Done { .. });
-    Ok(taken.then_some(lease))
+    let created = matches!(store.put(put).await?, PutOutcome::Done { .. });
+    Ok(created.then_some(lease))
 }
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -55,11 +55,11 @@
         if self.trial.is_some() || verdict != Verdict::OneAtATime {
             return None;
         }
-        match crash_trial::begin(&self.node, self.fingerprint()).await {
-            TrialOutcome::Won(trial) => self.trial = Some(trial),
-            TrialOutcome::Lost => return Some(verdict),
+        match crash_trial::acquire(&self.node, self.fingerprint()).await {
+            TrialOutcome::Acquired(trial) => self.trial = Some(trial),
+            TrialOutcome::Busy => return Some(verdict),
             // It may be innocent, and without the store nobody could tell.
-            TrialOutcome::Unknown => {}
+            TrialOutcome::StoreUnavailable => {}
         }
         None
     }
