--- a/crates/croftrill-node/src/broken_requests.rs
+++ b/crates/croftrill-node/src/broken_requests.rs
@@ -11,7 +11,7 @@
 /// Duration of an answer up to which its request counts as just started: the longest step
 /// of an engine under load. A request that ran for longer did not end its replica by
 /// starting there.
-const BEGINS_WITHIN: Duration = Duration::from_secs(2);
+const MAX_START_DURATION: Duration = Duration::from_secs(2);
 
 /// A request that broke at a replica.
 #[derive(Debug, Clone)]
@@ -24,13 +24,13 @@
     pub caller: Option<CallerAddress>,
     /// Time from the head of the answer to the last data received; `None` if no head was
     /// received.
-    pub went_on_for: Option<Duration>,
+    pub answer_duration: Option<Duration>,
 }
 
 impl BrokenRequest {
     /// Returns whether the request may have ended its replica by starting there.
-    pub fn had_just_begun(&self) -> bool {
-        self.went_on_for.is_none_or(|age| age <= BEGINS_WITHIN)
+    pub fn had_just_started(&self) -> bool {
+        self.answer_duration.is_none_or(|age| age <= MAX_START_DURATION)
     }
 }
 
@@ -48,7 +48,7 @@
     }
 
     /// Returns whether the replica's check is pending.
-    pub fn is_awaited(&self, replica: &ReplicaId) -> bool {
+    pub fn is_pending(&self, replica: &ReplicaId) -> bool {
         self.0.contains_key(replica)
     }
 
--- a/crates/croftrill-node/src/crash_watch.rs
+++ b/crates/croftrill-node/src/crash_watch.rs
@@ -21,17 +21,21 @@
 use crate::ports::Platform;
 
 /// Time within which this node notices all requests that break with a replica.
-const GATHER: Duration = Duration::from_millis(10);
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 /// Timeout of the connection attempt: the machine of an ended replica refuses it within a
 /// round trip.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum wait of a request that could be retried at another replica: some round trips,
 /// and short compared with the pauses that callers accept (at least 300 ms).
-const LONGEST_WAIT: Duration = Duration::from_millis(60);
+const MAX_CHECK_WAIT: Duration = Duration::from_millis(60);
 
 /// Records that a request broke at a replica: its connection ended, or became silent,
 /// before its answer was complete.
-pub(crate) fn request_broke<P: Platform>(node: &Rc<Node<P>>, replica: &ReplicaId, request: BrokenRequest) {
+pub(crate) fn record_broken_request<P: Platform>(
+    node: &Rc<Node<P>>,
+    replica: &ReplicaId,
+    request: BrokenRequest,
+) {
     let mut state = node.state.borrow_mut();
     let entry = state.replicas.get(replica);
     // A replica that is leaving or has left was stopped on purpose.
@@ -45,39 +49,39 @@
     // The replica may be listed as restarted by the time the check is done.
     let incarnation = EndedReplica::of(replica, listing.started_ms);
     if state.broken_requests.add(replica, request) {
-        spawn_local(judge(node.clone(), replica.clone(), incarnation, address));
+        spawn_local(check_replica(node.clone(), replica.clone(), incarnation, address));
     }
 }
 
 /// Waits until it is known whether a replica at which requests broke has ended.
-pub(crate) async fn until_judged<P: Platform>(node: &Node<P>, replica: &ReplicaId) {
-    let judged = async {
+pub(crate) async fn wait_until_checked<P: Platform>(node: &Node<P>, replica: &ReplicaId) {
+    let checked = async {
         loop {
             let changed = node.crash_judged.notified();
-            if !node.state.borrow().broken_requests.is_awaited(replica) {
+            if !node.state.borrow().broken_requests.is_pending(replica) {
                 return;
             }
             changed.await;
         }
     };
     // After a timeout the replica is not known to have ended, as it refused no connection.
-    let _ = timeout(LONGEST_WAIT, judged).await;
+    let _ = timeout(MAX_CHECK_WAIT, checked).await;
 }
 
 /// Tries to connect to the replica once and records the result.
-async fn judge<P: Platform>(
+async fn check_replica<P: Platform>(
     node: Rc<Node<P>>,
     replica: ReplicaId,
     incarnation: EndedReplica,
     address: SocketAddr,
 ) {
-    sleep(GATHER).await;
+    sleep(BATCH_DELAY).await;
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let refused =
+    let is_refused =
         matches!(&connected, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused);
     let broken = node.state.borrow_mut().broken_requests.take(&replica);
-    if refused {
-        note_end(&node, &replica, incarnation, &broken);
+    if is_refused {
+        record_end(&node, &replica, incarnation, &broken);
     } else {
         tracing::info!(target: "crash", event = "requests broke, but the replica is not known to have ended",
             replica = &*replica, requests = broken.len(), connected = ?connected.map(|connected| connected.is_ok()));
@@ -86,14 +90,16 @@
 }
 
 /// Records that a replica ended. Each request that had just started there may be the cause.
-fn note_end<P: Platform>(
+fn record_end<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
     incarnation: EndedReplica,
     broken: &[BrokenRequest],
 ) {
-    let just_started: Vec<&BrokenRequest> =
-        broken.iter().filter(|request| request.had_just_begun()).collect();
+    let just_started: Vec<&BrokenRequest> = broken
+        .iter()
+        .filter(|request| request.had_just_started())
+        .collect();
     tracing::warn!(target: "crash", event = "replica ended", replica = &**replica, requests = broken.len(),
         had_just_begun = just_started.len());
     let fingerprints = just_started.iter().map(|request| request.fingerprint);
@@ -102,6 +108,6 @@
         tracing::info!(target: "crash", event = "had just begun at a replica that ended", id = request.id,
             fingerprint = %request.fingerprint, replica = &**replica,
             caller = request.caller.map(|caller| tracing::field::display(caller.0)),
-            went_on_for_ms = request.went_on_for.map(|time| time.as_millis() as u64));
+            went_on_for_ms = request.answer_duration.map(|time| time.as_millis() as u64));
     }
 }
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -30,7 +30,7 @@
     /// a first one bars nothing.
     pub(super) async fn barred(&self) -> Option<Verdict> {
         if let [_, .., last] = self.tried.as_slice() {
-            crash_watch::until_judged(&self.node, last).await;
+            crash_watch::wait_until_checked(&self.node, last).await;
         }
         let verdict = self.verdict();
         (!matches!(verdict, Verdict::Free | Verdict::OneAtATime)).then_some(verdict)
@@ -77,13 +77,13 @@
 
     /// The connection to a replica ended, or fell silent, before the answer did. Time
     /// that the answer went on for: `None` if not even its head came.
-    pub(super) fn broke_at(&self, replica: &ReplicaId, went_on_for: Option<Duration>) {
+    pub(super) fn broke_at(&self, replica: &ReplicaId, answer_duration: Option<Duration>) {
         let broken = BrokenRequest {
             id: self.facts.id.clone(),
             fingerprint: self.fingerprint(),
             caller: self.caller(),
-            went_on_for,
+            answer_duration,
         };
-        crash_watch::request_broke(&self.node, replica, broken);
+        crash_watch::record_broken_request(&self.node, replica, broken);
     }
 }
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -177,8 +177,8 @@
     }
 
     fn stream_broke(&self, streaming: &Streaming<P>, last_event: Moment) {
-        let went_on_for = last_event.since(streaming.head_at);
-        self.broke_at(&streaming.send.replica, Some(went_on_for));
+        let answer_duration = last_event.since(streaming.head_at);
+        self.broke_at(&streaming.send.replica, Some(answer_duration));
     }
 
     pub(super) async fn pump_rest(&self, cutter: &mut EventCutter, sender: &StreamSender) -> PumpEnd {
