--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use croftrill_node::load_header::load_told;
+use croftrill_node::load_header::parse_load;
 use croftrill_node::ports::{
     AnswerFacts, BadRequest, Dialect, Execution, Forwarding, PromptPart, RequestFacts,
 };
@@ -191,7 +191,7 @@
                 Execution::Executed
             },
             is_misdirected,
-            load: text(&head.headers, LOAD_HEADER).and_then(load_told),
+            load: text(&head.headers, LOAD_HEADER).and_then(parse_load),
             word: replica_word(head.status, &head.headers),
         }
     }
--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -1,7 +1,7 @@
 //! Messages of model replicas.
 
-use croftrill_node::limit_header::limit_named;
-use croftrill_node::rest_header::rest_asked;
+use croftrill_node::limit_header::parse_limit;
+use croftrill_node::rest_header::parse_cooldown;
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaSignals, WeightCopies};
 use http::{HeaderMap, HeaderName, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -29,8 +29,8 @@
     let value = headers.get(LEAVING_HEADER).and_then(|value| value.to_str().ok());
     ReplicaSignals {
         is_leaving: value.map(str::trim) == Some(LEAVING_VALUE),
-        cooldown: rest_asked(status, headers),
-        limit: limit_named(headers, &LIMIT_HEADER),
+        cooldown: parse_cooldown(status, headers),
+        limit: parse_limit(headers, &LIMIT_HEADER),
     }
 }
 
--- a/crates/croftrill-node/src/limit_header.rs
+++ b/crates/croftrill-node/src/limit_header.rs
@@ -5,7 +5,7 @@
 
 /// Parses the limit in an answer: a decimal number of requests per second, or the minimum of
 /// several. Any other value neither sets a limit nor ends one.
-pub fn limit_named(headers: &HeaderMap, name: &HeaderName) -> LimitSignal {
+pub fn parse_limit(headers: &HeaderMap, name: &HeaderName) -> LimitSignal {
     if !headers.contains_key(name) {
         return LimitSignal::Unlimited;
     }
--- a/crates/croftrill-node/src/load_header.rs
+++ b/crates/croftrill-node/src/load_header.rs
@@ -4,7 +4,7 @@
 
 /// Parses `RUNNING[,WAITING[,SLOTS[,WORK TIME]]]`; returns `None` if it does not start with
 /// the number of running requests.
-pub fn load_told(value: &str) -> Option<ReplicaLoad> {
+pub fn parse_load(value: &str) -> Option<ReplicaLoad> {
     let mut numbers = value.split(',').map(|part| part.trim().parse::<u32>().ok());
     Some(ReplicaLoad {
         running: numbers.next()??,
--- a/crates/croftrill-node/tests/limit_header.rs
+++ b/crates/croftrill-node/tests/limit_header.rs
@@ -1,17 +1,17 @@
 //! Parsing of the header with which a replica reports a limit.
 
-use croftrill_node::limit_header::limit_named;
+use croftrill_node::limit_header::parse_limit;
 use croftrill_scheduler::replica::{LimitSignal, RequestRate};
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 
 const NAME: HeaderName = HeaderName::from_static("limit");
 
-fn named(values: &[&'static str]) -> LimitSignal {
+fn parsed(values: &[&'static str]) -> LimitSignal {
     let mut headers = HeaderMap::new();
     for value in values {
         headers.append(NAME, HeaderValue::from_static(value));
     }
-    limit_named(&headers, &NAME)
+    parse_limit(&headers, &NAME)
 }
 
 fn limited(per_s: f64) -> LimitSignal {
@@ -19,24 +19,24 @@
 }
 
 #[test]
-fn limit_named_reads_decimal_numbers() {
-    assert_eq!(named(&["0"]), limited(0.0));
-    assert_eq!(named(&["0.25"]), limited(0.25));
-    assert_eq!(named(&[" 12 "]), limited(12.0));
-    assert_eq!(named(&["1e9"]), limited(1e9));
-    assert_eq!(named(&["1e300"]), limited(1e300));
+fn parse_limit_decimal_numbers() {
+    assert_eq!(parsed(&["0"]), limited(0.0));
+    assert_eq!(parsed(&["0.25"]), limited(0.25));
+    assert_eq!(parsed(&[" 12 "]), limited(12.0));
+    assert_eq!(parsed(&["1e9"]), limited(1e9));
+    assert_eq!(parsed(&["1e300"]), limited(1e300));
 }
 
 #[test]
-fn limit_named_of_no_number_says_nothing_and_of_none_that_there_is_none() {
+fn parse_limit_without_number_is_unspecified_and_without_header_unlimited() {
     for value in ["", "-1", "NaN", "inf", "-inf", "soon", "1,5", "1 2"] {
-        assert_eq!(named(&[value]), LimitSignal::Unspecified, "{value}");
+        assert_eq!(parsed(&[value]), LimitSignal::Unspecified, "{value}");
     }
-    assert_eq!(named(&[]), LimitSignal::Unlimited);
+    assert_eq!(parsed(&[]), LimitSignal::Unlimited);
 }
 
 #[test]
-fn limit_named_twice_is_the_lower_one_that_can_be_read() {
-    assert_eq!(named(&["5", "2"]), limited(2.0));
-    assert_eq!(named(&["soon", "2"]), limited(2.0));
+fn parse_limit_of_several_values_is_lowest_readable_one() {
+    assert_eq!(parsed(&["5", "2"]), limited(2.0));
+    assert_eq!(parsed(&["soon", "2"]), limited(2.0));
 }
