--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -1,7 +1,7 @@
 //! Messages of model replicas.
 
+use croftrill_node::cooldown_header::parse_cooldown;
 use croftrill_node::limit_header::parse_limit;
-use croftrill_node::rest_header::parse_cooldown;
 use croftrill_scheduler::replica::{HeldModel, Holdings, ReplicaSignals, WeightCopies};
 use http::{HeaderMap, HeaderName, StatusCode};
 use serde::{Deserialize, Serialize};
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -26,7 +26,7 @@
 use crate::counted_store::CountedStore;
 use crate::era_store::EraStore;
 use crate::front::STOP_LINGER;
-use crate::load_news::{self, LoadNews};
+use crate::load_updates::{self, LoadNews};
 use crate::membership::Members;
 use crate::metrics::Metrics;
 use crate::orderer_task::OrdererInput;
@@ -401,7 +401,7 @@
 
     /// The metrics as text.
     pub fn metrics_text(&self) -> String {
-        let services = if load_news::is_on(self) {
+        let services = if load_updates::is_on(self) {
             load_summary::by_service(&self.state.borrow().replicas, self.clock.now())
         } else {
             BTreeMap::new()
--- a/crates/croftrill-node/src/orderer_task/limited.rs
+++ b/crates/croftrill-node/src/orderer_task/limited_calls.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::ports::Platform;
 use crate::quota::{Credit, LimitVerdict};
-use crate::replica_turn;
+use crate::replica_reservation;
 
 /// Maximum fraction of a limit for an orderer's calls. The remainder is for callers: a load
 /// needs one order and one report, and serves many requests.
@@ -68,7 +68,7 @@
     is_urgent: bool,
 ) -> ControlTurn {
     let want = LimitRequest { patience, is_urgent };
-    let Some(turn) = replica_turn::ask(node, replica, call, want).await else {
+    let Some(turn) = replica_reservation::ask(node, replica, call, want).await else {
         return ControlTurn::Taken(None);
     };
     match turn.verdict {
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -20,20 +20,20 @@
 
 use super::acquisition::{handed_on_lately, least_gap, record_last, Acquired};
 use super::decision_log::{log_decision, order_kind, outcome_name};
-use super::limited::{take_turn, ControlPace, ControlTurn};
+use super::limited_calls::{take_turn, ControlPace, ControlTurn};
 use super::loads::ShardLoads;
 use super::{OrdererInput, Subscription};
 use crate::directory::relay::WatchedSpan;
-use crate::load_news;
+use crate::load_updates;
 use crate::membership::{MemberEntry, Members};
 use crate::metrics::Metrics;
 use crate::node::{Lifecycle, Node};
-use crate::own_word;
 use crate::peer::{FromOrderer, RelayedResignation, ToOrderer, WirePlacement, WireResignation};
 use crate::ports::{
     EngineAddress, EngineAnswer, EngineControl, FencedOrder, KeyValueStore, Platform, StoreError,
 };
 use crate::quota::Credit;
+use crate::replica_signals;
 use crate::store_era::same_era;
 use crate::tree;
 
@@ -338,7 +338,7 @@
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            own_word::hear(&node, &target.replica, call, answered.word, "order");
+            replica_signals::hear(&node, &target.replica, call, answered.word, "order");
             tracing::info!(target: "order", replica = &*target.replica, order = ?fenced.order,
                 sequence = fenced.expected_sequence, fencing_token = fenced.fencing_token, ?outcome);
             Metrics::count(
@@ -378,7 +378,7 @@
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            own_word::hear(&node, &replica, call, answered.word, "report");
+            replica_signals::hear(&node, &replica, call, answered.word, "report");
             let report = answered.answer;
             let outcome = if report.is_some() { "answered" } else { "no report" };
             Metrics::count(&node.metrics.reports, "report", outcome);
@@ -525,7 +525,7 @@
     /// Records the loads that this node knows at the orderer. Those of other shards' replicas
     /// are included, as models are placed on replicas of all shards.
     fn hear_loads_if_due(&mut self, now: Moment) {
-        if now < self.next_loads || !load_news::is_on(&self.node) {
+        if now < self.next_loads || !load_updates::is_on(&self.node) {
             return;
         }
         self.next_loads = now + LOADS_EVERY;
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -11,7 +11,7 @@
 use crate::node::Lifecycle;
 use crate::ports::Platform;
 use crate::quota::LimitVerdict;
-use crate::replica_turn;
+use crate::replica_reservation;
 
 /// Times that a request waits to ask for a turn once more: a wait that ends without one
 /// costs its caller more than a refusal at once.
@@ -35,7 +35,7 @@
                 .configuration
                 .is_most_urgent_of(&self.service, self.route.priority),
         };
-        let Some(turn) = replica_turn::ask(&self.node, replica, "request", want).await else {
+        let Some(turn) = replica_reservation::ask(&self.node, replica, "request", want).await else {
             return true;
         };
         match turn.verdict {
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -14,9 +14,9 @@
 use super::guards::Send;
 use super::RequestRun;
 use crate::connection::{Connection, ExchangeError};
-use crate::load_news;
-use crate::own_word;
+use crate::load_updates;
 use crate::ports::{AnswerFacts, Dialect, Execution, Forwarding, Platform};
+use crate::replica_signals;
 
 /// Part of the objective after which a silent replica is given up for another.
 /// Measured: a limit from the times of the service's answers (as TCP's
@@ -219,7 +219,7 @@
     fn take_load(&self, send: &Send<P>, facts: &AnswerFacts) {
         if let Some(load) = facts.load {
             let is_sure = facts.is_ours && !facts.is_misdirected;
-            load_news::hear_answer(&self.node, &send.replica, send.started_ms, load, is_sure);
+            load_updates::hear_answer(&self.node, &send.replica, send.started_ms, load, is_sure);
         }
     }
 
@@ -235,7 +235,7 @@
             // It may be the answer of another replica, or to another request.
             word.limit = LimitSignal::Unspecified;
         }
-        own_word::hear(&self.node, &send.replica, call, word, &self.facts.id);
+        replica_signals::hear(&self.node, &send.replica, call, word, &self.facts.id);
     }
 
     /// True if the replica told this node not to send it anything (for now).
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -10,7 +10,8 @@
 use crate::node::{Node, NodeQueues};
 use crate::ports::{KeyValueStore, Platform};
 use crate::{
-    crash_reports, directory, front, load_news, membership, orderer_task, peer_link, quota, step_times, tree,
+    crash_reports, directory, front, load_updates, membership, orderer_task, peer_link, quota, step_times,
+    tree,
 };
 
 /// Longest wait for the node's entries in the store to be withdrawn at the end.
@@ -39,7 +40,7 @@
     spawn_local(front::accept(node.clone(), front_listener));
     spawn_local(peer_link::accept(node.clone(), peer_listener));
     spawn_local(peer_link::tell_demand(node.clone()));
-    spawn_local(load_news::tell(node.clone()));
+    spawn_local(load_updates::tell(node.clone()));
     spawn_local(directory::follow(node.clone()));
     spawn_local(directory::read_holdings(node.clone()));
     spawn_local(crash_reports::publish(node.clone(), incarnation));
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -17,7 +17,7 @@
 use super::{place_of, relays_above, Uplink};
 use crate::directory::relay::{self, WholeInParts};
 use crate::link::PeerLink;
-use crate::load_news;
+use crate::load_updates;
 use crate::node::Node;
 use crate::peer::{FromOrderer, ToOrderer, WireFollow, WireModel, WireReplicas, WireScope};
 use crate::peer_link::{self, silence_limit};
@@ -174,7 +174,7 @@
             }
             message = outgoing.recv() => {
                 let Some(message) = message else { return Ok(()) };
-                if let Some(message) = load_news::outgoing(node, address, &message) {
+                if let Some(message) = load_updates::outgoing(node, address, &message) {
                     link.send(message).await?;
                 }
             }
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -9,7 +9,7 @@
 use croftrill_scheduler::time::Moment;
 
 use super::{known_placements, view_since};
-use crate::load_news::ToldLoads;
+use crate::load_updates::ToldLoads;
 use crate::node::Node;
 use crate::peer::{
     in_parts, DirectoryNews, FromOrderer, RevisedChange, WireChange, WireFollow, WireModel, WirePlacement,
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -14,7 +14,7 @@
 use super::{is_direct, linked_message, place_of};
 use crate::crash_reports;
 use crate::link::PeerLink;
-use crate::load_news::{self, LoadFollower};
+use crate::load_updates::{self, LoadFollower};
 use crate::node::Node;
 use crate::peer::{FromOrderer, ToOrderer, WireFollow};
 use crate::ports::Platform;
@@ -78,7 +78,7 @@
             },
             told = loads.next() => {
                 if let Some(message) = follower.as_ref().and_then(|follower| follower.loads(&told)) {
-                    load_news::note_sent(&node, &message);
+                    load_updates::note_sent(&node, &message);
                     link.send(message).await?;
                 }
             }
