--- a/crates/croftrill-node/src/orderer_task/limited_calls.rs
+++ b/crates/croftrill-node/src/orderer_task/limited_calls.rs
@@ -68,7 +68,7 @@
     is_urgent: bool,
 ) -> ControlTurn {
     let want = LimitRequest { patience, is_urgent };
-    let Some(turn) = replica_reservation::ask(node, replica, call, want).await else {
+    let Some(turn) = replica_reservation::request(node, replica, call, want).await else {
         return ControlTurn::Taken(None);
     };
     match turn.verdict {
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -338,7 +338,7 @@
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            replica_signals::hear(&node, &target.replica, call, answered.word, "order");
+            replica_signals::apply(&node, &target.replica, call, answered.word, "order");
             tracing::info!(target: "order", replica = &*target.replica, order = ?fenced.order,
                 sequence = fenced.expected_sequence, fencing_token = fenced.fencing_token, ?outcome);
             Metrics::count(
@@ -378,7 +378,7 @@
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            replica_signals::hear(&node, &replica, call, answered.word, "report");
+            replica_signals::apply(&node, &replica, call, answered.word, "report");
             let report = answered.answer;
             let outcome = if report.is_some() { "answered" } else { "no report" };
             Metrics::count(&node.metrics.reports, "report", outcome);
--- a/crates/croftrill-node/src/replica_reservation.rs
+++ b/crates/croftrill-node/src/replica_reservation.rs
@@ -9,37 +9,37 @@
 use crate::quota::{LimitAsk, LimitVerdict};
 
 /// The answer to a request for a reservation, and the limit that it is based on.
-pub(crate) struct Turn {
+pub(crate) struct Reservation {
     pub(crate) limit: ReportedLimit,
     pub(crate) verdict: LimitVerdict,
 }
 
 /// Requests a reservation for a call; returns `None` at once if the replica reported no limit.
 /// `call` is the kind of call for metrics.
-pub(crate) async fn ask<P: Platform>(
+pub(crate) async fn request<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
     call: &'static str,
     want: LimitRequest,
-) -> Option<Turn> {
+) -> Option<Reservation> {
     let (known, nodes) = {
         let state = node.state.borrow();
         (state.replicas.limit_of(replica), state.members.node_count())
     };
     let (limit, started_ms) = known?;
-    let ask = LimitAsk {
+    let request = LimitAsk {
         replica,
         started_ms,
         limit,
         want,
         nodes,
     };
-    let verdict = node.quotas.ask_limit(ask).await;
+    let verdict = node.quotas.ask_limit(request).await;
     let outcome = match &verdict {
         LimitVerdict::Granted(Some(_), _) => "granted",
         LimitVerdict::Granted(None, _) => "own turn",
         LimitVerdict::Refused { .. } => "refused",
     };
     Metrics::count(&node.metrics.limited, call, outcome);
-    Some(Turn { limit, verdict })
+    Some(Reservation { limit, verdict })
 }
--- a/crates/croftrill-node/src/replica_signals.rs
+++ b/crates/croftrill-node/src/replica_signals.rs
@@ -10,24 +10,24 @@
 
 /// Applies the signals in a replica's answer to a call. This node's requests and orders use
 /// them from now on. `answer_to` is the request's id or the kind of call, for the log.
-pub(crate) fn hear<P: Platform>(
+pub(crate) fn apply<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
     call: AnsweredCall,
-    word: ReplicaSignals,
+    signals: ReplicaSignals,
     answer_to: &str,
 ) {
     let mut state = node.state.borrow_mut();
     let listed = state.replicas.get(replica).map(|entry| entry.listing.state);
-    let news = state.replicas.apply_signals(replica, call, word);
+    let changes = state.replicas.apply_signals(replica, call, signals);
     let limit = state.replicas.limit_of(replica);
     drop(state);
-    if let Some(rest) = word.cooldown {
+    if let Some(cooldown) = signals.cooldown {
         Metrics::count(&node.metrics.replica_words, "rest", "heard");
         tracing::info!(target: "replica", event = "requests a cooldown", replica = &**replica, answer_to,
-            ?listed, rest_ms = rest.as_millis() as u64);
+            ?listed, rest_ms = cooldown.as_millis() as u64);
     }
-    if news.limit {
+    if changes.limit {
         let limit_per_s = limit.map(|(limit, _)| limit.rate.per_s());
         let event = if limit.is_some() {
             "names a limit"
@@ -37,12 +37,12 @@
         Metrics::count(&node.metrics.replica_words, "limit", "heard");
         tracing::info!(target: "replica", event, replica = &**replica, answer_to, limit_per_s);
     }
-    if news.leaving {
+    if changes.leaving {
         Metrics::count(&node.metrics.replica_words, "leaving", "heard");
         tracing::info!(target: "replica", event = "signals that it is leaving", replica = &**replica, answer_to,
             ?listed);
     }
-    if news != SignalChanges::default() {
+    if changes != SignalChanges::default() {
         node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
     }
 }
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -35,7 +35,7 @@
                 .configuration
                 .is_most_urgent_of(&self.service, self.route.priority),
         };
-        let Some(turn) = replica_reservation::ask(&self.node, replica, "request", want).await else {
+        let Some(turn) = replica_reservation::request(&self.node, replica, "request", want).await else {
             return true;
         };
         match turn.verdict {
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -235,7 +235,7 @@
             // It may be the answer of another replica, or to another request.
             word.limit = LimitSignal::Unspecified;
         }
-        replica_signals::hear(&self.node, &send.replica, call, word, &self.facts.id);
+        replica_signals::apply(&self.node, &send.replica, call, word, &self.facts.id);
     }
 
     /// True if the replica told this node not to send it anything (for now).
