--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -34,46 +34,46 @@
 use crate::tree::Uplink;
 
 /// Minimum time between two messages in the same direction.
-const TELL_EVERY: Duration = Duration::from_millis(100);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which a node without samples sends an empty message to stay subscribed.
-const HELLO_EVERY: Duration = Duration::from_secs(1);
+const HELLO_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for which replicas count as reporting their work time after the last report: several
 /// times as long as a node usually goes without an answer of any replica.
-const WORK_TIME_COUNTS: Duration = Duration::from_secs(30);
+const WORK_TIME_VALIDITY: Duration = Duration::from_secs(30);
 /// Number of messages by which a slow follower may lag before it misses the oldest.
 const BACKLOG: usize = 4;
 /// Minimum time between two log lines about samples.
-const LOG_EVERY: Duration = Duration::from_secs(1);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of ages stored for such a log line.
-const MOST_AGES: usize = 512;
+const MAX_LOGGED_AGES: usize = 512;
 
 /// Load samples that a node forwards.
-pub struct LoadNews {
+pub struct LoadUpdates {
     /// Until when replicas count as reporting their work time.
-    on_until: Cell<Moment>,
+    active_until: Cell<Moment>,
     keys: RefCell<LoadKeys>,
     /// Samples for the orderers, from answers to this node and from its followers.
     to_orderers: RefCell<LoadBuffer>,
     /// Samples for the followers, from the orderers.
     to_followers: RefCell<LoadBuffer>,
     /// When this node last sent a message to stay subscribed at the orderers.
-    said_hello_at: Cell<Moment>,
-    followers: broadcast::Sender<Rc<ToldLoads>>,
+    last_hello_at: Cell<Moment>,
+    followers: broadcast::Sender<Rc<FollowerLoads>>,
     /// Notified when there are samples to send.
-    wanted: Notify,
+    pending: Notify,
     arrivals: RefCell<Arrivals>,
 }
 
-impl Default for LoadNews {
+impl Default for LoadUpdates {
     fn default() -> Self {
-        LoadNews {
-            on_until: Cell::default(),
+        LoadUpdates {
+            active_until: Cell::default(),
             keys: RefCell::default(),
             to_orderers: RefCell::default(),
             to_followers: RefCell::default(),
-            said_hello_at: Cell::default(),
+            last_hello_at: Cell::default(),
             followers: broadcast::channel(BACKLOG).0,
-            wanted: Notify::new(),
+            pending: Notify::new(),
             arrivals: RefCell::default(),
         }
     }
@@ -88,18 +88,18 @@
 
 /// Samples for followers, encoded once for all followers with a full view.
 #[derive(Debug)]
-pub struct ToldLoads {
-    accounts: Vec<(ReplicaId, LoadSample)>,
-    told_at: Moment,
+pub struct FollowerLoads {
+    samples: Vec<(ReplicaId, LoadSample)>,
+    encoded_at: Moment,
     message: Bytes,
 }
 
-impl ToldLoads {
-    fn new(accounts: Vec<(ReplicaId, LoadSample)>, told_at: Moment) -> Self {
-        let message = encode(accounts.iter().map(|(_, account)| account), told_at);
-        ToldLoads {
-            accounts,
-            told_at,
+impl FollowerLoads {
+    fn new(samples: Vec<(ReplicaId, LoadSample)>, encoded_at: Moment) -> Self {
+        let message = encode(samples.iter().map(|(_, sample)| sample), encoded_at);
+        FollowerLoads {
+            samples,
+            encoded_at,
             message,
         }
     }
@@ -112,24 +112,26 @@
     /// Returns the message with the samples of those replicas that a follower knows; `None` if
     /// there are none.
     pub fn message_about(&self, knows: impl Fn(&str) -> bool) -> Option<Bytes> {
-        let known = self.accounts.iter().filter(|(id, _)| knows(id));
-        let known: Vec<&LoadSample> = known.map(|(_, account)| account).collect();
-        (!known.is_empty()).then(|| encode(known, self.told_at))
+        let known = self.samples.iter().filter(|(id, _)| knows(id));
+        let known: Vec<&LoadSample> = known.map(|(_, sample)| sample).collect();
+        (!known.is_empty()).then(|| encode(known, self.encoded_at))
     }
 }
 
-fn encode<'a>(accounts: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Bytes {
-    FromOrderer::Loads(WireLoads::from_accounts(accounts, now)).encode()
+fn encode<'a>(samples: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Bytes {
+    FromOrderer::Loads(WireLoads::from_accounts(samples, now)).encode()
 }
 
 /// Returns whether this node forwards load samples, which applies to all services alike.
 pub(crate) fn is_on<P: Platform>(node: &Node<P>) -> bool {
-    node.settings.callers_compete || node.clock.now() < node.load_news.on_until.get()
+    node.settings.callers_compete || node.clock.now() < node.load_news.active_until.get()
 }
 
 fn note_work_time<P: Platform>(node: &Node<P>, load: ReplicaLoad) {
     if load.work_time_pct.is_some() {
-        node.load_news.on_until.set(node.clock.now() + WORK_TIME_COUNTS);
+        node.load_news
+            .active_until
+            .set(node.clock.now() + WORK_TIME_VALIDITY);
     }
 }
 
@@ -168,51 +170,51 @@
     if !is_sure || !is_on(node) {
         return;
     }
-    let account = LoadSample {
+    let sample = LoadSample {
         key: LoadKey::of(id, present),
         load,
         at: now,
     };
-    keep_for_orderers(node, account, "answer");
+    keep_for_orderers(node, sample, "answer");
 }
 
-fn keep_for_orderers<P: Platform>(node: &Node<P>, account: LoadSample, kind: &'static str) {
-    let news = &node.load_news;
-    let hearing = news.to_orderers.borrow_mut().record(account, node.clock.now());
-    let outcome = match hearing {
+fn keep_for_orderers<P: Platform>(node: &Node<P>, sample: LoadSample, kind: &'static str) {
+    let updates = &node.load_news;
+    let record_outcome = updates.to_orderers.borrow_mut().record(sample, node.clock.now());
+    let outcome = match record_outcome {
         SampleOutcome::Stored => "heard",
         SampleOutcome::Outdated => "old",
         SampleOutcome::Dropped => "left out",
     };
     count(node, kind, outcome);
-    news.wanted.notify_one();
+    updates.pending.notify_one();
 }
 
 /// Applies samples from other nodes to this node's replica table. Returns those of replicas
 /// that this node knows.
 pub(crate) fn take_in<P: Platform>(
     node: &Node<P>,
-    accounts: &[LoadSample],
+    samples: &[LoadSample],
     kind: &'static str,
 ) -> Vec<(ReplicaId, LoadSample)> {
     let mut state = node.state.borrow_mut();
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&state.replicas);
-    let mut known = Vec::with_capacity(accounts.len());
-    for account in accounts {
-        let Some(id) = keys.replica(account.key) else {
+    let mut known = Vec::with_capacity(samples.len());
+    for sample in samples {
+        let Some(id) = keys.replica(sample.key) else {
             count(node, kind, "unknown");
             continue;
         };
         let newest = state.replicas.get(id).and_then(|entry| entry.capacity.newest());
-        if account.is_update_to(newest) {
-            state.replicas.record_load(id, account.load, account.at);
-            note_work_time(node, account.load);
+        if sample.is_update_to(newest) {
+            state.replicas.record_load(id, sample.load, sample.at);
+            note_work_time(node, sample.load);
             count(node, kind, "heard");
         } else {
             count(node, kind, "old");
         }
-        known.push((id.clone(), *account));
+        known.push((id.clone(), *sample));
     }
     if !known.is_empty() {
         node.room_changed.notify_waiters();
@@ -222,38 +224,38 @@
 
 /// Applies samples that an orderer published, over a link with the given delay, and queues
 /// them for the followers.
-pub(crate) fn hear_told<P: Platform>(node: &Node<P>, told: &WireLoads, delay: &mut LinkDelay) {
+pub(crate) fn hear_told<P: Platform>(node: &Node<P>, loads: &WireLoads, delay: &mut LinkDelay) {
     let now = node.clock.now();
-    let accounts = told.to_accounts(delay, now);
-    note_arrivals(node, &accounts, now);
-    let known = take_in(node, &accounts, "orderer");
-    pass_on(node, known.iter().map(|(_, account)| account), now);
+    let samples = loads.to_accounts(delay, now);
+    note_arrivals(node, &samples, now);
+    let known = take_in(node, &samples, "orderer");
+    pass_on(node, known.iter().map(|(_, sample)| sample), now);
 }
 
 /// Queues samples for this node's followers.
 pub(crate) fn pass_on<'a, P: Platform>(
     node: &Node<P>,
-    accounts: impl IntoIterator<Item = &'a LoadSample>,
+    samples: impl IntoIterator<Item = &'a LoadSample>,
     now: Moment,
 ) {
-    let news = &node.load_news;
-    if news.followers.receiver_count() == 0 {
+    let updates = &node.load_news;
+    if updates.followers.receiver_count() == 0 {
         return;
     }
-    let mut to_followers = news.to_followers.borrow_mut();
-    for account in accounts {
-        to_followers.record(*account, now);
+    let mut to_followers = updates.to_followers.borrow_mut();
+    for sample in samples {
+        to_followers.record(*sample, now);
     }
-    news.wanted.notify_one();
+    updates.pending.notify_one();
 }
 
 /// Returns the samples of a message from this node to its own orderer.
-pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, told: &WireLoads) -> Vec<LoadSample> {
+pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, loads: &WireLoads) -> Vec<LoadSample> {
     let now = node.clock.now();
     let mut delay = LinkDelay::default();
     // The queue between them acts as a link whose minimum delay is zero.
     delay.excess(now.since(Moment::default()), now);
-    told.to_accounts(&mut delay, now)
+    loads.to_accounts(&mut delay, now)
 }
 
 /// Encodes a message for the node at an address. Returns `None` for load samples unless the
@@ -280,97 +282,97 @@
 pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
     loop {
         tokio::select! {
-            () = node.load_news.wanted.notified() => {}
-            () = sleep(HELLO_EVERY), if is_on(&node) => {}
+            () = node.load_news.pending.notified() => {}
+            () = sleep(HELLO_INTERVAL), if is_on(&node) => {}
         }
         tell_orderers(&node);
         tell_followers(&node);
-        sleep(TELL_EVERY).await;
+        sleep(MIN_SEND_INTERVAL).await;
     }
 }
 
 fn tell_orderers<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
-    let news = &node.load_news;
-    let accounts = news.to_orderers.borrow_mut().take(now);
+    let updates = &node.load_news;
+    let samples = updates.to_orderers.borrow_mut().take(now);
     if !is_on(node) {
         return;
     }
-    let is_hello_due = now.since(news.said_hello_at.get()) >= HELLO_EVERY;
-    if accounts.is_empty() && !is_hello_due {
+    let is_hello_due = now.since(updates.last_hello_at.get()) >= HELLO_INTERVAL;
+    if samples.is_empty() && !is_hello_due {
         return;
     }
     if is_hello_due {
-        news.said_hello_at.set(now);
+        updates.last_hello_at.set(now);
     }
     let uplink = node.state.borrow().tree.uplink;
     match uplink {
-        Uplink::Relay(_) => node.tell_orderers(&message_up(&accounts, now)),
-        Uplink::Orderers => tell_each_orderer(node, &accounts, is_hello_due, now),
+        Uplink::Relay(_) => node.tell_orderers(&message_up(&samples, now)),
+        Uplink::Orderers => tell_each_orderer(node, &samples, is_hello_due, now),
         Uplink::Nobody => {}
     }
 }
 
 /// Sends each orderer the samples of its shard's replicas.
-fn tell_each_orderer<P: Platform>(node: &Node<P>, accounts: &[LoadSample], is_hello: bool, now: Moment) {
+fn tell_each_orderer<P: Platform>(node: &Node<P>, samples: &[LoadSample], is_hello: bool, now: Moment) {
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&node.state.borrow().replicas);
     for shard in Shard::all() {
-        let is_of_shard = |account: &&LoadSample| {
-            keys.replica(account.key)
+        let is_of_shard = |sample: &&LoadSample| {
+            keys.replica(sample.key)
                 .is_some_and(|id| Shard::of_replica(id) == shard)
         };
-        let of_shard: Vec<LoadSample> = accounts.iter().filter(is_of_shard).copied().collect();
+        let of_shard: Vec<LoadSample> = samples.iter().filter(is_of_shard).copied().collect();
         if is_hello || !of_shard.is_empty() {
             node.tell_orderer(shard, message_up(&of_shard, now));
         }
     }
 }
 
-fn message_up(accounts: &[LoadSample], now: Moment) -> ToOrderer {
-    ToOrderer::Loads(WireLoads::from_accounts(accounts, now))
+fn message_up(samples: &[LoadSample], now: Moment) -> ToOrderer {
+    ToOrderer::Loads(WireLoads::from_accounts(samples, now))
 }
 
 fn tell_followers<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
-    let news = &node.load_news;
-    let accounts = news.to_followers.borrow_mut().take(now);
-    if accounts.is_empty() || news.followers.receiver_count() == 0 {
+    let updates = &node.load_news;
+    let samples = updates.to_followers.borrow_mut().take(now);
+    if samples.is_empty() || updates.followers.receiver_count() == 0 {
         return;
     }
-    let mut keys = news.keys.borrow_mut();
+    let mut keys = updates.keys.borrow_mut();
     keys.follow(&node.state.borrow().replicas);
-    let known = accounts
+    let known = samples
         .into_iter()
-        .filter_map(|account| keys.replica(account.key).map(|id| (id.clone(), account)));
-    let told = ToldLoads::new(known.collect(), now);
+        .filter_map(|sample| keys.replica(sample.key).map(|id| (id.clone(), sample)));
+    let loads = FollowerLoads::new(known.collect(), now);
     // Sending fails only after the last follower has disconnected.
-    let _ = news.followers.send(Rc::new(told));
+    let _ = updates.followers.send(Rc::new(loads));
 }
 
 /// A node that may subscribe to load samples at this node's orderer.
 #[derive(Default)]
-pub(crate) struct LoadListener {
+pub(crate) struct LoadSubscriber {
     delay: LinkDelay,
-    news: Option<broadcast::Receiver<Bytes>>,
+    updates: Option<broadcast::Receiver<Bytes>>,
 }
 
-impl LoadListener {
+impl LoadSubscriber {
     /// Returns the samples of a message from the node, and subscribes the node to `source`: a
     /// node that sends samples supports them.
     pub(crate) fn hear(
         &mut self,
-        told: &WireLoads,
+        loads: &WireLoads,
         source: &broadcast::Sender<Bytes>,
         now: Moment,
     ) -> Vec<LoadSample> {
-        self.news.get_or_insert_with(|| source.subscribe());
-        told.to_accounts(&mut self.delay, now)
+        self.updates.get_or_insert_with(|| source.subscribe());
+        loads.to_accounts(&mut self.delay, now)
     }
 
     /// Returns the next message for the node; never completes if the node is not subscribed.
     pub(crate) async fn next(&mut self) -> Bytes {
-        next(&mut self.news).await
+        next(&mut self.updates).await
     }
 }
 
@@ -378,34 +380,34 @@
 #[derive(Default)]
 pub(crate) struct LoadFollower {
     delay: LinkDelay,
-    news: Option<broadcast::Receiver<Rc<ToldLoads>>>,
+    updates: Option<broadcast::Receiver<Rc<FollowerLoads>>>,
 }
 
 impl LoadFollower {
     /// Applies the samples of a message from the follower, queues them for the orderers, and
     /// subscribes the follower.
-    pub(crate) fn hear<P: Platform>(&mut self, node: &Node<P>, told: &WireLoads) {
-        self.news
+    pub(crate) fn hear<P: Platform>(&mut self, node: &Node<P>, loads: &WireLoads) {
+        self.updates
             .get_or_insert_with(|| node.load_news.followers.subscribe());
-        let accounts = told.to_accounts(&mut self.delay, node.clock.now());
-        for (_, account) in take_in(node, &accounts, "follower") {
-            keep_for_orderers(node, account, "relay");
+        let samples = loads.to_accounts(&mut self.delay, node.clock.now());
+        for (_, sample) in take_in(node, &samples, "follower") {
+            keep_for_orderers(node, sample, "relay");
         }
     }
 
     /// Returns the next samples for the follower; never completes if it is not subscribed.
-    pub(crate) async fn next(&mut self) -> Rc<ToldLoads> {
-        next(&mut self.news).await
+    pub(crate) async fn next(&mut self) -> Rc<FollowerLoads> {
+        next(&mut self.updates).await
     }
 }
 
-async fn next<T: Clone>(news: &mut Option<broadcast::Receiver<T>>) -> T {
-    let Some(receiver) = news else {
+async fn next<T: Clone>(updates: &mut Option<broadcast::Receiver<T>>) -> T {
+    let Some(receiver) = updates else {
         return std::future::pending().await;
     };
     loop {
         match receiver.recv().await {
-            Ok(news) => return news,
+            Ok(updates) => return updates,
             // The missed samples are outdated by now.
             Err(RecvError::Lagged(_)) => {}
             // The link ends for the same reason.
@@ -415,20 +417,20 @@
 }
 
 /// Records the ages of arriving samples, and logs them from time to time.
-fn note_arrivals<P: Platform>(node: &Node<P>, accounts: &[LoadSample], now: Moment) {
+fn note_arrivals<P: Platform>(node: &Node<P>, samples: &[LoadSample], now: Moment) {
     let mut arrivals = node.load_news.arrivals.borrow_mut();
-    let room = MOST_AGES.saturating_sub(arrivals.ages_ms.len());
-    let ages = accounts.iter().take(room);
+    let capacity = MAX_LOGGED_AGES.saturating_sub(arrivals.ages_ms.len());
+    let ages = samples.iter().take(capacity);
     arrivals
         .ages_ms
-        .extend(ages.map(|account| now.since(account.at).as_millis() as u64));
-    if now.since(arrivals.since) < LOG_EVERY || arrivals.ages_ms.is_empty() {
+        .extend(ages.map(|sample| now.since(sample.at).as_millis() as u64));
+    if now.since(arrivals.since) < MIN_LOG_INTERVAL || arrivals.ages_ms.is_empty() {
         return;
     }
     arrivals.since = now;
     let mut ages_ms = std::mem::take(&mut arrivals.ages_ms);
     ages_ms.sort_unstable();
-    let part = |numerator: usize| ages_ms[(ages_ms.len() - 1) * numerator / 10];
+    let decile = |numerator: usize| ages_ms[(ages_ms.len() - 1) * numerator / 10];
     tracing::debug!(target: "load news", event = "samples received", count = ages_ms.len(),
-        p50_ms = part(5), p90_ms = part(9), sent_bytes = node.metrics.load_news_bytes.get());
+        p50_ms = decile(5), p90_ms = decile(9), sent_bytes = node.metrics.load_news_bytes.get());
 }
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -26,7 +26,7 @@
 use crate::counted_store::CountedStore;
 use crate::era_store::EraStore;
 use crate::front::STOP_LINGER;
-use crate::load_updates::{self, LoadNews};
+use crate::load_updates::{self, LoadUpdates};
 use crate::membership::Members;
 use crate::metrics::Metrics;
 use crate::orderer_task::OrdererInput;
@@ -160,7 +160,7 @@
     /// The quotas of tenants, and their keepers.
     pub quotas: Rc<Quotas>,
     /// What it heard of replicas' loads, and tells on.
-    pub load_news: LoadNews,
+    pub load_news: LoadUpdates,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// When it last handed each shard on to stronger nodes.
@@ -289,7 +289,7 @@
             pool: ConnectionPool::new(ConnectionConfig::default()),
             patient_pool: ConnectionPool::new(patient),
             quotas,
-            load_news: LoadNews::default(),
+            load_news: LoadUpdates::default(),
             metrics,
             handed_on_at: Default::default(),
             step_times: Rc::default(),
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -17,7 +17,7 @@
 use crate::crash_reports;
 use crate::directory::relay::{self, WholeInParts};
 use crate::link::PeerLink;
-use crate::load_updates::LoadListener;
+use crate::load_updates::LoadSubscriber;
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::orderer_task::{OrdererInput, Subscription};
@@ -124,7 +124,7 @@
     inbox: mpsc::Sender<OrdererInput>,
 ) -> io::Result<()> {
     let mut changes = subscription.changes;
-    let mut loads = LoadListener::default();
+    let mut loads = LoadSubscriber::default();
     let mut unread = UnreadMessages::default();
     for message in subscription.first {
         link.send(message).await?;
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -9,7 +9,7 @@
 use croftrill_scheduler::time::Moment;
 
 use super::{known_placements, view_since};
-use crate::load_updates::ToldLoads;
+use crate::load_updates::FollowerLoads;
 use crate::node::Node;
 use crate::peer::{
     in_parts, DirectoryNews, FromOrderer, RevisedChange, WireChange, WireFollow, WireModel, WirePlacement,
@@ -160,7 +160,7 @@
     }
 
     /// What it must hear of replicas' loads, if anything.
-    pub(super) fn loads(&self, told: &ToldLoads) -> Option<Bytes> {
+    pub(super) fn loads(&self, told: &FollowerLoads) -> Option<Bytes> {
         match self.scope {
             WireScope::All => Some(told.message().clone()),
             WireScope::ByInterest => told.message_about(|id| self.interests.knows(id)),
