--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -5,8 +5,8 @@
 //! callers compete. A node subscribes by sending a message of this kind itself, which may be
 //! empty. Such messages go only to nodes whose entries say that they support them.
 //!
-//! Samples come from a replica ([`hear_answer`]), from a follower of this relay
-//! ([`LoadFollower`]) and from orderers ([`hear_told`]). [`tell`] sends samples of the first
+//! Samples come from a replica ([`record_answer_load`]), from a follower of this relay
+//! ([`LoadFollower`]) and from orderers ([`apply_published`]). [`forward`] sends samples of the first
 //! two to the orderers, and those of the orderers to the followers. `orderer_task::loads`
 //! handles the samples that reach an orderer of this node.
 
@@ -111,7 +111,7 @@
 
     /// Returns the message with the samples of those replicas that a follower knows; `None` if
     /// there are none.
-    pub fn message_about(&self, knows: impl Fn(&str) -> bool) -> Option<Bytes> {
+    pub fn filtered_message(&self, knows: impl Fn(&str) -> bool) -> Option<Bytes> {
         let known = self.samples.iter().filter(|(id, _)| knows(id));
         let known: Vec<&LoadSample> = known.map(|(_, sample)| sample).collect();
         (!known.is_empty()).then(|| encode(known, self.encoded_at))
@@ -123,11 +123,11 @@
 }
 
 /// Returns whether this node forwards load samples, which applies to all services alike.
-pub(crate) fn is_on<P: Platform>(node: &Node<P>) -> bool {
+pub(crate) fn is_active<P: Platform>(node: &Node<P>) -> bool {
     node.settings.callers_compete || node.clock.now() < node.load_news.active_until.get()
 }
 
-fn note_work_time<P: Platform>(node: &Node<P>, load: ReplicaLoad) {
+fn record_work_time<P: Platform>(node: &Node<P>, load: ReplicaLoad) {
     if load.work_time_pct.is_some() {
         node.load_news
             .active_until
@@ -140,14 +140,14 @@
 }
 
 /// Counts samples that are not forwarded because there are too many.
-pub(crate) fn note_left_out<P: Platform>(node: &Node<P>, kind: &'static str, count: usize) {
+pub(crate) fn count_dropped<P: Platform>(node: &Node<P>, kind: &'static str, count: usize) {
     Metrics::count_many(&node.metrics.load_news, kind, "left out", count as u64);
 }
 
 /// Records the load in an answer from the incarnation of a replica that started at
 /// `started_ms`. If `is_sure` is false, the answer may be another replica's, and the sample is
 /// not forwarded to other nodes.
-pub(crate) fn hear_answer<P: Platform>(
+pub(crate) fn record_answer_load<P: Platform>(
     node: &Node<P>,
     id: &ReplicaId,
     started_ms: Option<StartedMs>,
@@ -166,8 +166,8 @@
     state.replicas.record_load(id, load, now);
     drop(state);
     node.room_changed.notify_waiters();
-    note_work_time(node, load);
-    if !is_sure || !is_on(node) {
+    record_work_time(node, load);
+    if !is_sure || !is_active(node) {
         return;
     }
     let sample = LoadSample {
@@ -175,10 +175,10 @@
         load,
         at: now,
     };
-    keep_for_orderers(node, sample, "answer");
+    queue_for_orderers(node, sample, "answer");
 }
 
-fn keep_for_orderers<P: Platform>(node: &Node<P>, sample: LoadSample, kind: &'static str) {
+fn queue_for_orderers<P: Platform>(node: &Node<P>, sample: LoadSample, kind: &'static str) {
     let updates = &node.load_news;
     let record_outcome = updates.to_orderers.borrow_mut().record(sample, node.clock.now());
     let outcome = match record_outcome {
@@ -192,7 +192,7 @@
 
 /// Applies samples from other nodes to this node's replica table. Returns those of replicas
 /// that this node knows.
-pub(crate) fn take_in<P: Platform>(
+pub(crate) fn apply_samples<P: Platform>(
     node: &Node<P>,
     samples: &[LoadSample],
     kind: &'static str,
@@ -209,7 +209,7 @@
         let newest = state.replicas.get(id).and_then(|entry| entry.capacity.newest());
         if sample.is_update_to(newest) {
             state.replicas.record_load(id, sample.load, sample.at);
-            note_work_time(node, sample.load);
+            record_work_time(node, sample.load);
             count(node, kind, "heard");
         } else {
             count(node, kind, "old");
@@ -224,16 +224,16 @@
 
 /// Applies samples that an orderer published, over a link with the given delay, and queues
 /// them for the followers.
-pub(crate) fn hear_told<P: Platform>(node: &Node<P>, loads: &WireLoads, delay: &mut LinkDelay) {
+pub(crate) fn apply_published<P: Platform>(node: &Node<P>, loads: &WireLoads, delay: &mut LinkDelay) {
     let now = node.clock.now();
     let samples = loads.to_accounts(delay, now);
-    note_arrivals(node, &samples, now);
-    let known = take_in(node, &samples, "orderer");
-    pass_on(node, known.iter().map(|(_, sample)| sample), now);
+    record_arrivals(node, &samples, now);
+    let known = apply_samples(node, &samples, "orderer");
+    queue_for_followers(node, known.iter().map(|(_, sample)| sample), now);
 }
 
 /// Queues samples for this node's followers.
-pub(crate) fn pass_on<'a, P: Platform>(
+pub(crate) fn queue_for_followers<'a, P: Platform>(
     node: &Node<P>,
     samples: impl IntoIterator<Item = &'a LoadSample>,
     now: Moment,
@@ -250,7 +250,7 @@
 }
 
 /// Returns the samples of a message from this node to its own orderer.
-pub(crate) fn own_accounts<P: Platform>(node: &Node<P>, loads: &WireLoads) -> Vec<LoadSample> {
+pub(crate) fn own_samples<P: Platform>(node: &Node<P>, loads: &WireLoads) -> Vec<LoadSample> {
     let now = node.clock.now();
     let mut delay = LinkDelay::default();
     // The queue between them acts as a link whose minimum delay is zero.
@@ -260,7 +260,11 @@
 
 /// Encodes a message for the node at an address. Returns `None` for load samples unless the
 /// node's entry says that it supports them.
-pub(crate) fn outgoing<P: Platform>(node: &Node<P>, peer: SocketAddr, message: &ToOrderer) -> Option<Bytes> {
+pub(crate) fn encode_outgoing<P: Platform>(
+    node: &Node<P>,
+    peer: SocketAddr,
+    message: &ToOrderer,
+) -> Option<Bytes> {
     let is_loads = matches!(message, ToOrderer::Loads(_));
     if is_loads && !node.state.borrow().members.tell_loads_at(peer) {
         count(node, "message", "not understood");
@@ -268,34 +272,34 @@
     }
     let message = Bytes::from(message.serialize_bin());
     if is_loads {
-        note_sent(node, &message);
+        count_sent_bytes(node, &message);
     }
     Some(message)
 }
 
 /// Counts the bytes of a message with samples that is sent.
-pub(crate) fn note_sent<P: Platform>(node: &Node<P>, message: &Bytes) {
+pub(crate) fn count_sent_bytes<P: Platform>(node: &Node<P>, message: &Bytes) {
     node.metrics.load_news_bytes.inc_by(message.len() as u64);
 }
 
 /// Forwards samples as they arrive, at a limited rate.
-pub(crate) async fn tell<P: Platform>(node: Rc<Node<P>>) {
+pub(crate) async fn forward<P: Platform>(node: Rc<Node<P>>) {
     loop {
         tokio::select! {
             () = node.load_news.pending.notified() => {}
-            () = sleep(HELLO_INTERVAL), if is_on(&node) => {}
+            () = sleep(HELLO_INTERVAL), if is_active(&node) => {}
         }
-        tell_orderers(&node);
-        tell_followers(&node);
+        send_to_orderers(&node);
+        send_to_followers(&node);
         sleep(MIN_SEND_INTERVAL).await;
     }
 }
 
-fn tell_orderers<P: Platform>(node: &Node<P>) {
+fn send_to_orderers<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let updates = &node.load_news;
     let samples = updates.to_orderers.borrow_mut().take(now);
-    if !is_on(node) {
+    if !is_active(node) {
         return;
     }
     let is_hello_due = now.since(updates.last_hello_at.get()) >= HELLO_INTERVAL;
@@ -307,14 +311,14 @@
     }
     let uplink = node.state.borrow().tree.uplink;
     match uplink {
-        Uplink::Relay(_) => node.tell_orderers(&message_up(&samples, now)),
-        Uplink::Orderers => tell_each_orderer(node, &samples, is_hello_due, now),
+        Uplink::Relay(_) => node.tell_orderers(&loads_message(&samples, now)),
+        Uplink::Orderers => send_to_each_orderer(node, &samples, is_hello_due, now),
         Uplink::Nobody => {}
     }
 }
 
 /// Sends each orderer the samples of its shard's replicas.
-fn tell_each_orderer<P: Platform>(node: &Node<P>, samples: &[LoadSample], is_hello: bool, now: Moment) {
+fn send_to_each_orderer<P: Platform>(node: &Node<P>, samples: &[LoadSample], is_hello: bool, now: Moment) {
     let mut keys = node.load_news.keys.borrow_mut();
     keys.follow(&node.state.borrow().replicas);
     for shard in Shard::all() {
@@ -324,16 +328,16 @@
         };
         let of_shard: Vec<LoadSample> = samples.iter().filter(is_of_shard).copied().collect();
         if is_hello || !of_shard.is_empty() {
-            node.tell_orderer(shard, message_up(&of_shard, now));
+            node.tell_orderer(shard, loads_message(&of_shard, now));
         }
     }
 }
 
-fn message_up(samples: &[LoadSample], now: Moment) -> ToOrderer {
+fn loads_message(samples: &[LoadSample], now: Moment) -> ToOrderer {
     ToOrderer::Loads(WireLoads::from_accounts(samples, now))
 }
 
-fn tell_followers<P: Platform>(node: &Node<P>) {
+fn send_to_followers<P: Platform>(node: &Node<P>) {
     let now = node.clock.now();
     let updates = &node.load_news;
     let samples = updates.to_followers.borrow_mut().take(now);
@@ -360,7 +364,7 @@
 impl LoadSubscriber {
     /// Returns the samples of a message from the node, and subscribes the node to `source`: a
     /// node that sends samples supports them.
-    pub(crate) fn hear(
+    pub(crate) fn receive(
         &mut self,
         loads: &WireLoads,
         source: &broadcast::Sender<Bytes>,
@@ -386,12 +390,12 @@
 impl LoadFollower {
     /// Applies the samples of a message from the follower, queues them for the orderers, and
     /// subscribes the follower.
-    pub(crate) fn hear<P: Platform>(&mut self, node: &Node<P>, loads: &WireLoads) {
+    pub(crate) fn receive<P: Platform>(&mut self, node: &Node<P>, loads: &WireLoads) {
         self.updates
             .get_or_insert_with(|| node.load_news.followers.subscribe());
         let samples = loads.to_accounts(&mut self.delay, node.clock.now());
-        for (_, sample) in take_in(node, &samples, "follower") {
-            keep_for_orderers(node, sample, "relay");
+        for (_, sample) in apply_samples(node, &samples, "follower") {
+            queue_for_orderers(node, sample, "relay");
         }
     }
 
@@ -417,7 +421,7 @@
 }
 
 /// Records the ages of arriving samples, and logs them from time to time.
-fn note_arrivals<P: Platform>(node: &Node<P>, samples: &[LoadSample], now: Moment) {
+fn record_arrivals<P: Platform>(node: &Node<P>, samples: &[LoadSample], now: Moment) {
     let mut arrivals = node.load_news.arrivals.borrow_mut();
     let capacity = MAX_LOGGED_AGES.saturating_sub(arrivals.ages_ms.len());
     let ages = samples.iter().take(capacity);
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -401,7 +401,7 @@
 
     /// The metrics as text.
     pub fn metrics_text(&self) -> String {
-        let services = if load_updates::is_on(self) {
+        let services = if load_updates::is_active(self) {
             load_summary::by_service(&self.state.borrow().replicas, self.clock.now())
         } else {
             BTreeMap::new()
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -69,13 +69,13 @@
         accounts: &[LoadSample],
     ) {
         let now = node.clock.now();
-        for (id, account) in load_updates::take_in(node, accounts, "node") {
+        for (id, account) in load_updates::apply_samples(node, accounts, "node") {
             if Shard::of_replica(&id) != shard {
                 continue;
             }
             orderer.record_load(&id, account.load, account.at);
             if self.telling.record(account, now) == SampleOutcome::Dropped {
-                load_updates::note_left_out(node, "node", 1);
+                load_updates::count_dropped(node, "node", 1);
             }
         }
     }
@@ -96,7 +96,7 @@
         if due.samples.is_empty() {
             return;
         }
-        load_updates::pass_on(node, &due.samples, now);
+        load_updates::queue_for_followers(node, &due.samples, now);
         let message = FromOrderer::Loads(WireLoads::from_accounts(&due.samples, now)).encode();
         // Sending fails only while there are no subscribers.
         let _ = self.listeners.send(message);
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -525,7 +525,7 @@
     /// Records the loads that this node knows at the orderer. Those of other shards' replicas
     /// are included, as models are placed on replicas of all shards.
     fn hear_loads_if_due(&mut self, now: Moment) {
-        if now < self.next_loads || !load_updates::is_on(&self.node) {
+        if now < self.next_loads || !load_updates::is_active(&self.node) {
             return;
         }
         self.next_loads = now + LOADS_EVERY;
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -137,7 +137,7 @@
                 Err(broadcast::error::RecvError::Lagged(_) | broadcast::error::RecvError::Closed) => return Ok(()),
             },
             news = loads.next() => {
-                load_updates::note_sent(node, &news);
+                load_updates::count_sent_bytes(node, &news);
                 link.send(news).await?;
             }
             frame = link.next() => {
@@ -151,11 +151,11 @@
                 };
                 match message {
                     ToOrderer::Loads(told) => {
-                        let accounts = loads.hear(&told, &subscription.loads, node.clock.now());
+                        let accounts = loads.receive(&told, &subscription.loads, node.clock.now());
                         let count = accounts.len();
                         if inbox.try_send(OrdererInput::Loads(accounts)).is_err() {
                             // The next ones say more.
-                            load_updates::note_left_out(node, "node", count);
+                            load_updates::count_dropped(node, "node", count);
                         }
                     }
                     ToOrderer::Replay(after) => {
@@ -256,7 +256,7 @@
         tokio::select! {
             message = outgoing.recv() => {
                 let input = match message {
-                    Some(ToOrderer::Loads(told)) => OrdererInput::Loads(load_updates::own_accounts(node, &told)),
+                    Some(ToOrderer::Loads(told)) => OrdererInput::Loads(load_updates::own_samples(node, &told)),
                     Some(message) => OrdererInput::FromNode(message),
                     None => return,
                 };
@@ -311,7 +311,7 @@
             }
             message = outgoing.recv() => {
                 let Some(message) = message else { return Ok(()) };
-                if let Some(message) = load_updates::outgoing(node, address, &message) {
+                if let Some(message) = load_updates::encode_outgoing(node, address, &message) {
                     link.send(message).await?;
                 }
             }
@@ -385,7 +385,7 @@
         FromOrderer::Whole(part) => relay::take_whole(node, part, whole, delay),
         FromOrderer::HistoryGone => tree::history_gone(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
-        FromOrderer::Loads(told) => load_updates::hear_told(node, &told, delay),
+        FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
         // Taken by the link itself, or not for it.
         FromOrderer::Alive
         | FromOrderer::Linked(_)
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -219,7 +219,7 @@
     fn take_load(&self, send: &Send<P>, facts: &AnswerFacts) {
         if let Some(load) = facts.load {
             let is_sure = facts.is_ours && !facts.is_misdirected;
-            load_updates::hear_answer(&self.node, &send.replica, send.started_ms, load, is_sure);
+            load_updates::record_answer_load(&self.node, &send.replica, send.started_ms, load, is_sure);
         }
     }
 
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -40,7 +40,7 @@
     spawn_local(front::accept(node.clone(), front_listener));
     spawn_local(peer_link::accept(node.clone(), peer_listener));
     spawn_local(peer_link::tell_demand(node.clone()));
-    spawn_local(load_updates::tell(node.clone()));
+    spawn_local(load_updates::forward(node.clone()));
     spawn_local(directory::follow(node.clone()));
     spawn_local(directory::read_holdings(node.clone()));
     spawn_local(crash_reports::publish(node.clone(), incarnation));
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -174,7 +174,7 @@
             }
             message = outgoing.recv() => {
                 let Some(message) = message else { return Ok(()) };
-                if let Some(message) = load_updates::outgoing(node, address, &message) {
+                if let Some(message) = load_updates::encode_outgoing(node, address, &message) {
                     link.send(message).await?;
                 }
             }
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -163,7 +163,7 @@
     pub(super) fn loads(&self, told: &FollowerLoads) -> Option<Bytes> {
         match self.scope {
             WireScope::All => Some(told.message().clone()),
-            WireScope::ByInterest => told.message_about(|id| self.interests.knows(id)),
+            WireScope::ByInterest => told.filtered_message(|id| self.interests.knows(id)),
         }
     }
 
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -78,7 +78,7 @@
             },
             told = loads.next() => {
                 if let Some(message) = follower.as_ref().and_then(|follower| follower.loads(&told)) {
-                    load_updates::note_sent(&node, &message);
+                    load_updates::count_sent_bytes(&node, &message);
                     link.send(message).await?;
                 }
             }
@@ -86,7 +86,7 @@
                 let Some(frame) = frame? else { return Ok(()) };
                 let message = decode::<ToOrderer>(&frame)?;
                 if let ToOrderer::Loads(told) = &message {
-                    loads.hear(&node, told);
+                    loads.receive(&node, told);
                 }
                 let replies = node
                     .step_times
