--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -24,23 +24,23 @@
 /// Margin for differences in clock rates, added to the minimum gap between two orderers.
 const GAP_MARGIN: Duration = Duration::from_millis(250);
 /// Timeout for reading the orderer's keys.
-const READ_LIMIT: Duration = Duration::from_millis(900);
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 /// Value of [`Write::lease`] for a key without a lease.
 const NO_LEASE: u64 = 0;
 /// Safety margin for imprecise timers, subtracted from the lease's time to live.
 const LEASE_MARGIN: Duration = Duration::from_millis(150);
 /// Delay before a node requests the lease, for each position in line ahead of it.
-const CANDIDACY_STEP: Duration = Duration::from_millis(70);
+const CANDIDACY_DELAY_STEP: Duration = Duration::from_millis(70);
 /// Maximum wait of a node with one full core that knows no other node.
-const LONE_WAIT_OF_A_CORE: Duration = Duration::from_millis(250);
+const DISCOVERY_WAIT_OF_ONE_CORE: Duration = Duration::from_millis(250);
 /// Maximum wait of any node that knows no other: traffic may arrive ten seconds after the
 /// start.
-const LONGEST_LONE_WAIT: Duration = Duration::from_millis(2500);
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(2500);
 /// Minimum time between two attempts to hand a shard over to stronger nodes: many times the
 /// cost of a change of orderers (about 0.3 s without orders).
-const HANDS_ON_AGAIN: Duration = Duration::from_secs(60);
+const MIN_HAND_OVER_INTERVAL: Duration = Duration::from_secs(60);
 /// Time from when a node is ready until it knows what other nodes did while it started.
-const SETTLING: Duration = Duration::from_millis(900);
+const SETTLING_PERIOD: Duration = Duration::from_millis(900);
 
 /// A value from the store and its revision.
 #[derive(Debug, Clone)]
@@ -71,34 +71,39 @@
     shard: Shard,
     entry: &MemberEntry,
 ) -> Option<Acquired> {
-    if !may_try(node, shard, entry) {
+    if !may_acquire(node, shard, entry) {
         return None;
     }
-    if place_in_line(node, shard, entry) > 0 {
-        sleep(settling_left(node)).await;
+    if queue_position(node, shard, entry) > 0 {
+        sleep(remaining_settling_time(node)).await;
     }
-    if knows_nobody(node) {
-        sleep(lone_wait(entry.processor_millicores)).await;
+    if knows_no_other_node(node) {
+        sleep(discovery_wait(entry.processor_millicores)).await;
     }
     let terms_held = node.terms_held();
-    sleep(CANDIDACY_STEP * place_in_line(node, shard, entry)).await;
+    sleep(CANDIDACY_DELAY_STEP * queue_position(node, shard, entry)).await;
     let _one_at_a_time = node.acquiring.lock().await;
-    if node.terms_held() != terms_held || !may_try(node, shard, entry) {
+    if node.terms_held() != terms_held || !may_acquire(node, shard, entry) {
         return None;
     }
     let keys = read_keys(node, shard).await?;
-    let heard = node.state.borrow().resignations.get(&shard).cloned();
-    if !is_free(&keys, entry, heard.as_ref()) {
+    let received = node.state.borrow().resignations.get(&shard).cloned();
+    if !is_free(&keys, entry, received.as_ref()) {
         return None;
     }
     let pace = &node.settings.pace;
     let time_to_live = pace.orderer_lease.max(node.settings.bounds.least_lease);
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let store = node.store();
     let lease = store.grant_lease(time_to_live).await.ok()?;
-    let heard = heard.filter(|heard| is_of_present_era(node, heard));
-    let is_proven = is_record_proven(node, &keys);
-    let start = term_start(last_record(&keys, entry), is_proven, heard.as_ref(), asked_at);
+    let received = received.filter(|received| is_of_present_era(node, received));
+    let is_current = is_record_current(node, &keys);
+    let start = term_start(
+        last_record(&keys, entry),
+        is_current,
+        received.as_ref(),
+        requested_at,
+    );
     let Some(fencing_token) = claim_key(node, shard, entry, lease, &keys, start).await else {
         let _ = store.end_lease(lease).await;
         return None;
@@ -107,12 +112,12 @@
         time_to_live,
         margin: LEASE_MARGIN,
         renewal_interval: pace.orderer_renewal,
-        quiet_period: least_gap(node),
+        quiet_period: min_order_gap(node),
     });
-    held.record_acquisition(lease, fencing_token, asked_at, node.clock.now(), start);
+    held.record_acquisition(lease, fencing_token, requested_at, node.clock.now(), start);
     tracing::info!(target: "orderer", event = "lease acquired", shard = shard.index(), fencing_token,
         lease, ?start);
-    let inherited = heard.filter(|_| matches!(start, TermStart::HandedOver { .. }));
+    let inherited = received.filter(|_| matches!(start, TermStart::HandedOver { .. }));
     Some(Acquired {
         lease: held,
         inherited,
@@ -121,14 +126,14 @@
 
 /// Returns the time until a node that just started knows the others. When many nodes start
 /// together, most of them then need no store calls to learn which one is the orderer.
-fn settling_left<P: Platform>(node: &Node<P>) -> Duration {
+fn remaining_settling_time<P: Platform>(node: &Node<P>) -> Duration {
     let ready_at = node.state.borrow().ready_at.unwrap_or_default();
-    SETTLING.saturating_sub(node.clock.now().since(ready_at))
+    SETTLING_PERIOD.saturating_sub(node.clock.now().since(ready_at))
 }
 
 /// Returns whether no other node is known, as when all nodes start for the first time. The
 /// queue position says nothing then.
-fn knows_nobody<P: Platform>(node: &Node<P>) -> bool {
+fn knows_no_other_node<P: Platform>(node: &Node<P>) -> bool {
     let own = &node.settings.identity.name;
     let state = node.state.borrow();
     let mut others = state.members.nodes().filter(|member| member.name != *own);
@@ -138,33 +143,33 @@
 /// Returns how long a node waits for others to appear. Nodes with less processor time wait
 /// longer, so that a strong one is first; the wait is random, so that few nodes request the
 /// lease.
-fn lone_wait(processor_millicores: u32) -> Duration {
+fn discovery_wait(processor_millicores: u32) -> Duration {
     let share = rand::rng().random_range(0.5..1.0);
-    let weakness = 1000.0 / f64::from(processor_millicores.max(1));
-    LONE_WAIT_OF_A_CORE
-        .mul_f64(weakness * share)
-        .min(LONGEST_LONE_WAIT)
+    let slowdown = 1000.0 / f64::from(processor_millicores.max(1));
+    DISCOVERY_WAIT_OF_ONE_CORE
+        .mul_f64(slowdown * share)
+        .min(MAX_DISCOVERY_WAIT)
 }
 
 /// Returns the minimum time between the orders of two machines at one replica, including a
 /// margin.
-pub(super) fn least_gap<P: Platform>(node: &Node<P>) -> Duration {
+pub(super) fn min_order_gap<P: Platform>(node: &Node<P>) -> Duration {
     node.settings.bounds.order_gap + GAP_MARGIN
 }
 
 /// Returns whether no machine holds the orderer's key, or this machine holds it, or its holder
 /// has resigned.
-fn is_free(keys: &OrdererKeys, entry: &MemberEntry, heard: Option<&ReceivedResignation>) -> bool {
+fn is_free(keys: &OrdererKeys, entry: &MemberEntry, received: Option<&ReceivedResignation>) -> bool {
     let Some(present) = &keys.present else {
         return true;
     };
-    let resigned = heard.is_some_and(|heard| heard.resignation.fencing_token == present.revision);
+    let resigned = received.is_some_and(|received| received.resignation.fencing_token == present.revision);
     present.value.name == entry.name || resigned
 }
 
 /// Returns whether no machine can have ordered after the record that was read: the record was
 /// written after the store was last restored from an older copy.
-fn is_record_proven<P: Platform>(node: &Node<P>, keys: &OrdererKeys) -> bool {
+fn is_record_current<P: Platform>(node: &Node<P>, keys: &OrdererKeys) -> bool {
     let present = node.platform.store().era();
     match keys.era {
         Some(era) => Some(era.recorded) == present.newest(),
@@ -177,9 +182,9 @@
 
 /// Returns whether a resignation is from the store's present era. The revisions that a
 /// resignation of an earlier era names have been assigned again since.
-fn is_of_present_era<P: Platform>(node: &Node<P>, heard: &ReceivedResignation) -> bool {
+fn is_of_present_era<P: Platform>(node: &Node<P>, received: &ReceivedResignation) -> bool {
     let present = node.platform.store().era().point(0);
-    same_era(heard.resignation.fencing_token, present)
+    same_era(received.resignation.fencing_token, present)
 }
 
 /// Returns the record of the last orderer in the form that [`term_start`] needs.
@@ -193,7 +198,7 @@
 
 /// Returns whether this node may try to acquire the lease: it serves requests, and no other
 /// node is known to hold the lease.
-pub(super) fn may_try<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> bool {
+pub(super) fn may_acquire<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> bool {
     let state = node.state.borrow();
     let free = state
         .members
@@ -204,7 +209,7 @@
 }
 
 /// Returns this node's position in line for a shard.
-fn place_in_line<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> u32 {
+fn queue_position<P: Platform>(node: &Node<P>, shard: Shard, entry: &MemberEntry) -> u32 {
     let state = node.state.borrow();
     let last_orderer = state.members.last_orderer(shard).map(|last| &*last.name);
     let candidacy = Candidacy {
@@ -212,22 +217,22 @@
         own: entry.candidate(),
         terms_held: node.terms_held(),
         // A node that handed the shard over lets the stronger nodes go first.
-        last_orderer: last_orderer.filter(|_| !handed_on_lately(node, shard)),
+        last_orderer: last_orderer.filter(|_| !was_handed_over_recently(node, shard)),
     };
     candidacy.queue_position(state.members.nodes().map(MemberEntry::candidate))
 }
 
 /// Returns whether this node handed the shard over recently. Either another node has taken it,
 /// or the stronger nodes cannot, and another attempt would only interrupt orders.
-pub(super) fn handed_on_lately<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
-    let handed_on_at = node.handed_on_at[shard.index()].get();
-    handed_on_at.is_some_and(|at| node.clock.now().since(at) < HANDS_ON_AGAIN)
+pub(super) fn was_handed_over_recently<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
+    let handed_over_at = node.handed_on_at[shard.index()].get();
+    handed_over_at.is_some_and(|at| node.clock.now().since(at) < MIN_HAND_OVER_INTERVAL)
 }
 
 pub(super) async fn read_keys<P: Platform>(node: &Node<P>, shard: Shard) -> Option<OrdererKeys> {
     let snapshot = node
         .store()
-        .range(&orderer_prefix(shard), Freshness::Latest, READ_LIMIT)
+        .range(&orderer_prefix(shard), Freshness::Latest, READ_TIMEOUT)
         .await
         .ok()?;
     let mut keys = OrdererKeys::default();
@@ -258,8 +263,8 @@
 ) -> Option<u64> {
     let present = revision_of(&keys.present);
     // The era is written first, as the answer contains the revision of the last write.
-    let is_era_wanted = keys.era.is_none() && start != TermStart::AfterRestore;
-    let era = write_record_era(node, shard).filter(|_| is_era_wanted);
+    let is_era_needed = keys.era.is_none() && start != TermStart::AfterRestore;
+    let era = write_record_era(node, shard).filter(|_| is_era_needed);
     let mut writes: Vec<Write> = era.into_iter().collect();
     writes.push(write_entry(shard, entry, lease));
     if start == TermStart::Continues {
@@ -287,7 +292,7 @@
 
 /// Records this machine as the last that was allowed to order, if it still holds the key at
 /// the revision `fencing_token`. Returns the record.
-pub(super) async fn record_last<P: Platform>(
+pub(super) async fn record_last_orderer<P: Platform>(
     node: &Node<P>,
     shard: Shard,
     entry: &MemberEntry,
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{broadcast, mpsc, oneshot};
 use tokio::task::JoinSet;
 
-use super::acquisition::{handed_on_lately, least_gap, record_last, Acquired};
+use super::acquisition::{min_order_gap, record_last_orderer, was_handed_over_recently, Acquired};
 use super::decision_log::{log_decision, order_kind, outcome_name};
 use super::limited_calls::{take_turn, ControlPace, ControlTurn};
 use super::loads::ShardLoads;
@@ -182,7 +182,7 @@
         }
         self.next_look = now + LOOK_EVERY;
         let node = &self.node;
-        if handed_on_lately(node, self.shard) {
+        if was_handed_over_recently(node, self.shard) {
             return false;
         }
         let state = node.state.borrow();
@@ -253,7 +253,7 @@
         self.recording = true;
         let (node, shard, entry) = (self.node.clone(), self.shard, self.entry.clone());
         tokio::task::spawn_local(async move {
-            let record = record_last(&node, shard, &entry, fencing_token, kind).await;
+            let record = record_last_orderer(&node, shard, &entry, fencing_token, kind).await;
             let input = OrdererInput::Recorded {
                 fencing_token,
                 record,
@@ -620,7 +620,7 @@
         scope: OrderScope::One(shard),
         placement: PlacementConfig::default(),
         ledger: LedgerConfig::default(),
-        order_gap: least_gap(node),
+        order_gap: min_order_gap(node),
         ceiling_window: node.settings.bounds.ceiling_window,
         withdraw_notice: Duration::from_millis(30),
         adapter_load: Duration::from_millis(30),
