--- a/crates/croftrill-node/src/orderer_task/limited_calls.rs
+++ b/crates/croftrill-node/src/orderer_task/limited_calls.rs
@@ -15,21 +15,21 @@
 
 /// Maximum fraction of a limit for an orderer's calls. The remainder is for callers: a load
 /// needs one order and one report, and serves many requests.
-const CONTROL_PART: f64 = 0.25;
+const MAX_CONTROL_FRACTION: f64 = 0.25;
 
 /// Times of the next call to each replica with a limit.
 #[derive(Debug, Default)]
-pub(super) struct ControlPace {
+pub(super) struct ControlRates {
     next_at: HashMap<ReplicaId, Moment>,
 }
 
-impl ControlPace {
+impl ControlRates {
     /// Records that a call to the replica is made now, whether or not it gets a reservation.
-    pub(super) fn note_call<P: Platform>(&mut self, node: &Node<P>, replica: &ReplicaId) {
+    pub(super) fn record_call<P: Platform>(&mut self, node: &Node<P>, replica: &ReplicaId) {
         let Some((limit, _)) = node.state.borrow().replicas.limit_of(replica) else {
             return;
         };
-        let calls_per_s = limit.rate.per_s().max(MIN_RATE_PER_S) * CONTROL_PART;
+        let calls_per_s = limit.rate.per_s().max(MIN_RATE_PER_S) * MAX_CONTROL_FRACTION;
         let pause = Duration::from_secs_f64(1.0 / calls_per_s);
         self.next_at.insert(replica.clone(), node.clock.now() + pause);
     }
@@ -51,35 +51,35 @@
 }
 
 /// Whether an orderer's call may be sent to a replica now.
-pub(super) enum ControlTurn {
+pub(super) enum ControlReservation {
     /// The call may be sent. The reservation is returned unless the credit is spent.
-    Taken(Option<Credit>),
+    Granted(Option<Credit>),
     /// The replica's limit is used up.
     Refused,
 }
 
 /// Requests a reservation for a call, and waits until its time, which is at most `patience`
 /// ahead.
-pub(super) async fn take_turn<P: Platform>(
+pub(super) async fn reserve_call<P: Platform>(
     node: &Node<P>,
     replica: &ReplicaId,
     call: &'static str,
     patience: Duration,
     is_urgent: bool,
-) -> ControlTurn {
+) -> ControlReservation {
     let want = LimitRequest { patience, is_urgent };
-    let Some(turn) = replica_reservation::request(node, replica, call, want).await else {
-        return ControlTurn::Taken(None);
+    let Some(reservation) = replica_reservation::request(node, replica, call, want).await else {
+        return ControlReservation::Granted(None);
     };
-    match turn.verdict {
+    match reservation.verdict {
         LimitVerdict::Granted(credit, after) => {
             node.clock.sleep_until(node.clock.now() + after).await;
-            ControlTurn::Taken(credit)
+            ControlReservation::Granted(credit)
         }
         LimitVerdict::Refused { retry_after } => {
             tracing::info!(target: "limit", call, replica = &**replica, outcome = "refused",
-                limit_per_s = turn.limit.rate.per_s(), again_after_ms = retry_after.as_millis() as u64);
-            ControlTurn::Refused
+                limit_per_s = reservation.limit.rate.per_s(), again_after_ms = retry_after.as_millis() as u64);
+            ControlReservation::Refused
         }
     }
 }
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -20,7 +20,7 @@
 
 use super::acquisition::{min_order_gap, record_last_orderer, was_handed_over_recently, Acquired};
 use super::decision_log::{log_decision, order_kind, outcome_name};
-use super::limited_calls::{take_turn, ControlPace, ControlTurn};
+use super::limited_calls::{reserve_call, ControlRates, ControlReservation};
 use super::loads::ShardLoads;
 use super::{OrdererInput, Subscription};
 use crate::directory::relay::WatchedSpan;
@@ -83,7 +83,7 @@
     /// Orders in flight. They are aborted at the end of the term, as none may be sent after it.
     orders: JoinSet<()>,
     /// Rate limits of calls to replicas with a limit.
-    pace: ControlPace,
+    rates: ControlRates,
     /// Time of the next check for stronger nodes.
     next_look: Moment,
     /// Time of the next update of the orderer's loads.
@@ -119,7 +119,7 @@
             followed: TableVersion::default(),
             authority: None,
             orders: JoinSet::new(),
-            pace: ControlPace::default(),
+            rates: ControlRates::default(),
             next_look: now + LEAST_TERM,
             next_loads: now,
         };
@@ -206,7 +206,7 @@
         self.record_if_due(now);
         let reachable = self.node.state.borrow().linked;
         self.orderer.set_reachable(reachable);
-        for replica in self.pace.take_due(now) {
+        for replica in self.rates.take_due(now) {
             self.orderer.pause_calls(&replica, false);
         }
         let may_order = self.lease.order_token(now).is_some();
@@ -286,19 +286,19 @@
                 order,
                 expected_sequence,
             } => {
-                self.note_call(&replica);
+                self.record_call(&replica);
                 self.send_order(replica, order, expected_sequence);
             }
             OrdererAction::RequestReport { replica, is_awaited } => {
-                self.note_call(&replica);
+                self.record_call(&replica);
                 self.ask_report(replica, is_awaited);
             }
         }
     }
 
-    fn note_call(&mut self, replica: &ReplicaId) {
-        self.pace.note_call(&self.node, replica);
-        self.orderer.pause_calls(replica, self.pace.is_paused(replica));
+    fn record_call(&mut self, replica: &ReplicaId) {
+        self.rates.record_call(&self.node, replica);
+        self.orderer.pause_calls(replica, self.rates.is_paused(replica));
     }
 
     pub(super) fn send_order(&mut self, replica: ReplicaId, order: Order, expected_sequence: u64) {
@@ -321,12 +321,13 @@
         let (node, shard) = (self.node.clone(), self.shard);
         while self.orders.try_join_next().is_some() {}
         self.orders.spawn_local(async move {
-            let turn = take_turn(&node, &target.replica, "order", LONGEST_ORDER_DELAY / 2, true).await;
+            let reservation =
+                reserve_call(&node, &target.replica, "order", LONGEST_ORDER_DELAY / 2, true).await;
             let sent_at = node.clock.now();
             // The lease may have expired while the process was suspended.
             let is_fresh = sent_at.since(now) <= LONGEST_ORDER_DELAY;
-            let answered = match turn {
-                ControlTurn::Taken(credit) if is_fresh => {
+            let answered = match reservation {
+                ControlReservation::Granted(credit) if is_fresh => {
                     credit.iter().for_each(Credit::spend);
                     node.platform.engine().order(&target, &fenced).await
                 }
@@ -364,14 +365,14 @@
         let started_ms = self.orderer.started_ms(&replica);
         let (node, shard) = (self.node.clone(), self.shard);
         tokio::task::spawn_local(async move {
-            let turn = take_turn(&node, &replica, "report", LONGEST_REPORT_DELAY, is_awaited).await;
+            let reservation = reserve_call(&node, &replica, "report", LONGEST_REPORT_DELAY, is_awaited).await;
             let sent_at = node.clock.now();
-            let answered = match turn {
-                ControlTurn::Taken(credit) => {
+            let answered = match reservation {
+                ControlReservation::Granted(credit) => {
                     credit.iter().for_each(Credit::spend);
                     node.platform.engine().report(&target).await
                 }
-                ControlTurn::Refused => EngineAnswer::without_word(None),
+                ControlReservation::Refused => EngineAnswer::without_word(None),
             };
             let call = AnsweredCall {
                 started_ms,
