--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -220,7 +220,7 @@
         }
         let node = self.node.clone();
         node.step_times.time("publish", || self.publish(now));
-        self.loads.tell(&node, now);
+        self.loads.publish_due(&node, now);
     }
 
     pub(super) fn renew_if_due(&mut self, now: Moment) {
@@ -406,9 +406,9 @@
         let now = self.node.clock.now();
         match input {
             OrdererInput::FromNode(message) => self.take_message(message, now),
-            OrdererInput::Loads(accounts) => {
+            OrdererInput::Loads(samples) => {
                 let (node, orderer) = (&self.node, &mut self.orderer);
-                self.loads.hear(node, self.shard, orderer, &accounts);
+                self.loads.apply(node, self.shard, orderer, &samples);
             }
             OrdererInput::DirectoryChanged => self.directory_changed = true,
             OrdererInput::Watched(span) => self.relay(span, now),
@@ -483,7 +483,7 @@
         let subscription = Subscription {
             first: first.clone(),
             changes: self.changes.subscribe(),
-            loads: self.loads.listeners(),
+            loads: self.loads.subscribers(),
         };
         let _ = reply.send(subscription);
     }
