--- a/crates/croftrill-node/src/orderer_task/mod.rs
+++ b/crates/croftrill-node/src/orderer_task/mod.rs
@@ -59,7 +59,7 @@
         /// The report, if one was received.
         report: Option<ReplicaReport>,
         /// When the report was requested.
-        asked_at: Moment,
+        requested_at: Moment,
     },
     /// The write that records this machine as the last orderer ended.
     Recorded {
@@ -71,7 +71,7 @@
     /// A renewal of the lease ended.
     Renewed {
         /// When it was sent.
-        asked_at: Moment,
+        requested_at: Moment,
         /// Its result.
         result: Result<(), StoreError>,
     },
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Subscription {
     /// All placements known now.
-    pub first: Vec<Bytes>,
+    pub snapshot: Vec<Bytes>,
     /// Later changes.
     pub changes: broadcast::Receiver<Bytes>,
     /// Load samples, for nodes that support them.
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -39,20 +39,20 @@
 
 /// Time after the decision on an order after which it is not sent any more: shorter than the
 /// lease's margin, and longer than a busy node takes to start a task.
-const LONGEST_ORDER_DELAY: Duration = Duration::from_millis(100);
+const MAX_ORDER_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum wait of a report request for its reservation at a replica with a limit: the orderer
 /// dates the report by its request, so the replica must receive the request soon.
-const LONGEST_REPORT_DELAY: Duration = Duration::from_millis(200);
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// Minimum age of a term at which its shard may be handed over. Before, nodes that start
 /// together may not be listed yet, or may not know of each other's terms.
-const LEAST_TERM: Duration = Duration::from_secs(3);
+const MIN_TERM: Duration = Duration::from_secs(3);
 /// Interval at which the full list of nodes is checked for stronger ones.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const HAND_OVER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the orderer reads the loads that this node knows; it reconsiders the
 /// number of holders at the same interval.
-const LOADS_EVERY: Duration = Duration::from_millis(250);
+const LOADS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Number of changes by which a slow subscriber may lag before it must subscribe anew.
 const CHANGE_BACKLOG: usize = 128;
@@ -68,16 +68,16 @@
     loads: ShardLoads,
     /// All placements, encoded; `None` if they changed since they were last encoded.
     snapshot: Option<Vec<Bytes>>,
-    last_renewal: Moment,
-    last_alive: Moment,
-    renewing: bool,
+    last_renewal_at: Moment,
+    last_alive_at: Moment,
+    is_renewing: bool,
     entry: MemberEntry,
-    recording: bool,
+    is_recording: bool,
     /// True if the list of replicas, their state or the configuration changed since the last
     /// plan.
     directory_changed: bool,
     /// Version of the replica table that the orderer has applied.
-    followed: TableVersion,
+    applied_version: TableVersion,
     /// Fencing token and record under which this term may order, retained after the lease ends.
     authority: Option<(u64, Record)>,
     /// Orders in flight. They are aborted at the end of the term, as none may be sent after it.
@@ -85,9 +85,9 @@
     /// Rate limits of calls to replicas with a limit.
     rates: ControlRates,
     /// Time of the next check for stronger nodes.
-    next_look: Moment,
+    next_hand_over_check: Moment,
     /// Time of the next update of the orderer's loads.
-    next_loads: Moment,
+    next_loads_update: Moment,
 }
 
 impl<P: Platform> Term<P> {
@@ -95,8 +95,8 @@
         let configuration = node.configuration().unwrap_or_default();
         let now = node.clock.now();
         let mut orderer = Orderer::new(orderer_config(&node, shard), configuration, now);
-        if let Some(heard) = &acquired.inherited {
-            orderer.inherit(heard);
+        if let Some(received) = &acquired.inherited {
+            orderer.inherit(received);
         }
         if acquired.lease.record().is_some() {
             orderer.continue_own_term(now);
@@ -110,50 +110,50 @@
             changes,
             loads: ShardLoads::new(now),
             snapshot: None,
-            last_renewal: now,
-            last_alive: now,
-            renewing: false,
+            last_renewal_at: now,
+            last_alive_at: now,
+            is_renewing: false,
             entry,
-            recording: false,
+            is_recording: false,
             directory_changed: false,
-            followed: TableVersion::default(),
+            applied_version: TableVersion::default(),
             authority: None,
             orders: JoinSet::new(),
             rates: ControlRates::default(),
-            next_look: now + LEAST_TERM,
-            next_loads: now,
+            next_hand_over_check: now + MIN_TERM,
+            next_loads_update: now,
         };
-        term.note_authority(now);
+        term.update_authority(now);
         term.sync_directory();
         term.node.term_began();
         term
     }
 
     pub(super) async fn serve(&mut self, inbox: &mut mpsc::Receiver<OrdererInput>) {
-        let plan_every = self.node.settings.pace.plan_every;
-        let mut tick = tokio::time::interval(plan_every);
+        let plan_interval = self.node.settings.pace.plan_every;
+        let mut tick = tokio::time::interval(plan_interval);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 input = inbox.recv() => match input {
-                    Some(input) => self.take_input(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
                 _ = tick.tick() => {}
             }
             while let Ok(input) = inbox.try_recv() {
-                self.take_input(input);
+                self.handle_input(input);
             }
-            if !self.continues() {
+            if !self.should_continue() {
                 return;
             }
-            self.act();
+            self.step();
         }
     }
 
-    /// Returns whether the term continues: the lease is valid, the node is not stopping, and the
+    /// Returns whether the term should_continue: the lease is valid, the node is not stopping, and the
     /// shard is not handed over.
-    pub(super) fn continues(&mut self) -> bool {
+    pub(super) fn should_continue(&mut self) -> bool {
         let now = self.node.clock.now();
         if self.node.lifecycle() == Lifecycle::Stopping {
             return false;
@@ -171,16 +171,16 @@
         if self.lease.expire(now) {
             tracing::warn!(target: "orderer", event = "lease expired before it was renewed");
         }
-        self.lease.lease().is_some() && !self.hands_on(now)
+        self.lease.lease().is_some() && !self.hand_over_if_due(now)
     }
 
     /// Checks from time to time for a node with much more processor time. Returns true if the
     /// shard should be handed over to one.
-    fn hands_on(&mut self, now: Moment) -> bool {
-        if now < self.next_look || self.renewing {
+    fn hand_over_if_due(&mut self, now: Moment) -> bool {
+        if now < self.next_hand_over_check || self.is_renewing {
             return false;
         }
-        self.next_look = now + LOOK_EVERY;
+        self.next_hand_over_check = now + HAND_OVER_CHECK_INTERVAL;
         let node = &self.node;
         if was_handed_over_recently(node, self.shard) {
             return false;
@@ -195,13 +195,13 @@
         true
     }
 
-    pub(super) fn act(&mut self) {
+    pub(super) fn step(&mut self) {
         let now = self.node.clock.now();
         if std::mem::take(&mut self.directory_changed) {
             let node = self.node.clone();
             node.step_times.time("sync", || self.sync_directory());
         }
-        self.hear_loads_if_due(now);
+        self.update_loads_if_due(now);
         self.renew_if_due(now);
         self.record_if_due(now);
         let reachable = self.node.state.borrow().linked;
@@ -213,7 +213,7 @@
         let orderer = &mut self.orderer;
         let actions = self.node.step_times.time("plan", || orderer.plan(may_order, now));
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         for decision in self.orderer.take_decisions() {
             log_decision(&decision);
@@ -224,19 +224,19 @@
     }
 
     pub(super) fn renew_if_due(&mut self, now: Moment) {
-        if self.renewing || now.since(self.last_renewal) < self.lease.renewal_interval() {
+        if self.is_renewing || now.since(self.last_renewal_at) < self.lease.renewal_interval() {
             return;
         }
         let Some(lease) = self.lease.lease() else { return };
-        self.renewing = true;
-        self.last_renewal = now;
+        self.is_renewing = true;
+        self.last_renewal_at = now;
         let (node, shard) = (self.node.clone(), self.shard);
         tokio::task::spawn_local(async move {
             let result = node.store().renew_lease(lease).await;
             let inbox = node.orderer_inbox(shard);
             let _ = inbox
                 .send(OrdererInput::Renewed {
-                    asked_at: now,
+                    requested_at: now,
                     result,
                 })
                 .await;
@@ -246,11 +246,11 @@
     /// Records this machine in the store before its first order, and again once the record is
     /// settled.
     pub(super) fn record_if_due(&mut self, now: Moment) {
-        let wanted = self.lease.missing_record(now).filter(|_| !self.recording);
-        let (Some(kind), Some(fencing_token)) = (wanted, self.lease.token(now)) else {
+        let missing = self.lease.missing_record(now).filter(|_| !self.is_recording);
+        let (Some(kind), Some(fencing_token)) = (missing, self.lease.token(now)) else {
             return;
         };
-        self.recording = true;
+        self.is_recording = true;
         let (node, shard, entry) = (self.node.clone(), self.shard, self.entry.clone());
         tokio::task::spawn_local(async move {
             let record = record_last_orderer(&node, shard, &entry, fencing_token, kind).await;
@@ -262,24 +262,24 @@
         });
     }
 
-    pub(super) fn take_record(&mut self, fencing_token: u64, record: Option<Record>) {
-        self.recording = false;
+    pub(super) fn handle_recorded(&mut self, fencing_token: u64, record: Option<Record>) {
+        self.is_recording = false;
         tracing::info!(target: "orderer", event = "recorded as the last orderer", fencing_token, ?record);
         let is_ours = self.lease.token(self.node.clock.now()) == Some(fencing_token);
         if let Some(record) = record.filter(|_| is_ours) {
             self.lease.set_record(record);
-            self.note_authority(self.node.clock.now());
+            self.update_authority(self.node.clock.now());
         }
     }
 
     /// Stores the token and record that a resignation must name, as the lease may have ended by
     /// then.
-    fn note_authority(&mut self, now: Moment) {
+    fn update_authority(&mut self, now: Moment) {
         let token = self.lease.token(now);
         self.authority = token.zip(self.lease.record()).or(self.authority);
     }
 
-    pub(super) fn carry_out(&mut self, action: OrdererAction) {
+    pub(super) fn execute(&mut self, action: OrdererAction) {
         match action {
             OrdererAction::Order {
                 replica,
@@ -291,7 +291,7 @@
             }
             OrdererAction::RequestReport { replica, is_awaited } => {
                 self.record_call(&replica);
-                self.ask_report(replica, is_awaited);
+                self.request_report(replica, is_awaited);
             }
         }
     }
@@ -321,11 +321,10 @@
         let (node, shard) = (self.node.clone(), self.shard);
         while self.orders.try_join_next().is_some() {}
         self.orders.spawn_local(async move {
-            let reservation =
-                reserve_call(&node, &target.replica, "order", LONGEST_ORDER_DELAY / 2, true).await;
+            let reservation = reserve_call(&node, &target.replica, "order", MAX_ORDER_DELAY / 2, true).await;
             let sent_at = node.clock.now();
             // The lease may have expired while the process was suspended.
-            let is_fresh = sent_at.since(now) <= LONGEST_ORDER_DELAY;
+            let is_fresh = sent_at.since(now) <= MAX_ORDER_DELAY;
             let answered = match reservation {
                 ControlReservation::Granted(credit) if is_fresh => {
                     credit.iter().for_each(Credit::spend);
@@ -356,16 +355,17 @@
         });
     }
 
-    pub(super) fn ask_report(&mut self, replica: ReplicaId, is_awaited: bool) {
-        let asked_at = self.node.clock.now();
+    pub(super) fn request_report(&mut self, replica: ReplicaId, is_awaited: bool) {
+        let requested_at = self.node.clock.now();
         let Some(target) = self.address(&replica) else {
-            self.orderer.record_report(&replica, None, asked_at, asked_at);
+            self.orderer
+                .record_report(&replica, None, requested_at, requested_at);
             return;
         };
         let started_ms = self.orderer.started_ms(&replica);
         let (node, shard) = (self.node.clone(), self.shard);
         tokio::task::spawn_local(async move {
-            let reservation = reserve_call(&node, &replica, "report", LONGEST_REPORT_DELAY, is_awaited).await;
+            let reservation = reserve_call(&node, &replica, "report", MAX_REPORT_DELAY, is_awaited).await;
             let sent_at = node.clock.now();
             let answered = match reservation {
                 ControlReservation::Granted(credit) => {
@@ -386,7 +386,7 @@
             let input = OrdererInput::Reported {
                 replica,
                 report,
-                asked_at,
+                requested_at,
             };
             let _ = node.orderer_inbox(shard).send(input).await;
         });
@@ -402,16 +402,16 @@
         })
     }
 
-    pub(super) fn take_input(&mut self, input: OrdererInput) {
+    pub(super) fn handle_input(&mut self, input: OrdererInput) {
         let now = self.node.clock.now();
         match input {
-            OrdererInput::FromNode(message) => self.take_message(message, now),
+            OrdererInput::FromNode(message) => self.handle_message(message, now),
             OrdererInput::Loads(samples) => {
                 let (node, orderer) = (&self.node, &mut self.orderer);
                 self.loads.apply(node, self.shard, orderer, &samples);
             }
             OrdererInput::DirectoryChanged => self.directory_changed = true,
-            OrdererInput::Watched(span) => self.relay(span, now),
+            OrdererInput::Watched(span) => self.publish_changes(span, now),
             OrdererInput::Subscribe(reply) => {
                 let node = self.node.clone();
                 node.step_times.time("snapshot", || self.subscribe(reply, now));
@@ -432,23 +432,23 @@
             OrdererInput::Reported {
                 replica,
                 report,
-                asked_at,
+                requested_at,
             } => {
                 self.orderer
-                    .record_report(&replica, report.as_ref(), asked_at, now);
+                    .reported(&replica, report.as_ref(), requested_at, now);
             }
             OrdererInput::Recorded {
                 fencing_token,
                 record,
-            } => self.take_record(fencing_token, record),
-            OrdererInput::Renewed { asked_at, result } => self.take_renewal(asked_at, &result),
+            } => self.handle_recorded(fencing_token, record),
+            OrdererInput::Renewed { requested_at, result } => self.handle_renewal(requested_at, &result),
         }
     }
 
-    pub(super) fn take_renewal(&mut self, asked_at: Moment, result: &Result<(), StoreError>) {
-        self.renewing = false;
+    pub(super) fn handle_renewal(&mut self, requested_at: Moment, result: &Result<(), StoreError>) {
+        self.is_renewing = false;
         match result {
-            Ok(()) => self.lease.record_renewal(asked_at),
+            Ok(()) => self.lease.record_renewal(requested_at),
             Err(StoreError::NoSuchLease) => {
                 tracing::warn!(target: "orderer", event = "lease has ended at the store");
                 self.lease.clear();
@@ -457,7 +457,7 @@
         }
     }
 
-    pub(super) fn take_message(&mut self, message: ToOrderer, now: Moment) {
+    pub(super) fn handle_message(&mut self, message: ToOrderer, now: Moment) {
         match message {
             ToOrderer::Demand(items) => {
                 for item in items {
@@ -477,11 +477,11 @@
 
     pub(super) fn subscribe(&mut self, reply: oneshot::Sender<Subscription>, now: Moment) {
         let orderer = &self.orderer;
-        let first = self
+        let snapshot = self
             .snapshot
             .get_or_insert_with(|| FromOrderer::encode_placements(&orderer.all_placements(now), now));
         let subscription = Subscription {
-            first: first.clone(),
+            snapshot: snapshot.clone(),
             changes: self.changes.subscribe(),
             loads: self.loads.subscribers(),
         };
@@ -489,12 +489,12 @@
     }
 
     /// Publishes changes of the store to all nodes.
-    pub(super) fn relay(&mut self, span: WatchedSpan, now: Moment) {
+    pub(super) fn publish_changes(&mut self, span: WatchedSpan, now: Moment) {
         for part in span.into_news(now) {
             // Sending fails only while there are no subscribers.
             let _ = self.changes.send(FromOrderer::Directory(part).encode());
         }
-        self.last_alive = now;
+        self.last_alive_at = now;
     }
 
     /// Applies changes of the node's replica table and configuration to the orderer.
@@ -504,8 +504,8 @@
         if let Some(configuration) = &state.configuration {
             self.orderer.configure(configuration.clone());
         }
-        let followed = std::mem::replace(&mut self.followed, state.replicas.version());
-        match state.replicas.changed_since(followed) {
+        let applied_version = std::mem::replace(&mut self.applied_version, state.replicas.version());
+        match state.replicas.changed_since(applied_version) {
             ChangedReplicas::Everything => {
                 self.orderer.retain(|id| state.replicas.get(id).is_some());
                 for entry in state.replicas.iter() {
@@ -525,11 +525,11 @@
 
     /// Records the loads that this node knows at the orderer. Those of other shards' replicas
     /// are included, as models are placed on replicas of all shards.
-    fn hear_loads_if_due(&mut self, now: Moment) {
-        if now < self.next_loads || !load_updates::is_active(&self.node) {
+    fn update_loads_if_due(&mut self, now: Moment) {
+        if now < self.next_loads_update || !load_updates::is_active(&self.node) {
             return;
         }
-        self.next_loads = now + LOADS_EVERY;
+        self.next_loads_update = now + LOADS_INTERVAL;
         let state = self.node.state.borrow();
         for entry in state.replicas.iter() {
             if let Some((load, at)) = entry.capacity.newest() {
@@ -542,22 +542,22 @@
         let placements = self.orderer.take_changes(now);
         if !placements.is_empty() {
             self.snapshot = None;
-            self.tell_placements(&placements, now);
+            self.publish_placements(&placements, now);
             let mut state = self.node.state.borrow_mut();
             for placement in placements {
                 state.replicas.apply_placement(placement);
             }
             drop(state);
             self.node.view_changed.notify_waiters();
-            self.last_alive = now;
-        } else if now.since(self.last_alive) >= self.node.settings.pace.peer_heartbeat {
+            self.last_alive_at = now;
+        } else if now.since(self.last_alive_at) >= self.node.settings.pace.peer_heartbeat {
             let _ = self.changes.send(Bytes::from(FromOrderer::Alive.serialize_bin()));
-            self.last_alive = now;
+            self.last_alive_at = now;
         }
     }
 
     /// Publishes placements to all nodes.
-    fn tell_placements(&self, placements: &[Placement], now: Moment) {
+    fn publish_placements(&self, placements: &[Placement], now: Moment) {
         let wire = placements.iter();
         let wire = wire.map(|placement| WirePlacement::from_placement(placement, now));
         for part in WirePlacement::in_parts(wire.collect()) {
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -126,7 +126,7 @@
     let mut changes = subscription.changes;
     let mut loads = LoadSubscriber::default();
     let mut unread = UnreadMessages::default();
-    for message in subscription.first {
+    for message in subscription.snapshot {
         link.send(message).await?;
     }
     loop {
