--- a/crates/croftrill-node/src/crash_trial.rs
+++ b/crates/croftrill-node/src/crash_trial.rs
@@ -54,7 +54,7 @@
     Acquired(Trial<P>),
     /// Another trial of the request is running.
     Busy,
-    /// The store did not answer.
+    /// The store did not answer or returned an error.
     StoreUnavailable,
 }
 
@@ -69,7 +69,7 @@
         Ok(None) => TrialOutcome::Busy,
         Err(error) => {
             tracing::info!(target: "crash",
-                event = "request not limited to one run at a time; the store did not answer", %fingerprint, %error);
+                event = "request not limited to one run at a time; store call failed", %fingerprint, %error);
             TrialOutcome::StoreUnavailable
         }
     }
--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -6,9 +6,9 @@
 //! empty. Such messages go only to nodes whose entries say that they support them.
 //!
 //! Samples come from a replica ([`record_answer_load`]), from a follower of this relay
-//! ([`LoadFollower`]) and from orderers ([`apply_published`]). [`forward`] sends samples of the first
-//! two to the orderers, and those of the orderers to the followers. `orderer_task::loads`
-//! handles the samples that reach an orderer of this node.
+//! ([`LoadFollower`]) and from orderers ([`apply_published`]). [`forward`] sends samples of the
+//! first two to the orderers, and those of the orderers to the followers.
+//! `orderer_task::loads` handles the samples that reach an orderer of this node.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns whether the term should_continue: the lease is valid, the node is not stopping, and the
+    /// Returns whether the term continues: the lease is valid, the node is not stopping, and the
     /// shard is not handed over.
     pub(super) fn should_continue(&mut self) -> bool {
         let now = self.node.clock.now();
