--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -435,7 +435,7 @@
                 requested_at,
             } => {
                 self.orderer
-                    .reported(&replica, report.as_ref(), requested_at, now);
+                    .record_report(&replica, report.as_ref(), requested_at, now);
             }
             OrdererInput::Recorded {
                 fencing_token,
