--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -1,4 +1,4 @@
-//! Whether a caller may send a request: by the key that it shows, and by its quota.
+//! Access control: API keys and tenants' quotas.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 use crate::ports::{Dialect, Platform, RequestFacts};
 use crate::quota::{Credit, QuotaAsk, QuotaVerdict};
 
-/// Longest key that is looked at, in bytes: several times the longest that
-/// operators hand out. A longer one is not hashed.
+/// Maximum length of a key. Longer ones are rejected without hashing them; keys that operators
+/// issue are several times shorter.
 const LONGEST_KEY_BYTES: usize = 256;
 
-/// Why a request is denied. No variant holds anything of the key.
+/// Why a request is denied. No variant contains any part of the key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Denied {
-    /// The route needs a key.
+    /// The route needs a key and the request has none.
     #[error("no key")]
     NoKey,
-    /// More than one key, or not in the form that the wire asks for.
+    /// The request has several keys, or one that does not follow the dialect's scheme.
     #[error("the key cannot be read")]
     Unreadable,
-    /// No tenant holds it.
+    /// No tenant has this key.
     #[error("unknown key")]
     Unknown,
 }
 
-/// The tenant that a request counts for; `None` where no key is needed.
+/// Returns the tenant that a request counts for, or `None` if no key is needed.
 pub(super) fn authorize(
     configuration: &Configuration,
     route: &Route,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The key in a request's headers.
+/// Returns the key in a request's headers.
 fn shown_key<'a>(headers: &'a HeaderMap, scheme: &str) -> Result<&'a [u8], Denied> {
     let mut values = headers.get_all(header::AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
@@ -78,7 +78,7 @@
     Ok(key)
 }
 
-/// The answer to a request without a valid key. Nothing has counted it yet.
+/// Counts, logs and answers a request without a valid key. The request metrics do not count it.
 pub(super) fn refuse_access<P: Platform>(
     node: &Rc<Node<P>>,
     id: &str,
@@ -98,8 +98,8 @@
     answer
 }
 
-/// The wait of a request that ends at `until` for its turn, as long as it can still be in
-/// time.
+/// Returns the schedule on which a request waits for its quota reservation. The wait leaves the
+/// request time to meet its objective, and ends at `until` at the latest.
 fn turn_wait(
     facts: &RequestFacts,
     configuration: &Configuration,
@@ -115,7 +115,7 @@
     ReservationWait::new(now, patience, max_ahead)
 }
 
-/// Waits until a moment; false if the node is asked to stop before.
+/// Waits until a moment. Returns false as soon as the node is stopping.
 async fn sleep_unless_stopping<P: Platform>(node: &Node<P>, until: Moment) -> bool {
     if node.lifecycle() == Lifecycle::Stopping {
         return false;
@@ -126,8 +126,8 @@
     }
 }
 
-/// The answer to a request whose turn has not come as its node is asked to stop: another
-/// node can wait for it, this one may end before.
+/// Refuses a request that waits for its quota reservation while the node is stopping. Another
+/// node can wait for it; this one may end first.
 fn refuse_at_stop<P: Platform>(
     node: &Node<P>,
     facts: &RequestFacts,
@@ -145,9 +145,11 @@
     )
 }
 
-/// Pays for a request from its tenant's quota; nothing if that has none.
+/// Charges a request to its tenant's quota. Returns `None` if there is no quota.
 ///
-/// Errors: the answer to a request beyond the quota, or that no keeper rules on.
+/// # Errors
+///
+/// Returns the answer to a request that exceeds the quota, or that no keeper decides on.
 pub(super) async fn take_credit<P: Platform>(
     node: &Rc<Node<P>>,
     facts: &RequestFacts,
--- a/crates/croftrill-node/src/request/answers.rs
+++ b/crates/croftrill-node/src/request/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, and the line that each request leaves in the log.
+//! Final answers, and the log line of each request.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::stream::AnswerBody;
 
 impl<P: Platform> RequestRun<P> {
-    /// Passes on a whole answer.
+    /// Forwards a complete answer.
     pub(super) fn answer_whole(self, replica: &ReplicaId, mut head: response::Parts, body: Bytes) -> Answer {
         head.headers = end_to_end(&head.headers);
         if self.head.method != Method::HEAD {
@@ -36,7 +36,7 @@
         answer
     }
 
-    /// The final answer to a request that is given up.
+    /// Returns the final answer to a request that is given up.
     pub(super) fn give_up(&self, cause: &'static str, retry_after: Option<Duration>) -> Answer {
         let status = match (self.may_have_run, self.now() >= self.until) {
             (false, _) => StatusCode::SERVICE_UNAVAILABLE,
@@ -66,8 +66,8 @@
         refuse(status, cause, retry_after)
     }
 
-    /// The final answer to a request under which replicas ended. It says no time to
-    /// come back: nothing promises that such a request is ever served.
+    /// Returns the final answer to a request under which replicas ended. It names no retry
+    /// delay, as such a request may never be served.
     pub(super) fn turn_away(&self, verdict: Verdict) -> Answer {
         let fingerprint = self.fingerprint();
         let outcome = match verdict {
@@ -115,7 +115,7 @@
     }
 }
 
-/// A JSON answer of the node's own.
+/// Returns a JSON answer that the node itself gives.
 pub(super) fn json(body: String) -> Answer {
     let mut answer = Response::new(AnswerBody::whole(body));
     let kind = HeaderValue::from_static("application/json");
@@ -123,7 +123,7 @@
     answer
 }
 
-/// An answer of the system's own.
+/// Returns an error answer that the node itself gives.
 pub fn refuse(status: StatusCode, reason: &str, retry_after: Option<Duration>) -> Answer {
     let body = format!("{{\"error\":\"{}\"}}", reason.replace(['"', '\\'], "'"));
     let mut answer = Response::new(AnswerBody::whole(body));
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -1,4 +1,4 @@
-//! Requests whose model or adapter is not there yet: wait, or refuse with a time.
+//! Requests whose model or adapter is not loaded yet: they wait, or are refused with a retry delay.
 
 use std::time::Duration;
 
@@ -18,34 +18,34 @@
 use crate::ports::{Platform, RequestFacts};
 use crate::tree;
 
-/// Expected time until an adapter is there once it was asked for.
+/// Expected time from the request for an adapter until it is loaded.
 const ADAPTER_READY_IN: Duration = Duration::from_millis(120);
-/// Expected time until an orderer's word on a replica that was just listed: it comes over
-/// another link than the listing, within milliseconds; the same as an adapter.
+/// Expected time until the orderer publishes what a newly listed replica holds. That arrives over
+/// another link than the listing, within milliseconds; an adapter's time is a safe estimate.
 const WORD_IN: Duration = ADAPTER_READY_IN;
-/// Expected time from the first mention of a model to its order.
+/// Expected time from the first reminder about a model to the order to load it.
 const ORDER_DELAY: Duration = Duration::from_millis(350);
-/// Expected time until a model is there while no node gives orders.
+/// Expected time until a model is loaded while no orderer is linked.
 const NO_ORDERER_READY_IN: Duration = Duration::from_millis(3000);
-/// Time between two reminders to the orderer of a waiting request.
+/// Minimum time between two reminders to the orderers of the same waiting request.
 const REMIND_EVERY: Duration = Duration::from_millis(500);
-/// Times that a request goes once more to a replica that was tried already.
+/// Maximum number of times that a request is resent to a replica that was tried already.
 const MOST_REPEATS: u32 = 2;
-/// Pause before that.
+/// Pause before such a resend.
 const REPEAT_PAUSE: Duration = Duration::from_millis(80);
-/// Longest time between two looks at the view while a request waits.
+/// Maximum time between two checks of the view while a request waits.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Part of the objective for which a request waits for a replica to come back.
+/// A request to a service without models waits for a replica for the objective divided by this.
 const WAIT_FOR_REPLICA: u32 = 4;
 
-/// Where to send next.
+/// The next step of a request.
 pub(super) enum NextReplica {
     Send(ReplicaId),
     GiveUp(&'static str, Option<Duration>),
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// The replica that takes the request; waits for its model if that helps.
+    /// Returns the replica to send to, after waiting for the model where that helps.
     pub(super) async fn next_replica(&mut self) -> NextReplica {
         if let Some(replica) = self.refused_by.take() {
             if self.take_turn(&replica).await {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What this node must know to choose a replica for the request.
+    /// Returns the interests that cover what this node needs to choose a replica for the request.
     fn interests(&self) -> Vec<Interest> {
         let key = self.model_key();
         let interest = |model, adapter| Interest {
@@ -125,8 +125,8 @@
         interests
     }
 
-    /// A replica that was tried already, after a pause: where no other can take
-    /// a request that may be repeated, the same one is better than waiting.
+    /// Chooses among all replicas, tried ones included, after a pause. If no other replica can
+    /// take an idempotent request, resending it to the same one is better than waiting.
     async fn choose_again(&mut self) -> Option<ReplicaId> {
         let allowed = self.route.is_idempotent() && !self.tried.is_empty();
         if !allowed || self.repeats >= MOST_REPEATS {
@@ -148,7 +148,7 @@
             .time("choice", || choose(&state.replicas, &request, now))
     }
 
-    /// The request as routing looks at it, for replicas that were not tried.
+    /// Returns the request in the form that routing uses, without the replicas in `tried`.
     pub(super) fn routing_request<'a>(&'a self, tried: &'a [ReplicaId]) -> RoutingRequest<'a> {
         let now = self.now();
         let engine = self.configuration.service(&self.service);
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What the request asks of a replica.
+    /// Returns the work that the request is for a replica.
     pub(super) fn work(&self) -> RequestWork {
         RequestWork {
             prompt_tokens: self.facts.prompt_tokens,
@@ -200,10 +200,11 @@
         })
     }
 
-    /// What to do while no replica can take the request; `None` if waiting is no use.
+    /// Decides what to do while no replica can take the request. Returns `None` if waiting is no
+    /// use.
     pub(super) fn cold_decision(&self) -> Option<ColdDecision> {
         let Some(key) = self.model_key() else {
-            // A service without models: a replica may come back soon.
+            // A replica of a service without models may recover soon.
             let waited = self.waited();
             return (waited < self.route.objective / WAIT_FOR_REPLICA).then_some(ColdDecision::Wait);
         };
@@ -226,7 +227,7 @@
         Some(decision)
     }
 
-    /// One line for the decision, with what it was made from.
+    /// Logs the decision with the values that it is based on.
     fn log_cold(&self, key: &ModelKey, request: &ColdRequest, decision: ColdDecision) {
         let state = self.node.state.borrow();
         tracing::info!(target: "cold", id = self.facts.id, model = &*key.model, adapter = key.adapter.as_deref(),
@@ -237,8 +238,8 @@
             orderers_linked = state.linked.iter().filter(|linked| **linked).count());
     }
 
-    /// Expected time until the model and adapter are there; `None` if the
-    /// configuration does not know the model.
+    /// Returns the expected time until the model and adapter are loaded, or `None` if the
+    /// configuration does not have the model.
     pub(super) fn ready_in(&self, key: &ModelKey) -> Option<Duration> {
         let engine = self.configuration.service(&self.service)?.engine.as_ref()?;
         let spec = engine.models.get(&key.model)?;
@@ -264,19 +265,19 @@
             return Some(NO_ORDERER_READY_IN);
         }
         if self.waited() < ORDER_DELAY && state.replicas.may_have_unknown_copy(&self.service, &key.model) {
-            // The orderer knows all copies: it tells of the load that it begins.
+            // The orderer knows all copies and will announce the load that it starts.
             return Some(ORDER_DELAY + spec.disk_load);
         }
         Some(ORDER_DELAY + state.replicas.reload_time(&self.service, spec, now))
     }
 
-    /// Time from arrival to when the caller or the route ends the request.
+    /// Returns the time from arrival until the caller or the route ends the request.
     pub(super) fn patience(&self) -> Duration {
         let whole = self.until.since(self.arrival);
         caller_patience(&self.route).map_or(whole, |patience| patience.min(whole))
     }
 
-    /// When the model should be there, for a caller that is sent away.
+    /// Returns the time after which a refused caller should find the model loaded.
     pub(super) fn retry_after(&self) -> Option<Duration> {
         self.model_key().and_then(|key| self.ready_in(&key))
     }
@@ -311,7 +312,7 @@
     }
 }
 
-/// Expected time from a send to the first event.
+/// Returns the expected time from a send to the first event.
 pub(super) fn first_event_after(facts: &RequestFacts) -> Duration {
     TIME_PER_PROMPT_TOKEN * facts.prompt_tokens as u32
 }
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -1,4 +1,4 @@
-//! A request's part in what all nodes know of requests that crash replicas.
+//! Checks of a request against the crash reports of all nodes, and its own reports to them.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::{crash_reports, crash_watch};
 
 impl<P: Platform> RequestRun<P> {
-    /// Identity of the request's content, the same whenever it comes again.
+    /// Returns the identity of the request's content, which is the same for each copy of it.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let target = self
@@ -25,9 +25,9 @@
         })
     }
 
-    /// Why the request may not be sent (now), if so: replicas ended under it. From
-    /// its second break on it waits until it is known whether the replica has ended:
-    /// a first one bars nothing.
+    /// Returns the verdict that keeps the request from being sent now, if replicas ended under it.
+    /// From the second replica tried on, first waits until it is known whether the last one has
+    /// ended. The first one is not waited for, as a single end blocks nothing.
     pub(super) async fn barred(&self) -> Option<Verdict> {
         if let [_, .., last] = self.tried.as_slice() {
             crash_watch::wait_until_checked(&self.node, last).await;
@@ -36,8 +36,8 @@
         (!matches!(verdict, Verdict::Free | Verdict::OneAtATime)).then_some(verdict)
     }
 
-    /// What all nodes' reports say of the request. Its body is not hashed while they
-    /// say nothing of any.
+    /// Returns the verdict on the request by the reports of all nodes. The body is not hashed while
+    /// there are no reports.
     fn verdict(&self) -> Verdict {
         if self.node.state.borrow().crash_ledger.is_empty() {
             return Verdict::Free;
@@ -45,8 +45,9 @@
         crash_reports::verdict(&self.node, self.fingerprint())
     }
 
-    /// Why the request may not be sent at this moment, if so. What it crashed while it
-    /// waited may be known only now, and other copies of it may have waited with it.
+    /// Returns the verdict that keeps the request from being sent at this moment. Checked again
+    /// after a wait: crashes may have been reported meanwhile, and other copies of the request may
+    /// have waited as well. Only one copy of a suspect runs at a time.
     pub(super) async fn barred_from_sending(&mut self) -> Option<Verdict> {
         if let Some(verdict) = self.barred().await {
             return Some(verdict);
@@ -58,13 +59,13 @@
         match crash_trial::acquire(&self.node, self.fingerprint()).await {
             TrialOutcome::Acquired(trial) => self.trial = Some(trial),
             TrialOutcome::Busy => return Some(verdict),
-            // It may be innocent, and without the store nobody could tell.
+            // The request may be harmless, which cannot be found out without the store.
             TrialOutcome::StoreUnavailable => {}
         }
         None
     }
 
-    /// A replica answered whole, so the request did not crash it.
+    /// Records that a replica sent a complete answer, so that the request did not crash it.
     pub(super) fn answered_whole(&self) {
         if !self.node.state.borrow().crash_ledger.is_empty() {
             crash_reports::record_complete_answer(&self.node, self.fingerprint());
@@ -75,8 +76,8 @@
         self.head.extensions.get::<CallerAddress>().copied()
     }
 
-    /// The connection to a replica ended, or fell silent, before the answer did. Time
-    /// that the answer went on for: `None` if not even its head came.
+    /// Records that the connection to a replica ended, or went silent, before the answer was
+    /// complete. `answer_duration` is the time since the answer's head, or `None` if no head arrived.
     pub(super) fn broke_at(&self, replica: &ReplicaId, answer_duration: Option<Duration>) {
         let broken = BrokenRequest {
             id: self.facts.id.clone(),
--- a/crates/croftrill-node/src/request/fingerprint.rs
+++ b/crates/croftrill-node/src/request/fingerprint.rs
@@ -1,15 +1,17 @@
-//! What makes a request the same as one that came before, here or at another node.
+//! The identity of a request's content, by which nodes recognize copies of it.
 
 use croftrill_scheduler::crash_ledger::Fingerprint;
 use sha2::{Digest, Sha256};
 
-/// The fingerprint of a request's target, caller and body. A caller is who it says
-/// to be; its address tells nothing, as one caller uses several. SHA-256, as a caller
-/// that found another one's fingerprint could have that request refused: half of
-/// its bits still leave nobody a way to one.
+/// Returns the fingerprint of a request's target, caller and body.
+///
+/// The caller is the one that the request names, not its address, as a caller uses several
+/// addresses. The hash is SHA-256 because a caller that could produce the fingerprint of another
+/// caller's request could have that request refused. Half of the hash's bits are enough to prevent
+/// that.
 pub(super) fn fingerprint(target: &str, caller: Option<&str>, body: &[u8]) -> Fingerprint {
     let mut hasher = Sha256::new();
-    // Lengths keep the end of one field from passing for the start of the next.
+    // Length prefixes keep field boundaries unambiguous.
     hasher.update((target.len() as u64).to_be_bytes());
     hasher.update(target);
     let caller = caller.unwrap_or_default();
--- a/crates/croftrill-node/src/request/forwarding.rs
+++ b/crates/croftrill-node/src/request/forwarding.rs
@@ -1,4 +1,4 @@
-//! What goes past this node: routes, bodies, targets and headers.
+//! Routes, bodies, targets and headers of forwarded requests and answers.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     route.cloned()
 }
 
-/// The backend of a request, by weight; evenly spread over the ids.
+/// Picks the backend of a request by weight. Request ids are spread evenly over the weights.
 pub(super) fn pick_backend(route: &Route, id: &str) -> ServiceName {
     let total: u64 = route
         .backends
@@ -44,7 +44,7 @@
         .unwrap_or_else(|| "".into())
 }
 
-/// Reads a whole body within the limit.
+/// Reads a complete body within the size limit.
 pub(super) async fn read_body(
     body: Incoming,
     head: &request::Parts,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The target as a replica gets it: path and query, unchanged.
+/// Returns the target to send to a replica: path and query, unchanged.
 pub(super) fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
         .map_or_else(|| Uri::from_static("/"), |target| Uri::from(target.clone()))
@@ -84,7 +84,7 @@
     header::UPGRADE,
 ];
 
-/// The headers that go past this node.
+/// Returns the headers without those that concern only this connection.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut passed = headers.clone();
     let named = headers.get_all(header::CONNECTION);
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -1,4 +1,5 @@
-//! Requests whose holders are all full: queue at a replica, wait here, or refuse with a time.
+//! Requests whose holders are all full: they queue at a replica, wait here, or are refused with a
+//! retry delay.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,11 +15,11 @@
 use crate::node::{Lifecycle, Node};
 use crate::ports::Platform;
 
-/// Longest time between two looks at the holders while a request waits; news of other
-/// nodes' requests come about as often.
+/// Maximum time between two checks of the holders while a request waits. Updates on other nodes'
+/// requests arrive about as often.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 
-/// A request's place among those that wait; given up with it.
+/// A request's entry among the waiting ones. Removed when dropped.
 struct WaitTicket<P: Platform> {
     node: Rc<Node<P>>,
     id: WaitingId,
@@ -54,8 +55,9 @@
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Waits until the request may go to one of its holders: at once if that has a free
-    /// place, or where nothing is known of their places. Otherwise the end of the request.
+    /// Waits until the request may be sent to one of its holders. It is sent at once if one
+    /// has a free slot or nothing is known about their slots. Returns how the request ends if it
+    /// may not be sent.
     pub(super) async fn await_place(&mut self) -> Option<NextReplica> {
         let key = self.model_key()?;
         let mut ticket: Option<WaitTicket<P>> = None;
@@ -95,8 +97,8 @@
         }
     }
 
-    /// What is known of the places of the request's holders; `None` if nothing is, or the
-    /// request was answered already and only goes on.
+    /// Returns what is known about the slots of the request's holders. Returns `None` if nothing
+    /// is, or if the request's answer has started already and is only resumed.
     fn free_capacity(&self) -> Option<FreeCapacity> {
         if self.answered_after.is_some() {
             return None;
@@ -110,7 +112,7 @@
         free_capacity.newest_sample_age.is_some().then_some(free_capacity)
     }
 
-    /// True if no other request of this node goes before it to a holder of its model.
+    /// Returns whether no other request of this node is ahead of this one for its model.
     fn is_turn_of(&self, ticket: Option<&WaitTicket<P>>, key: &ModelKey) -> bool {
         match ticket {
             Some(ticket) => ticket.is_next(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Expected time until a holder begins to run the request, if it goes now.
+    /// Returns the expected time until a holder starts to run the request if it is sent now.
     fn starts_in(&self, free_capacity: &FreeCapacity) -> Duration {
         let first_event = free_capacity.first_event_after.unwrap_or_default();
         first_event.saturating_sub(self.first_event_after())
@@ -167,7 +169,7 @@
         Some(NextReplica::GiveUp(cause, Some(retry_after)))
     }
 
-    /// One line for the decision, with what it was made from.
+    /// Logs the decision with the values that it is based on.
     fn log_full(&self, free_capacity: &FreeCapacity, request: &FullRequest, decision: FullDecision) {
         tracing::info!(target: "full", id = self.facts.id, model = self.facts.model.as_deref(), ?decision,
             rank = self.rank(), tenant = self.tenant.as_deref(), waited_ms = request.waited.as_millis() as u64,
@@ -185,7 +187,7 @@
                 () = self.node.stop_requested.notified() => {}
             }
         };
-        // The time may pass without news.
+        // A timeout is expected: the caller checks the holders either way.
         let _ = self.node.clock.timeout_at(longest, wake).await;
     }
 }
--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it lives: its count, its place, its sends.
+//! Resources that a request holds until they are dropped: its count, its slot and its sends.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::node::Node;
 use crate::ports::{Platform, RequestFacts};
 
-/// Counts a request as in flight while it lives.
+/// Counts a request as in flight until dropped.
 pub(super) struct Flight<P: Platform>(Rc<Node<P>>);
 
 impl<P: Platform> Flight<P> {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A place among the requests that the node serves at the same time.
+/// A slot among the requests that the node serves at the same time.
 pub(super) struct Place<P: Platform> {
     pub(super) node: Rc<Node<P>>,
 }
@@ -43,11 +43,11 @@
     }
 }
 
-/// Group of requests that name none.
+/// Group of requests that name no group.
 const NO_GROUP: &str = "";
 
-/// Waits for a place, in the order that the groups' shares give. `None` where
-/// the number of places is not bounded.
+/// Waits for a slot at this node, in the order given by the groups' shares. Returns `None` if the
+/// number of slots is unlimited.
 pub(super) async fn take_place<P: Platform>(
     node: &Rc<Node<P>>,
     configuration: &Configuration,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A waiting request; leaves the queue if it is given up.
+/// A request in the fair queue. Leaves the queue when dropped.
 pub(super) struct Ticket<P: Platform> {
     pub(super) node: Rc<Node<P>>,
     pub(super) number: u64,
@@ -83,17 +83,17 @@
     }
 }
 
-/// Counts a request as sent to a replica while it lives.
+/// Counts a request as sent to a replica until dropped.
 pub(super) struct Send<P: Platform> {
     pub(super) node: Rc<Node<P>>,
     pub(super) replica: ReplicaId,
-    /// When the incarnation that it goes to started, if it told.
+    /// When the incarnation that the request is sent to started, if known.
     pub(super) started_ms: Option<StartedMs>,
-    /// Before anything of it is sent.
+    /// When the send started, before any byte was sent.
     pub(super) begun_at: Moment,
     pub(super) work: RequestWork,
     pub(super) reading: bool,
-    /// When its answer began, if it did.
+    /// When the replica started to run the request, if it did.
     answered_at: Option<Moment>,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The first token came: the prompt has been read.
+    /// Records that the replica has read the prompt, as its answer started.
     pub(super) fn prompt_done(&mut self) {
         if std::mem::take(&mut self.reading) {
             self.node
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The replica runs it: its answer began.
+    /// Records when the replica started to run the request.
     pub(super) fn answer_began(&mut self, at: Moment) {
         self.answered_at = Some(at);
     }
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -1,4 +1,4 @@
-//! Turns at replicas that take only so many requests from all nodes together.
+//! Reservations at replicas that limit the request rate of all nodes together.
 
 use std::time::Duration;
 
@@ -13,20 +13,21 @@
 use crate::quota::LimitVerdict;
 use crate::replica_reservation;
 
-/// Times that a request waits to ask for a turn once more: a wait that ends without one
-/// costs its caller more than a refusal at once.
+/// Maximum number of times that a request waits before it requests another reservation. A wait that
+/// ends without one costs the caller more than an immediate refusal.
 const MOST_TURN_WAITS: u32 = 1;
 
-/// A replica that takes no more now, and when it would be the request's turn there.
+/// A replica whose rate limit leaves no reservation in time.
 pub(super) struct HeldBack {
     pub(super) replica: ReplicaId,
+    /// When a reservation may be granted.
     again_at: Moment,
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Takes the request's turn at a replica, and waits for it; false if it would come too
-    /// late. All sends pass here, as the replica counts them all: first ones, repeats,
-    /// streams that go on. A replica that named no limit costs nothing.
+    /// Takes a reservation at a replica and waits until it is due. Returns false if it would be due
+    /// too late. All sends need one, as the replica counts them all: first sends, repeats and
+    /// resumed streams. Returns immediately for a replica that announced no limit.
     pub(super) async fn take_turn(&mut self, replica: &ReplicaId) -> bool {
         self.turn = None;
         let want = LimitRequest {
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Time for which the request can wait for its turn and still be in time; a stream that
-    /// goes on elsewhere, without a pause that its caller notices.
+    /// Returns the time for which the request can wait for its reservation and still meet its
+    /// objective. A resumed stream can wait as long as a pause within its pause objective.
     fn turn_patience(&self) -> Duration {
         let spent = self.waited() + self.first_event_after();
         let left = self.route.objective.saturating_sub(spent);
@@ -69,9 +70,10 @@
         left.max(pause.unwrap_or_default())
     }
 
-    /// What to do while all replicas that could take the request take no more; `None` if
-    /// that is not what is missing. When its turn would come was told by all nodes' calls,
-    /// so it waits once if it is in time then; who waited in vain is refused.
+    /// Decides what to do while the rate limits of all replicas that could take the request leave
+    /// no reservation. Returns `None` if rate limits are not the cause. The time of the next
+    /// reservation accounts for the calls of all nodes, so a request that would then be in time
+    /// waits, but only once. If that wait was in vain, it is refused.
     pub(super) fn turn_decision(&self) -> Option<ColdDecision> {
         let turn_at = self.held_back.iter().map(|held| held.again_at).min()?;
         let arrival = self.model_key().and_then(|key| {
@@ -97,7 +99,7 @@
         Some(decision)
     }
 
-    /// Waits until the request may ask for a turn once more.
+    /// Waits until the request may request another reservation.
     pub(super) async fn wait_for_turn(&mut self) {
         self.turn_waits += 1;
         let Some(turn_at) = self.held_back.iter().map(|held| held.again_at).min() else {
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -1,16 +1,23 @@
-//! One request from its arrival to the end of its answer.
+//! Serves one request from its arrival to the end of its answer.
 //!
-//! [`serve`] reads it, finds its route and its place; [`RequestRun`] then sends
-//! it until it is answered or given up. The parts: [`guards`] what it holds,
-//! [`cold`] waiting for models, [`full`] for places, [`resting`] for replicas that want rest, [`limited`] turns
-//! at replicas that named a limit, [`sending`] one send, [`streaming`] event streams,
-//! [`access`] keys,
-//! [`answers`] final answers, [`forwarding`] headers and targets,
-//! [`crashing`] and [`fingerprint`] requests that crash replicas.
+//! [`serve`] reads the request, finds its route, charges its quota and waits for a slot at this
+//! node. [`RequestRun`] then sends it until it is answered or given up. The modules:
 //!
-//! Safety: a request that must not be repeated goes to a second replica only if
-//! the first provably did not run it; and a refusal that promises "not run" is
-//! given only if every replica it went to provably did not run it.
+//! - [`access`]: API keys and quotas.
+//! - [`guards`]: resources that a request holds.
+//! - [`cold`]: waits for models that are not loaded.
+//! - [`full`]: waits for free slots at replicas.
+//! - [`resting`]: waits for replicas in cooldown.
+//! - [`limited`]: reservations at replicas that announced a rate limit.
+//! - [`sending`]: one send to a replica.
+//! - [`streaming`]: event streams.
+//! - [`answers`]: final answers.
+//! - [`forwarding`]: routes, targets and headers.
+//! - [`crashing`] and [`fingerprint`]: requests that crash replicas.
+//!
+//! A request that is not idempotent is sent to a second replica only if the first provably did
+//! not run it. A refusal that promises "not run" is given only if every replica that the request
+//! was sent to provably did not run it.
 
 mod access;
 mod answers;
@@ -54,24 +61,24 @@
 use crate::quota::Credit;
 use crate::stream::AnswerBody;
 
-/// Time that a caller without a deadline is taken to wait.
+/// Deadline of a caller that names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// Longest time that a caller is believed to wait.
+/// Maximum deadline of a caller. Later ones are shortened to this.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(3600);
 /// Cost of a generated token, in prompt tokens.
 const OUTPUT_TOKEN_COST: u64 = 3;
-/// Time to come back after a refusal without a better estimate.
+/// Retry delay named in a refusal if there is no better estimate.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
-/// Time to come back for a caller that should go to another node.
+/// Retry delay for a caller that should go to another node.
 const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Pause before a request goes once more to the replica that refused it.
+/// Pause before a request is resent to the replica that refused it.
 const SAME_REPLICA_PAUSE: Duration = Duration::from_millis(60);
-/// Sends of one request, at most, whatever the route allows.
+/// Maximum number of sends of one request, even if the route allows more.
 const MOST_SENDS: usize = 4;
 
 type Answer = Response<AnswerBody>;
 
-/// Cost of a request, in prompt tokens.
+/// Returns the cost of a request, in prompt tokens.
 fn cost(facts: &RequestFacts) -> u64 {
     facts.prompt_tokens + OUTPUT_TOKEN_COST * facts.output_tokens
 }
@@ -191,11 +198,11 @@
 struct RequestRun<P: Platform> {
     node: Rc<Node<P>>,
     facts: RequestFacts,
-    /// The tenant whose key the caller showed.
+    /// The tenant whose key the caller presented.
     tenant: Option<Arc<str>>,
-    /// What it paid of the tenant's quota.
+    /// The charge to the tenant's quota.
     credit: Option<Credit>,
-    /// Time from arrival to its turn in that quota.
+    /// Time from arrival until the quota granted the request.
     paid_after: Option<Duration>,
     route: Arc<Route>,
     service: ServiceName,
@@ -208,11 +215,11 @@
     place: Option<Place<P>>,
     sends: usize,
     tried: Vec<ReplicaId>,
-    /// Replicas that take no more now.
+    /// Replicas whose rate limit leaves no reservation in time.
     held_back: Vec<HeldBack>,
-    /// Its turn at the replica that it goes to next, if that named a limit.
+    /// The reservation at the next replica, if that announced a rate limit.
     turn: Option<Credit>,
-    /// Times that it waited to ask for a turn once more.
+    /// Number of waits before another request for a reservation.
     turn_waits: u32,
     repeats: u32,
     refused_by: Option<ReplicaId>,
@@ -222,13 +229,13 @@
     sent_after: Option<Duration>,
     /// Time from arrival to the head of the answer.
     answered_after: Option<Duration>,
-    /// Longest time between two parts of a stream.
+    /// Longest time between two chunks of the stream.
     longest_pause: Cell<Duration>,
-    /// True once it was counted as served too late.
+    /// Whether the request was counted as served too late.
     counted_late: Cell<bool>,
-    /// Identity of its content; computed when it is first wanted.
+    /// Identity of the request's content, computed when it is first needed.
     fingerprint: OnceCell<Fingerprint>,
-    /// Keeps other copies of it away, if replicas ended under it before.
+    /// Keeps other copies of the request from being sent, if replicas ended under it before.
     trial: Option<Trial<P>>,
 }
 
@@ -283,7 +290,7 @@
         self.node.clock.now()
     }
 
-    /// Time since the request arrived.
+    /// Returns the time since the request arrived.
     fn waited(&self) -> Duration {
         self.now().since(self.arrival)
     }
@@ -299,8 +306,8 @@
         }
     }
 
-    /// Counts the request, once, as served too late by a holder of its model; not
-    /// if it was late before it was sent, as then no holder was the cause.
+    /// Counts the request, once, as served too late by a holder of its model. A request that was
+    /// sent late, or more than once, does not count, as then its holder was not the cause.
     fn count_late(&self) {
         let sent_after = self.sent_after.unwrap_or_default();
         if self.sends != 1 || sent_after * 2 > self.route.objective || self.counted_late.replace(true) {
@@ -311,7 +318,7 @@
         }
     }
 
-    /// A part of a stream came so long after the one before.
+    /// Records the time between two chunks of the stream.
     fn note_pause(&self, pause: Duration) {
         self.longest_pause.set(self.longest_pause.get().max(pause));
         if self.route.pause_objective.is_some_and(|longest| pause > longest) {
@@ -319,12 +326,12 @@
         }
     }
 
-    /// What it counts for in its tenant's quota.
+    /// Returns the cost charged to the tenant's quota.
     fn quota_cost(&self) -> Option<u64> {
         self.credit.as_ref().map(Credit::cost)
     }
 
-    /// Rank among all requests at a replica; 0 is the most urgent.
+    /// Returns the rank among all requests at a replica; 0 is the most urgent.
     fn rank(&self) -> u8 {
         let tenants = &self.configuration.tenants;
         let tenant = self.tenant.as_deref().and_then(|name| tenants.find_by_name(name));
@@ -332,7 +339,7 @@
         tenant.map_or(route, |tenant| tenants.rank(tenant, route))
     }
 
-    /// The model that the request needs, if its service serves models.
+    /// Returns the model that the request needs, if its service serves models.
     fn model_key(&self) -> Option<ModelKey> {
         let is_engine = self
             .configuration
@@ -346,13 +353,13 @@
         })
     }
 
-    /// A replica that was never reached does not count as one it was sent to,
-    /// but is not tried again.
+    /// Excludes a replica from further choices. This counts no send, as the replica may not have
+    /// been reached.
     fn exclude(&mut self, replica: ReplicaId) {
         self.tried.push(replica);
     }
 
-    /// True if the request may go to another replica after it may have run at this one.
+    /// Returns whether the request may be sent to another replica after it may have run at this one.
     fn may_repeat_after(&mut self, replica: &ReplicaId) -> bool {
         if !self.tried.contains(replica) {
             self.tried.push(replica.clone());
@@ -361,8 +368,8 @@
         self.route.is_idempotent() && within && self.now() < self.until
     }
 
-    /// After a replica provably did not run it: true if it may be sent once more,
-    /// to another replica if the route allows, else to the same one after a pause.
+    /// Returns whether the request may be resent after a replica provably did not run it: to
+    /// another replica if the route allows more attempts, otherwise to the same one after a pause.
     async fn after_refusal(&mut self, replica: &ReplicaId, misdirected: bool) -> bool {
         if self.sends >= MOST_SENDS {
             return false;
@@ -380,7 +387,7 @@
         true
     }
 
-    /// Takes a send beyond the first from the budget.
+    /// Takes a send after the first from the retry budget. Returns whether the budget allowed it.
     fn take_retry(&self, replica: &ReplicaId) -> bool {
         let now = self.node.clock.now();
         let mut state = self.node.state.borrow_mut();
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -1,4 +1,4 @@
-//! Requests whose replicas told this node that they want rest: wait, or refuse with a time.
+//! Requests whose replicas are in cooldown: they wait, or are refused with a retry delay.
 
 use std::time::Duration;
 
@@ -10,13 +10,14 @@
 use super::{RequestRun, DEFAULT_RETRY_AFTER, OTHER_NODE_RETRY_AFTER, SAME_REPLICA_PAUSE};
 use crate::ports::Platform;
 
-/// Time between the ranks' first sends after a rest: two links of 5 ms there and back,
-/// so that a replica that is still too busy has told so to the most urgent one.
+/// Time between the first sends of two adjacent ranks after a cooldown: a round trip over two links
+/// of 5 ms each. A replica that is still too busy has then said so in its answer to the most urgent
+/// request.
 const RANK_STEP: Duration = Duration::from_millis(20);
 
 impl<P: Platform> RequestRun<P> {
-    /// What to do while all replicas that could take the request rest; `None` if one of
-    /// them does not, or the model is there sooner at another.
+    /// Decides what to do while all replicas that could take the request are in cooldown. Returns
+    /// `None` if one of them is not, or if another replica will have loaded the model sooner.
     pub(super) fn rest_decision(&self) -> Option<ColdDecision> {
         let rest_ends = self.rest_ends()?;
         let request = ColdRequest {
@@ -30,7 +31,7 @@
         Some(decide_in_cooldown(&request, self.rank(), self.unit()))
     }
 
-    /// When the first of the replicas wants requests again, if that is what is missing.
+    /// Returns the earliest end of the replicas' cooldowns, if cooldowns are what blocks the request.
     fn rest_ends(&self) -> Option<Moment> {
         let now = self.now();
         let state = self.node.state.borrow();
@@ -52,8 +53,9 @@
             .then_some(rest_ends)
     }
 
-    /// Waits before the request goes once more to the replica that refused it; false,
-    /// without a wait, if it would be too late then, or is not wanted there any more.
+    /// Waits before the request is resent to the replica that refused it. Returns false, without
+    /// waiting, if it would then be too late or the replica takes no more requests. Returns false
+    /// after the wait if the replica rejects requests by then.
     pub(super) async fn pause_for(&self, replica: &ReplicaId) -> bool {
         let now = self.now();
         let pause = match self.wanted_in(replica) {
@@ -63,11 +65,11 @@
             _ => return false,
         };
         self.node.clock.sleep_until(now + pause).await;
-        // An answer to another request may have told more.
+        // The replica may have signalled more in its answer to another request.
         !self.is_turned_away_by(replica)
     }
 
-    /// Time until the replica may be sent the request once more; `None` if it leaves.
+    /// Returns the time until the request may be resent to the replica, or `None` if that is leaving.
     fn wanted_in(&self, replica: &ReplicaId) -> Option<Duration> {
         let now = self.now();
         let state = self.node.state.borrow();
@@ -83,7 +85,7 @@
         Some(rest.unwrap_or(SAME_REPLICA_PAUSE))
     }
 
-    /// When a caller should come back whose request the replica refused.
+    /// Returns the retry delay for a caller whose request the replica refused.
     pub(super) fn refusal_retry_after(&self, replica: &ReplicaId) -> Duration {
         if !self.is_turned_away_by(replica) {
             return DEFAULT_RETRY_AFTER;
@@ -93,18 +95,18 @@
                 let rest_left = rest_ends.since(self.now());
                 retry_after_cooldown(rest_left, self.rank(), self.unit())
             }
-            // Another replica may take it as another attempt.
+            // Another replica may take the request on the caller's next attempt.
             None => OTHER_NODE_RETRY_AFTER,
         }
     }
 
-    /// Evenly spread over the requests, from 0 to 1.
+    /// Returns a sample from 0 to 1 that is fixed for the request and uniform over requests.
     pub(super) fn unit(&self) -> f64 {
         xxh3_64(self.facts.id.as_bytes()) as f64 / u64::MAX as f64
     }
 
-    /// Counts the request as one that its holders could not serve in time: a sign that
-    /// the model needs one more.
+    /// Counts the request, once, as one that the holders of its model could not serve in time, which
+    /// is demand for another holder.
     pub(super) fn count_turned_away(&self) {
         if self.counted_late.replace(true) {
             return;
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -1,4 +1,4 @@
-//! One send to a replica, and what its answer means.
+//! Sends a request to a replica and classifies the answer.
 
 use bytes::Bytes;
 use croftrill_scheduler::catalog::RouteKind;
@@ -18,53 +18,53 @@
 use crate::ports::{AnswerFacts, Dialect, Execution, Forwarding, Platform};
 use crate::replica_signals;
 
-/// Part of the objective after which a silent replica is given up for another.
-/// Measured: a limit from the times of the service's answers (as TCP's
-/// retransmission timer) gave a worth lower by 0.008 in the mean of 30 days.
+/// A silent replica is abandoned for another one after the objective divided by this. A limit
+/// derived from the service's answer times, like TCP's retransmission timer, lowered the mean worth
+/// over 30 days by 0.008.
 const SILENT_PART: u32 = 2;
 
 /// How one send to a replica ended.
 pub(super) enum SendEnd<P: Platform> {
-    /// The head of an answer that can be passed on, with its body to come.
+    /// The head of an answer that can be forwarded while its body arrives.
     Streaming(Box<Streaming<P>>),
-    /// A whole answer.
+    /// A complete answer.
     Whole { head: response::Parts, body: Bytes },
     /// Nothing was sent.
     NotSent,
-    /// The replica provably did not run it.
+    /// The replica provably did not run the request.
     NotExecuted { misdirected: bool },
-    /// It may have run, and no usable answer came.
+    /// The request may have run, and no usable answer arrived.
     Broken { cause: &'static str },
-    /// The request's own time is over.
+    /// The request's deadline has passed.
     OutOfTime,
 }
 
-/// An answer whose body is still coming.
+/// An answer whose body is still arriving.
 pub(super) struct Streaming<P: Platform> {
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
-    /// When the head came.
+    /// When the head arrived.
     pub(super) head_at: Moment,
-    /// Its socket closes with the stream, unless that ended whole.
+    /// Closes when dropped, unless the stream was complete and the connection returned to the pool.
     pub(super) connection: Connection,
     pub(super) send: Send<P>,
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Time after which a silent replica is given up for another one.
+    /// Returns when a silent replica is abandoned for another one.
     pub(super) fn attempt_limit(&self) -> Option<Moment> {
         let more = self.sends + 1 < self.route.max_attempts as usize;
         (self.route.is_idempotent() && more).then(|| self.now() + self.route.objective / SILENT_PART)
     }
 
-    /// Sends the request to a replica and judges the head of its answer.
+    /// Sends the request to a replica and classifies the answer by its head.
     pub(super) async fn send(
         &mut self,
         replica: &ReplicaId,
         resume_after: Option<&str>,
         limit: Option<Moment>,
     ) -> SendEnd<P> {
-        // It goes back where nothing is sent.
+        // Returned to the limit when dropped without a send.
         let turn = self.turn.take();
         let address = {
             let state = self.node.state.borrow();
@@ -90,7 +90,7 @@
             }
         };
         if self.is_turned_away_by(replica) {
-            // It told so in another answer, since it was chosen.
+            // The replica signalled so in another answer after it was chosen.
             return SendEnd::NotSent;
         }
         let request = self.engine_request(replica, resume_after);
@@ -142,8 +142,8 @@
         }
     }
 
-    /// The last send ran nowhere: what was paid for the request goes back, unless an
-    /// earlier one may have run, or a later one does.
+    /// Refunds the quota charge, as the last send did not run, unless an earlier send may have run.
+    /// A later send charges it again.
     fn did_not_run(&self) {
         if let Some(credit) = self.credit.as_ref().filter(|_| !self.may_have_run) {
             credit.unspend();
@@ -172,7 +172,7 @@
                 cause: "the answer is not this request's",
             };
         }
-        // A whole answer comes when its run is over, a stream's head as it begins.
+        // A complete answer arrives when its run is over, the head of a stream when it starts.
         let is_stream = self.route.kind == RouteKind::Streaming && head.status.is_success();
         send.answer_began(if is_stream { head_at } else { send.begun_at });
         if is_stream {
@@ -190,7 +190,7 @@
                 let failed = head.status.is_server_error();
                 if failed {
                     tracing::info!(target: "send", id = self.facts.id, replica = &**replica,
-                        status = head.status.as_u16(), outcome = "failed there", sends = self.sends);
+                        status = head.status.as_u16(), outcome = "server error", sends = self.sends);
                 }
                 send.record(if failed {
                     SendOutcome::Failure
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Takes in what the replica says of itself.
+    /// Applies the signals in the replica's answer.
     fn hear_replica(&self, send: &Send<P>, facts: &AnswerFacts) {
         let call = AnsweredCall {
             started_ms: send.started_ms,
@@ -232,13 +232,13 @@
         };
         let mut word = facts.word;
         if word.limit == LimitSignal::Unlimited && (facts.is_misdirected || !facts.is_ours) {
-            // It may be the answer of another replica, or to another request.
+            // The answer may come from another replica, or belong to another request.
             word.limit = LimitSignal::Unspecified;
         }
         replica_signals::apply(&self.node, &send.replica, call, word, &self.facts.id);
     }
 
-    /// True if the replica told this node not to send it anything (for now).
+    /// Returns whether the replica signalled that it takes no requests (for now).
     pub(super) fn is_turned_away_by(&self, replica: &ReplicaId) -> bool {
         let now = self.now();
         self.node.state.borrow().replicas.rejects_requests(replica, now)
@@ -271,7 +271,7 @@
         }
     }
 
-    /// The request as a replica gets it.
+    /// Returns the request to send to a replica.
     pub(super) fn engine_request(
         &self,
         replica: &ReplicaId,
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -1,4 +1,4 @@
-//! Event streams: passed on as they come, resumed where the route allows.
+//! Event streams: forwarded as they arrive and resumed at another replica if the route allows.
 
 use std::time::Duration;
 
@@ -16,40 +16,40 @@
 use crate::ports::Platform;
 use crate::stream::{AnswerBody, EventCutter, StreamPart, StreamSender};
 
-/// Time to choose another holder and connect to it: two links of 5 ms with a
-/// handshake each, and as long again for a busy node, rounded up.
+/// Time to choose another holder and connect to it: a handshake over each of two links of 5 ms, and
+/// as long again for a busy node, rounded up.
 const RESUME_TIME: Duration = Duration::from_millis(100);
-/// Times that reading a prompt is taken to last where the holder is busy with others'.
+/// Factor on the time to read a prompt, for a holder that is busy with other prompts.
 pub(super) const PROMPT_TIME_MARGIN: u32 = 2;
 
-/// How a replica's part of a stream ended.
+/// How the stream from one replica ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PumpEnd {
     Complete,
     Broken,
-    /// Nothing came for long: its replica may be slow, or gone without a word.
+    /// Nothing arrived for a long time: the replica may be slow, or lost without a reset.
     Silent,
     CallerGone,
     OutOfTime,
 }
 
-/// What became of a stream that was to go on at another replica.
+/// The outcome of an attempt to resume a stream at another replica.
 enum Resumed<P: Platform> {
-    /// It goes on there.
+    /// The stream continues at another replica.
     Elsewhere(Box<Streaming<P>>),
-    /// It does not; the run that it was to leave, if that was not ended.
+    /// The stream could not be resumed. Contains the earlier run if that was not ended.
     Nowhere(Option<Box<Streaming<P>>>),
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Passes on a stream; a task of its own carries it on.
+    /// Answers with a stream, which a separate task forwards.
     pub(super) fn answer_stream(mut self, streaming: Streaming<P>) -> Answer {
         let (sender, body) = AnswerBody::stream();
         let mut answer = Response::new(body);
         *answer.status_mut() = streaming.head.status;
         *answer.headers_mut() = end_to_end(&streaming.head.headers);
         if self.route.resumable {
-            // Its length may change if it goes on at another replica.
+            // The length may change if the stream is resumed at another replica.
             answer.headers_mut().remove(header::CONTENT_LENGTH);
         }
         self.node
@@ -98,11 +98,12 @@
                     return;
                 }
                 PumpEnd::OutOfTime => {
-                    // Its sender goes without an end, which breaks the answer off.
+                    // The sender is dropped without an end, which aborts the answer.
                     self.log_end(&replica, "stream out of time");
                     return;
                 }
-                // Its answer may still come: a silent replica is left only for another one.
+                // A silent replica may still answer, so its run ends only when another replica
+                // takes over.
                 PumpEnd::Silent | PumpEnd::Broken => {}
             }
             current.send.record(SendOutcome::Failure);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Passes on what a replica sends. `may_leave`: false once nobody could take its place.
+    /// Forwards what a replica sends. `may_leave` is false once no other replica could take over.
     pub(super) async fn pump_one(
         &self,
         streaming: &mut Streaming<P>,
@@ -141,7 +142,7 @@
                 () = sender.closed() => return PumpEnd::CallerGone,
                 () = self.silent_since(last_event), if may_leave => {
                     tracing::info!(target: "send", id = self.facts.id, replica = &*streaming.send.replica,
-                        outcome = "the stream fell silent", silent_ms = self.now().since(last_event).as_millis() as u64);
+                        outcome = "stream silent", silent_ms = self.now().since(last_event).as_millis() as u64);
                     self.node.pool.found_silent(&streaming.connection);
                     self.stream_broke(streaming, last_event);
                     return PumpEnd::Silent;
@@ -194,10 +195,10 @@
         }
     }
 
-    /// Ends when a stream that may go on elsewhere has been silent at its replica
-    /// since `last_event` for as long as can be borne: the latest moment that lets
-    /// the next holder's first event reach the caller before it gives up. Until
-    /// then the replica may only be slow, and going on elsewhere reads the prompt anew.
+    /// Waits until a resumable stream that has been silent since `last_event` must be resumed at
+    /// another replica. That is the latest moment at which the next holder's first event still
+    /// reaches the caller before it gives up. Earlier, the replica may only be slow, and resuming
+    /// elsewhere means that the prompt is read again. Never returns for other streams.
     async fn silent_since(&self, last_event: Moment) {
         let patience = caller_patience(&self.route).filter(|_| self.route.resumable);
         let Some(patience) = patience else {
@@ -206,7 +207,7 @@
         let next_takes = self.first_event_after() * PROMPT_TIME_MARGIN + RESUME_TIME;
         let caller_leaves = self.until.min(last_event + patience);
         let latest = caller_leaves - next_takes;
-        // A pause within the objective is no silence, however little time is left.
+        // A pause within the pause objective is not silence, however little time is left.
         let bearable = self.route.pause_objective.unwrap_or(patience);
         self.node
             .clock
@@ -214,8 +215,8 @@
             .await;
     }
 
-    /// Passes a part on. A caller that stops reading, or whose connection went
-    /// silent, holds its replica up no longer than the request may last.
+    /// Forwards a chunk. The deadline bounds how long a caller that stops reading, or whose
+    /// connection went silent, holds up the replica.
     async fn pass(&self, sender: &StreamSender, part: StreamPart) -> Result<(), PumpEnd> {
         match self
             .node
@@ -229,8 +230,9 @@
         }
     }
 
-    /// Goes on with a stream at another replica, if the route allows. An `earlier` run that
-    /// may still go on is ended before the request is sent again, and else given back.
+    /// Resumes a stream at another replica, if the route allows. An `earlier` run that may still
+    /// continue is ended before the request is sent again. If it is not sent again, the run is
+    /// returned.
     async fn resume(
         &mut self,
         left: &ReplicaId,
