--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -12,7 +12,7 @@
 
 use super::answers::refuse;
 use super::cold::first_event_after;
-use super::streaming::PROMPT_TIME_MARGIN;
+use super::streaming::PROMPT_TIME_FACTOR;
 use super::{Answer, OTHER_NODE_RETRY_AFTER};
 use crate::metrics::Metrics;
 use crate::node::{Lifecycle, Node};
@@ -21,7 +21,7 @@
 
 /// Maximum length of a key. Longer ones are rejected without hashing them; keys that operators
 /// issue are several times shorter.
-const LONGEST_KEY_BYTES: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 
 /// Why a request is denied. No variant contains any part of the key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -72,7 +72,7 @@
     let key = rest.trim_ascii_start();
     let is_apart = key.len() < rest.len();
     let is_readable = word.eq_ignore_ascii_case(scheme.as_bytes()) && is_apart && !key.is_empty();
-    if !is_readable || key.len() > LONGEST_KEY_BYTES {
+    if !is_readable || key.len() > MAX_KEY_BYTES {
         return Err(Denied::Unreadable);
     }
     Ok(key)
@@ -107,7 +107,7 @@
     now: Moment,
     until: Moment,
 ) -> ReservationWait {
-    let reading = first_event_after(facts) * PROMPT_TIME_MARGIN;
+    let reading = first_event_after(facts) * PROMPT_TIME_FACTOR;
     let max_ahead = configuration
         .ahead_limits
         .max_ahead(route.priority, route.objective);
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -22,21 +22,21 @@
 const ADAPTER_READY_IN: Duration = Duration::from_millis(120);
 /// Expected time until the orderer publishes what a newly listed replica holds. That arrives over
 /// another link than the listing, within milliseconds; an adapter's time is a safe estimate.
-const WORD_IN: Duration = ADAPTER_READY_IN;
+const PLACEMENT_UPDATE_IN: Duration = ADAPTER_READY_IN;
 /// Expected time from the first reminder about a model to the order to load it.
 const ORDER_DELAY: Duration = Duration::from_millis(350);
 /// Expected time until a model is loaded while no orderer is linked.
 const NO_ORDERER_READY_IN: Duration = Duration::from_millis(3000);
 /// Minimum time between two reminders to the orderers of the same waiting request.
-const REMIND_EVERY: Duration = Duration::from_millis(500);
+const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of times that a request is resent to a replica that was tried already.
-const MOST_REPEATS: u32 = 2;
+const MAX_REPEATS: u32 = 2;
 /// Pause before such a resend.
 const REPEAT_PAUSE: Duration = Duration::from_millis(80);
 /// Maximum time between two checks of the view while a request waits.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A request to a service without models waits for a replica for the objective divided by this.
-const WAIT_FOR_REPLICA: u32 = 4;
+const REPLICA_WAIT_DIVISOR: u32 = 4;
 
 /// The next step of a request.
 pub(super) enum NextReplica {
@@ -129,7 +129,7 @@
     /// take an idempotent request, resending it to the same one is better than waiting.
     async fn choose_again(&mut self) -> Option<ReplicaId> {
         let allowed = self.route.is_idempotent() && !self.tried.is_empty();
-        if !allowed || self.repeats >= MOST_REPEATS {
+        if !allowed || self.repeats >= MAX_REPEATS {
             return None;
         }
         self.repeats += 1;
@@ -206,7 +206,7 @@
         let Some(key) = self.model_key() else {
             // A replica of a service without models may recover soon.
             let waited = self.waited();
-            return (waited < self.route.objective / WAIT_FOR_REPLICA).then_some(ColdDecision::Wait);
+            return (waited < self.route.objective / REPLICA_WAIT_DIVISOR).then_some(ColdDecision::Wait);
         };
         let ready_in = self.ready_in(&key)?;
         self.node.holdings_wanted.notify_one();
@@ -259,7 +259,7 @@
             .replicas
             .awaits_placement(&self.service, |shard| state.linked[shard.index()])
         {
-            return Some(WORD_IN);
+            return Some(PLACEMENT_UPDATE_IN);
         }
         if !state.linked.contains(&true) {
             return Some(NO_ORDERER_READY_IN);
@@ -287,7 +287,7 @@
         if self
             .last_reminder
             .get()
-            .is_some_and(|last| now.since(last) < REMIND_EVERY)
+            .is_some_and(|last| now.since(last) < REMINDER_INTERVAL)
         {
             return;
         }
@@ -297,7 +297,7 @@
     }
 
     pub(super) async fn wait_for_view(&self) {
-        let longest = self.now() + LOOK_EVERY;
+        let longest = self.now() + MAX_CHECK_INTERVAL;
         let wake = async {
             tokio::select! {
                 () = self.node.view_changed.notified() => {}
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -17,7 +17,7 @@
 
 /// Maximum time between two checks of the holders while a request waits. Updates on other nodes'
 /// requests arrive about as often.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A request's entry among the waiting ones. Removed when dropped.
 struct WaitTicket<P: Platform> {
@@ -179,7 +179,7 @@
     }
 
     async fn wait_for_room(&self) {
-        let longest = (self.now() + LOOK_EVERY).min(self.until);
+        let longest = (self.now() + MAX_CHECK_INTERVAL).min(self.until);
         let wake = async {
             tokio::select! {
                 () = self.node.room_changed.notified() => {}
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -15,7 +15,7 @@
 
 /// Maximum number of times that a request waits before it requests another reservation. A wait that
 /// ends without one costs the caller more than an immediate refusal.
-const MOST_TURN_WAITS: u32 = 1;
+const MAX_RESERVATION_WAITS: u32 = 1;
 
 /// A replica whose rate limit leaves no reservation in time.
 pub(super) struct HeldBack {
@@ -91,7 +91,8 @@
             left: self.until.since(self.now()),
         };
         let decision = decide_in_cooldown(&request, self.rank(), self.unit());
-        let may_wait = self.turn_waits < MOST_TURN_WAITS && self.node.lifecycle() != Lifecycle::Stopping;
+        let may_wait =
+            self.turn_waits < MAX_RESERVATION_WAITS && self.node.lifecycle() != Lifecycle::Stopping;
         if decision == ColdDecision::Wait && !may_wait {
             let come_back_after = retry_after_cooldown(ready_in, self.rank(), self.unit());
             return Some(ColdDecision::Refuse { come_back_after });
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -64,7 +64,7 @@
 /// Deadline of a caller that names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 /// Maximum deadline of a caller. Later ones are shortened to this.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(3600);
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 /// Cost of a generated token, in prompt tokens.
 const OUTPUT_TOKEN_COST: u64 = 3;
 /// Retry delay named in a refusal if there is no better estimate.
@@ -74,7 +74,7 @@
 /// Pause before a request is resent to the replica that refused it.
 const SAME_REPLICA_PAUSE: Duration = Duration::from_millis(60);
 /// Maximum number of sends of one request, even if the route allows more.
-const MOST_SENDS: usize = 4;
+const MAX_SENDS: usize = 4;
 
 type Answer = Response<AnswerBody>;
 
@@ -122,7 +122,7 @@
         Ok(tenant) => tenant,
         Err(denied) => return refuse_access(node, &facts.id, &configuration, denied),
     };
-    let deadline = arrival + facts.deadline.unwrap_or(DEFAULT_DEADLINE).min(LONGEST_DEADLINE);
+    let deadline = arrival + facts.deadline.unwrap_or(DEFAULT_DEADLINE).min(MAX_DEADLINE);
     let until = route
         .timeout
         .map_or(deadline, |timeout| deadline.min(arrival + timeout));
@@ -364,14 +364,14 @@
         if !self.tried.contains(replica) {
             self.tried.push(replica.clone());
         }
-        let within = self.sends < (self.route.max_attempts as usize).min(MOST_SENDS);
+        let within = self.sends < (self.route.max_attempts as usize).min(MAX_SENDS);
         self.route.is_idempotent() && within && self.now() < self.until
     }
 
     /// Returns whether the request may be resent after a replica provably did not run it: to
     /// another replica if the route allows more attempts, otherwise to the same one after a pause.
     async fn after_refusal(&mut self, replica: &ReplicaId, misdirected: bool) -> bool {
-        if self.sends >= MOST_SENDS {
+        if self.sends >= MAX_SENDS {
             return false;
         }
         let sent_to = self.tried.iter().filter(|tried| *tried != replica).count() + 1;
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -21,7 +21,7 @@
 /// A silent replica is abandoned for another one after the objective divided by this. A limit
 /// derived from the service's answer times, like TCP's retransmission timer, lowered the mean worth
 /// over 30 days by 0.008.
-const SILENT_PART: u32 = 2;
+const SILENCE_DIVISOR: u32 = 2;
 
 /// How one send to a replica ended.
 pub(super) enum SendEnd<P: Platform> {
@@ -54,7 +54,7 @@
     /// Returns when a silent replica is abandoned for another one.
     pub(super) fn attempt_limit(&self) -> Option<Moment> {
         let more = self.sends + 1 < self.route.max_attempts as usize;
-        (self.route.is_idempotent() && more).then(|| self.now() + self.route.objective / SILENT_PART)
+        (self.route.is_idempotent() && more).then(|| self.now() + self.route.objective / SILENCE_DIVISOR)
     }
 
     /// Sends the request to a replica and classifies the answer by its head.
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -20,7 +20,7 @@
 /// as long again for a busy node, rounded up.
 const RESUME_TIME: Duration = Duration::from_millis(100);
 /// Factor on the time to read a prompt, for a holder that is busy with other prompts.
-pub(super) const PROMPT_TIME_MARGIN: u32 = 2;
+pub(super) const PROMPT_TIME_FACTOR: u32 = 2;
 
 /// How the stream from one replica ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -204,7 +204,7 @@
         let Some(patience) = patience else {
             return std::future::pending().await;
         };
-        let next_takes = self.first_event_after() * PROMPT_TIME_MARGIN + RESUME_TIME;
+        let next_takes = self.first_event_after() * PROMPT_TIME_FACTOR + RESUME_TIME;
         let caller_leaves = self.until.min(last_event + patience);
         let latest = caller_leaves - next_takes;
         // A pause within the pause objective is not silence, however little time is left.
