--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -268,7 +268,7 @@
                 SendEnd::NotSent => self.exclude(replica),
                 SendEnd::NotExecuted { misdirected } => {
                     if !self.after_refusal(&replica, misdirected).await {
-                        let retry_after = self.refusal_retry_after(&replica);
+                        let retry_after = self.retry_after_refusal(&replica);
                         return self.give_up("the replica refused", Some(retry_after));
                     }
                 }
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the retry delay for a caller whose request the replica refused.
-    pub(super) fn refusal_retry_after(&self, replica: &ReplicaId) -> Duration {
+    pub(super) fn retry_after_refusal(&self, replica: &ReplicaId) -> Duration {
         if !self.is_turned_away_by(replica) {
             return DEFAULT_RETRY_AFTER;
         }
