--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -14,17 +14,17 @@
 use crate::ports::{Platform, RequestFacts};
 
 /// Counts a request as in flight until dropped.
-pub(super) struct Flight<P: Platform>(Rc<Node<P>>);
+pub(super) struct InFlightGuard<P: Platform>(Rc<Node<P>>);
 
-impl<P: Platform> Flight<P> {
-    pub(super) fn begin(node: &Rc<Node<P>>) -> Self {
+impl<P: Platform> InFlightGuard<P> {
+    pub(super) fn start(node: &Rc<Node<P>>) -> Self {
         node.in_flight.set(node.in_flight.get() + 1);
         node.metrics.in_flight.inc();
-        Flight(node.clone())
+        InFlightGuard(node.clone())
     }
 }
 
-impl<P: Platform> Drop for Flight<P> {
+impl<P: Platform> Drop for InFlightGuard<P> {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
         self.0.metrics.in_flight.dec();
@@ -32,11 +32,11 @@
 }
 
 /// A slot among the requests that the node serves at the same time.
-pub(super) struct Place<P: Platform> {
+pub(super) struct ServiceSlot<P: Platform> {
     pub(super) node: Rc<Node<P>>,
 }
 
-impl<P: Platform> Drop for Place<P> {
+impl<P: Platform> Drop for ServiceSlot<P> {
     fn drop(&mut self) {
         self.node.state.borrow_mut().fair_queue.release();
         self.node.place_freed.notify_waiters();
@@ -48,35 +48,35 @@
 
 /// Waits for a slot at this node, in the order given by the groups' shares. Returns `None` if the
 /// number of slots is unlimited.
-pub(super) async fn take_place<P: Platform>(
+pub(super) async fn acquire_slot<P: Platform>(
     node: &Rc<Node<P>>,
     configuration: &Configuration,
     facts: &RequestFacts,
-) -> Option<Place<P>> {
+) -> Option<ServiceSlot<P>> {
     node.settings.most_in_service?;
     let group: Arc<str> = facts.group.as_deref().unwrap_or(NO_GROUP).into();
     let share = configuration.group_shares.get(&group).copied().unwrap_or(1);
     let cost = cost(facts);
-    let ticket = Ticket {
+    let ticket = QueueTicket {
         node: node.clone(),
         number: node.state.borrow_mut().fair_queue.enter(&group, share, cost),
     };
     loop {
         let freed = node.place_freed.notified();
         if node.state.borrow_mut().fair_queue.try_start(ticket.number) {
-            return Some(Place { node: node.clone() });
+            return Some(ServiceSlot { node: node.clone() });
         }
         freed.await;
     }
 }
 
 /// A request in the fair queue. Leaves the queue when dropped.
-pub(super) struct Ticket<P: Platform> {
+pub(super) struct QueueTicket<P: Platform> {
     pub(super) node: Rc<Node<P>>,
     pub(super) number: u64,
 }
 
-impl<P: Platform> Drop for Ticket<P> {
+impl<P: Platform> Drop for QueueTicket<P> {
     fn drop(&mut self) {
         self.node.state.borrow_mut().fair_queue.leave(self.number);
         self.node.place_freed.notify_waiters();
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -51,7 +51,7 @@
 use self::answers::{json, kind_name};
 use self::cold::NextReplica;
 use self::forwarding::{find_route, pick_backend, read_body};
-use self::guards::{take_place, Flight, Place};
+use self::guards::{acquire_slot, InFlightGuard, ServiceSlot};
 use self::limited::HeldBack;
 use self::sending::SendEnd;
 use crate::crash_trial::Trial;
@@ -86,7 +86,7 @@
 /// Serves one request.
 pub async fn serve<P: Platform>(node: &Rc<Node<P>>, request: Request<Incoming>) -> Answer {
     let arrival = node.clock.now();
-    let flight = Flight::begin(node);
+    let in_flight = InFlightGuard::start(node);
     let (head, body) = request.into_parts();
     let own = node
         .configuration()
@@ -151,10 +151,10 @@
     };
     let paid_after = credit.as_ref().map(|_| node.clock.now().since(arrival));
     let service = pick_backend(&route, &facts.id);
-    let placed = node
+    let slot_wait = node
         .clock
-        .timeout_at(until, take_place(node, &configuration, &facts));
-    let Ok(place) = placed.await else {
+        .timeout_at(until, acquire_slot(node, &configuration, &facts));
+    let Ok(slot) = slot_wait.await else {
         return refuse(
             StatusCode::SERVICE_UNAVAILABLE,
             "other groups come first",
@@ -174,8 +174,8 @@
         body,
         arrival,
         until,
-        flight: Some(flight),
-        place,
+        in_flight: Some(in_flight),
+        slot,
         sends: 0,
         tried: Vec::new(),
         held_back: Vec::new(),
@@ -211,8 +211,8 @@
     body: Bytes,
     arrival: Moment,
     until: Moment,
-    flight: Option<Flight<P>>,
-    place: Option<Place<P>>,
+    in_flight: Option<InFlightGuard<P>>,
+    slot: Option<ServiceSlot<P>>,
     sends: usize,
     tried: Vec<ReplicaId>,
     /// Replicas whose rate limit leaves no reservation in time.
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -56,9 +56,9 @@
             .metrics
             .first_byte_seconds
             .observe(self.waited().as_secs_f64());
-        let (flight, place) = (self.flight.take(), self.place.take());
+        let (in_flight, slot) = (self.in_flight.take(), self.slot.take());
         tokio::task::spawn_local(async move {
-            let _held = (flight, place);
+            let _held = (in_flight, slot);
             self.pump(streaming, sender).await;
         });
         answer
