--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -84,43 +84,43 @@
 }
 
 /// Counts a request as sent to a replica until dropped.
-pub(super) struct Send<P: Platform> {
+pub(super) struct SendGuard<P: Platform> {
     pub(super) node: Rc<Node<P>>,
     pub(super) replica: ReplicaId,
     /// When the incarnation that the request is sent to started, if known.
     pub(super) started_ms: Option<StartedMs>,
     /// When the send started, before any byte was sent.
-    pub(super) begun_at: Moment,
+    pub(super) sent_at: Moment,
     pub(super) work: RequestWork,
-    pub(super) reading: bool,
+    pub(super) is_reading_prompt: bool,
     /// When the replica started to run the request, if it did.
-    answered_at: Option<Moment>,
+    run_started_at: Option<Moment>,
 }
 
-impl<P: Platform> Send<P> {
-    pub(super) fn begin(node: &Rc<Node<P>>, replica: &ReplicaId, work: RequestWork) -> Self {
-        let begun_at = node.clock.now();
+impl<P: Platform> SendGuard<P> {
+    pub(super) fn start(node: &Rc<Node<P>>, replica: &ReplicaId, work: RequestWork) -> Self {
+        let sent_at = node.clock.now();
         let mut state = node.state.borrow_mut();
-        state.replicas.begin_send(replica, work, begun_at);
+        state.replicas.begin_send(replica, work, sent_at);
         let started_ms = state
             .replicas
             .get(replica)
             .and_then(|entry| entry.listing.started_ms);
         drop(state);
-        Send {
+        SendGuard {
             node: node.clone(),
             replica: replica.clone(),
             started_ms,
-            begun_at,
+            sent_at,
             work,
-            reading: true,
-            answered_at: None,
+            is_reading_prompt: true,
+            run_started_at: None,
         }
     }
 
     /// Records that the replica has read the prompt, as its answer started.
     pub(super) fn prompt_done(&mut self) {
-        if std::mem::take(&mut self.reading) {
+        if std::mem::take(&mut self.is_reading_prompt) {
             self.node
                 .state
                 .borrow_mut()
@@ -130,8 +130,8 @@
     }
 
     /// Records when the replica started to run the request.
-    pub(super) fn answer_began(&mut self, at: Moment) {
-        self.answered_at = Some(at);
+    pub(super) fn run_started(&mut self, at: Moment) {
+        self.run_started_at = Some(at);
     }
 
     pub(super) fn record(&self, outcome: SendOutcome) {
@@ -144,14 +144,14 @@
     }
 }
 
-impl<P: Platform> Drop for Send<P> {
+impl<P: Platform> Drop for SendGuard<P> {
     fn drop(&mut self) {
         self.prompt_done();
         let mut state = self.node.state.borrow_mut();
         state.replicas.end_send(&self.replica);
-        if let Some(answered_at) = self.answered_at {
-            let held = self.node.clock.now().since(answered_at);
-            state.replicas.record_run_time(&self.replica, held);
+        if let Some(run_started_at) = self.run_started_at {
+            let run_time = self.node.clock.now().since(run_started_at);
+            state.replicas.record_run_time(&self.replica, run_time);
         }
         drop(state);
         self.node.room_changed.notify_waiters();
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 
 use super::forwarding::{end_to_end, origin_form};
-use super::guards::Send;
+use super::guards::SendGuard;
 use super::RequestRun;
 use crate::connection::{Connection, ExchangeError};
 use crate::load_updates;
@@ -44,10 +44,10 @@
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
     /// When the head arrived.
-    pub(super) head_at: Moment,
+    pub(super) head_received_at: Moment,
     /// Closes when dropped, unless the stream was complete and the connection returned to the pool.
     pub(super) connection: Connection,
-    pub(super) send: Send<P>,
+    pub(super) send: SendGuard<P>,
 }
 
 impl<P: Platform> RequestRun<P> {
@@ -76,7 +76,7 @@
         let Some(address) = address else {
             return SendEnd::NotSent;
         };
-        let mut send = Send::begin(&self.node, replica, self.work());
+        let mut send = SendGuard::start(&self.node, replica, self.work());
         let connected = if self.route.is_idempotent() {
             self.node.pool.connect(address).await
         } else {
@@ -128,7 +128,7 @@
         self.judge_answer(replica, answer, connection, send).await
     }
 
-    pub(super) fn send_failed(&mut self, send: &Send<P>, error: &ExchangeError) -> SendEnd<P> {
+    pub(super) fn send_failed(&mut self, send: &SendGuard<P>, error: &ExchangeError) -> SendEnd<P> {
         tracing::info!(target: "send", id = self.facts.id, replica = &*send.replica, %error);
         if error.nothing_sent() {
             self.sends -= 1;
@@ -155,9 +155,9 @@
         replica: &ReplicaId,
         answer: Response<Incoming>,
         connection: Connection,
-        mut send: Send<P>,
+        mut send: SendGuard<P>,
     ) -> SendEnd<P> {
-        let head_at = self.now();
+        let head_received_at = self.now();
         let (head, body) = answer.into_parts();
         let facts = self.node.platform.dialect().answer_facts(&self.facts.id, &head);
         self.take_load(&send, &facts);
@@ -174,12 +174,12 @@
         }
         // A complete answer arrives when its run is over, the head of a stream when it starts.
         let is_stream = self.route.kind == RouteKind::Streaming && head.status.is_success();
-        send.answer_began(if is_stream { head_at } else { send.begun_at });
+        send.run_started(if is_stream { head_received_at } else { send.sent_at });
         if is_stream {
             return SendEnd::Streaming(Box::new(Streaming {
                 head,
                 body,
-                head_at,
+                head_received_at,
                 connection,
                 send,
             }));
@@ -207,7 +207,7 @@
             }
             Ok(Err(_)) => {
                 send.record(SendOutcome::Failure);
-                self.broke_at(replica, Some(self.now().since(head_at)));
+                self.broke_at(replica, Some(self.now().since(head_received_at)));
                 SendEnd::Broken {
                     cause: "the answer was cut off",
                 }
@@ -216,7 +216,7 @@
         }
     }
 
-    fn take_load(&self, send: &Send<P>, facts: &AnswerFacts) {
+    fn take_load(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
         if let Some(load) = facts.load {
             let is_sure = facts.is_ours && !facts.is_misdirected;
             load_updates::record_answer_load(&self.node, &send.replica, send.started_ms, load, is_sure);
@@ -224,10 +224,10 @@
     }
 
     /// Applies the signals in the replica's answer.
-    fn hear_replica(&self, send: &Send<P>, facts: &AnswerFacts) {
+    fn hear_replica(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
         let call = AnsweredCall {
             started_ms: send.started_ms,
-            sent_at: send.begun_at,
+            sent_at: send.sent_at,
             answered_at: self.now(),
         };
         let mut word = facts.word;
@@ -249,7 +249,7 @@
         replica: &ReplicaId,
         facts: &AnswerFacts,
         head: &response::Parts,
-        send: &Send<P>,
+        send: &SendGuard<P>,
     ) -> SendEnd<P> {
         tracing::info!(target: "send", id = self.facts.id, replica = &**replica, status = head.status.as_u16(),
             outcome = "not executed", misdirected = facts.is_misdirected);
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -178,7 +178,7 @@
     }
 
     fn stream_broke(&self, streaming: &Streaming<P>, last_event: Moment) {
-        let answer_duration = last_event.since(streaming.head_at);
+        let answer_duration = last_event.since(streaming.head_received_at);
         self.broke_at(&streaming.send.replica, Some(answer_duration));
     }
 
