--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -99,19 +99,19 @@
 }
 
 /// Returns the schedule on which a request waits for its quota reservation. The wait leaves the
-/// request time to meet its objective, and ends at `until` at the latest.
+/// request time to meet its objective, and ends at `deadline` at the latest.
 fn turn_wait(
     facts: &RequestFacts,
     configuration: &Configuration,
     route: &Route,
     now: Moment,
-    until: Moment,
+    deadline: Moment,
 ) -> ReservationWait {
     let reading = first_event_after(facts) * PROMPT_TIME_FACTOR;
     let max_ahead = configuration
         .ahead_limits
         .max_ahead(route.priority, route.objective);
-    let patience = patience(route.objective, reading).min(until.since(now));
+    let patience = patience(route.objective, reading).min(deadline.since(now));
     ReservationWait::new(now, patience, max_ahead)
 }
 
@@ -156,7 +156,7 @@
     tenant: Option<&Arc<str>>,
     configuration: &Configuration,
     route: &Route,
-    until: Moment,
+    deadline: Moment,
 ) -> Result<Option<Credit>, Box<Answer>> {
     let tenant = tenant.and_then(|name| configuration.tenants.find_by_name(name));
     let Some((tenant, quota)) = tenant.and_then(|tenant| Some((tenant, tenant.quota?))) else {
@@ -164,7 +164,7 @@
     };
     let clock = &node.clock;
     let asked_at = clock.now();
-    let wait = turn_wait(facts, configuration, route, asked_at, until);
+    let wait = turn_wait(facts, configuration, route, asked_at, deadline);
     let mut ask = QuotaAsk {
         tenant: &tenant.name,
         quota,
@@ -175,7 +175,7 @@
             is_urgent: configuration.tenants.is_most_urgent(route.priority),
         },
     };
-    let mut verdict = node.quotas.ask(ask, until).await;
+    let mut verdict = node.quotas.ask(ask, deadline).await;
     let mut place = None;
     while let QuotaVerdict::Beyond { retry_after, .. } = verdict {
         let Some(pause) = wait.pause(retry_after, clock.now()) else {
@@ -185,16 +185,16 @@
         if place.is_none() {
             break;
         }
-        if !sleep_unless_stopping(node, until.min(clock.now() + pause)).await {
+        if !sleep_unless_stopping(node, deadline.min(clock.now() + pause)).await {
             return Err(Box::new(refuse_at_stop(node, facts, &tenant.name, asked_at)));
         }
         ask.want.patience = wait.ahead(clock.now());
-        verdict = node.quotas.ask(ask, until).await;
+        verdict = node.quotas.ask(ask, deadline).await;
     }
     drop(place);
     match verdict {
         QuotaVerdict::Granted(credit, after) => {
-            clock.sleep_until(until.min(clock.now() + after)).await;
+            clock.sleep_until(deadline.min(clock.now() + after)).await;
             Ok(Some(credit))
         }
         QuotaVerdict::Beyond { retry_after, balance } => {
--- a/crates/croftrill-node/src/request/answers.rs
+++ b/crates/croftrill-node/src/request/answers.rs
@@ -38,7 +38,7 @@
 
     /// Returns the final answer to a request that is given up.
     pub(super) fn give_up(&self, cause: &'static str, retry_after: Option<Duration>) -> Answer {
-        let status = match (self.may_have_run, self.now() >= self.until) {
+        let status = match (self.may_have_run, self.now() >= self.deadline) {
             (false, _) => StatusCode::SERVICE_UNAVAILABLE,
             (true, true) => StatusCode::GATEWAY_TIMEOUT,
             (true, false) => StatusCode::BAD_GATEWAY,
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -54,7 +54,7 @@
         }
         tree::know(&self.node, &self.interests()).await;
         loop {
-            if self.now() >= self.until {
+            if self.now() >= self.deadline {
                 return NextReplica::GiveUp("out of time", None);
             }
             if let Some(refused) = self.await_place().await {
@@ -162,7 +162,7 @@
             work: self.work(),
             objective_left: (self.arrival + self.route.objective).since(now),
             pause_objective: self.route.pause_objective,
-            deadline_left: self.until.since(now),
+            deadline_left: self.deadline.since(now),
             kv_cache_tokens: engine.map_or(0, |engine| engine.kv_capacity),
         }
     }
@@ -218,7 +218,7 @@
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
-            left: self.until.since(self.now()),
+            left: self.deadline.since(self.now()),
         };
         let decision = decide_cold(&request);
         if is_first || decision != ColdDecision::Wait {
@@ -273,7 +273,7 @@
 
     /// Returns the time from arrival until the caller or the route ends the request.
     pub(super) fn patience(&self) -> Duration {
-        let whole = self.until.since(self.arrival);
+        let whole = self.deadline.since(self.arrival);
         caller_patience(&self.route).map_or(whole, |patience| patience.min(whole))
     }
 
@@ -304,7 +304,7 @@
                 () = self.node.stop_requested.notified() => {}
             }
         };
-        let _ = self.node.clock.timeout_at(longest.min(self.until), wake).await;
+        let _ = self.node.clock.timeout_at(longest.min(self.deadline), wake).await;
     }
 
     pub(super) fn first_event_after(&self) -> Duration {
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -91,7 +91,7 @@
                 return self.refuse_full("more urgent requests wait", self.starts_in(&free_capacity));
             }
             self.wait_for_room().await;
-            if self.now() >= self.until {
+            if self.now() >= self.deadline {
                 return Some(NextReplica::GiveUp("out of time", None));
             }
         }
@@ -136,7 +136,7 @@
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
-            left: self.until.since(self.now()),
+            left: self.deadline.since(self.now()),
             is_most_urgent,
             overtakes_others: is_most_urgent
                 && self.sends == 0
@@ -179,7 +179,7 @@
     }
 
     async fn wait_for_room(&self) {
-        let longest = (self.now() + MAX_CHECK_INTERVAL).min(self.until);
+        let longest = (self.now() + MAX_CHECK_INTERVAL).min(self.deadline);
         let wake = async {
             tokio::select! {
                 () = self.node.room_changed.notified() => {}
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -43,7 +43,7 @@
             LimitVerdict::Granted(credit, after) => {
                 self.turn = credit;
                 let turn_at = self.now() + after;
-                self.node.clock.sleep_until(turn_at.min(self.until)).await;
+                self.node.clock.sleep_until(turn_at.min(self.deadline)).await;
                 true
             }
             LimitVerdict::Refused { retry_after } => {
@@ -88,7 +88,7 @@
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
-            left: self.until.since(self.now()),
+            left: self.deadline.since(self.now()),
         };
         let decision = decide_in_cooldown(&request, self.rank(), self.unit());
         let may_wait =
@@ -106,7 +106,7 @@
         let Some(turn_at) = self.held_back.iter().map(|held| held.again_at).min() else {
             return;
         };
-        while self.now() < turn_at.min(self.until) && self.choose(&self.tried).is_none() {
+        while self.now() < turn_at.min(self.deadline) && self.choose(&self.tried).is_none() {
             self.wait_for_view().await;
         }
         self.held_back.clear();
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -122,12 +122,12 @@
         Ok(tenant) => tenant,
         Err(denied) => return refuse_access(node, &facts.id, &configuration, denied),
     };
-    let deadline = arrival + facts.deadline.unwrap_or(DEFAULT_DEADLINE).min(MAX_DEADLINE);
-    let until = route
+    let caller_deadline = arrival + facts.deadline.unwrap_or(DEFAULT_DEADLINE).min(MAX_DEADLINE);
+    let deadline = route
         .timeout
-        .map_or(deadline, |timeout| deadline.min(arrival + timeout));
+        .map_or(caller_deadline, |timeout| caller_deadline.min(arrival + timeout));
     let reading = read_body(body, &head, configuration.limits.max_body_bytes);
-    let body = match node.clock.timeout_at(until, reading).await {
+    let body = match node.clock.timeout_at(deadline, reading).await {
         Ok(Ok(body)) => body,
         Ok(Err(status)) => return refuse(status, "the body cannot be taken", None),
         Err(_) => {
@@ -145,7 +145,7 @@
     if let Some(tenant) = &tenant {
         facts.group = Some(tenant.to_string());
     }
-    let credit = match take_credit(node, &facts, tenant.as_ref(), &configuration, &route, until).await {
+    let credit = match take_credit(node, &facts, tenant.as_ref(), &configuration, &route, deadline).await {
         Ok(credit) => credit,
         Err(answer) => return *answer,
     };
@@ -153,7 +153,7 @@
     let service = pick_backend(&route, &facts.id);
     let slot_wait = node
         .clock
-        .timeout_at(until, acquire_slot(node, &configuration, &facts));
+        .timeout_at(deadline, acquire_slot(node, &configuration, &facts));
     let Ok(slot) = slot_wait.await else {
         return refuse(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -173,7 +173,7 @@
         head: Rc::new(head),
         body,
         arrival,
-        until,
+        deadline,
         in_flight: Some(in_flight),
         slot,
         sends: 0,
@@ -210,7 +210,7 @@
     head: Rc<request::Parts>,
     body: Bytes,
     arrival: Moment,
-    until: Moment,
+    deadline: Moment,
     in_flight: Option<InFlightGuard<P>>,
     slot: Option<ServiceSlot<P>>,
     sends: usize,
@@ -365,7 +365,7 @@
             self.tried.push(replica.clone());
         }
         let within = self.sends < (self.route.max_attempts as usize).min(MAX_SENDS);
-        self.route.is_idempotent() && within && self.now() < self.until
+        self.route.is_idempotent() && within && self.now() < self.deadline
     }
 
     /// Returns whether the request may be resent after a replica provably did not run it: to
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -26,7 +26,7 @@
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
-            left: self.until.since(self.now()),
+            left: self.deadline.since(self.now()),
         };
         Some(decide_in_cooldown(&request, self.rank(), self.unit()))
     }
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -102,8 +102,13 @@
             turn.spend();
         }
         self.sent_after.get_or_insert(self.waited());
-        let until = limit.map_or(self.until, |limit| limit.min(self.until));
-        let answer = match self.node.clock.timeout_at(until, connection.send(request)).await {
+        let attempt_deadline = limit.map_or(self.deadline, |limit| limit.min(self.deadline));
+        let answer = match self
+            .node
+            .clock
+            .timeout_at(attempt_deadline, connection.send(request))
+            .await
+        {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 if let Some(turn) = turn.filter(|_| error.nothing_sent()) {
@@ -111,7 +116,7 @@
                 }
                 return self.send_failed(&send, &error);
             }
-            Err(_) if self.now() >= self.until => {
+            Err(_) if self.now() >= self.deadline => {
                 self.node.pool.found_silent(&connection);
                 return SendEnd::OutOfTime;
             }
@@ -184,7 +189,7 @@
                 send,
             }));
         }
-        match self.node.clock.timeout_at(self.until, body.collect()).await {
+        match self.node.clock.timeout_at(self.deadline, body.collect()).await {
             Ok(Ok(body)) => {
                 self.answered_whole();
                 let failed = head.status.is_server_error();
@@ -285,7 +290,7 @@
         headers.remove(header::EXPECT);
         let forwarding = Forwarding {
             replica,
-            time_left: self.until.since(self.now()),
+            time_left: self.deadline.since(self.now()),
             priority: self.model_key().map(|_| self.rank()),
             tenant: self.tenant.as_deref(),
             resume_after,
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -147,7 +147,7 @@
                     self.stream_broke(streaming, last_event);
                     return PumpEnd::Silent;
                 }
-                () = self.node.clock.sleep_until(self.until) => return PumpEnd::OutOfTime,
+                () = self.node.clock.sleep_until(self.deadline) => return PumpEnd::OutOfTime,
             };
             let bytes = match frame {
                 None => return self.pump_rest(cutter, sender).await,
@@ -205,7 +205,7 @@
             return std::future::pending().await;
         };
         let next_takes = self.first_event_after() * PROMPT_TIME_FACTOR + RESUME_TIME;
-        let caller_leaves = self.until.min(last_event + patience);
+        let caller_leaves = self.deadline.min(last_event + patience);
         let latest = caller_leaves - next_takes;
         // A pause within the pause objective is not silence, however little time is left.
         let bearable = self.route.pause_objective.unwrap_or(patience);
@@ -221,7 +221,7 @@
         match self
             .node
             .clock
-            .timeout_at(self.until, sender.send(Ok(part)))
+            .timeout_at(self.deadline, sender.send(Ok(part)))
             .await
         {
             Ok(Ok(())) => Ok(()),
