--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -100,7 +100,7 @@
 
 /// Returns the schedule on which a request waits for its quota reservation. The wait leaves the
 /// request time to meet its objective, and ends at `deadline` at the latest.
-fn turn_wait(
+fn reservation_wait(
     facts: &RequestFacts,
     configuration: &Configuration,
     route: &Route,
@@ -164,7 +164,7 @@
     };
     let clock = &node.clock;
     let asked_at = clock.now();
-    let wait = turn_wait(facts, configuration, route, asked_at, deadline);
+    let wait = reservation_wait(facts, configuration, route, asked_at, deadline);
     let mut ask = QuotaAsk {
         tenant: &tenant.name,
         quota,
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -48,7 +48,7 @@
     /// Returns the replica to send to, after waiting for the model where that helps.
     pub(super) async fn next_replica(&mut self) -> NextReplica {
         if let Some(replica) = self.refused_by.take() {
-            if self.take_turn(&replica).await {
+            if self.take_reservation(&replica).await {
                 return NextReplica::Send(replica);
             }
         }
@@ -65,14 +65,14 @@
                 None => self.choose_again().await,
             };
             if let Some(replica) = chosen {
-                if self.take_turn(&replica).await {
+                if self.take_reservation(&replica).await {
                     return NextReplica::Send(replica);
                 }
                 continue;
             }
-            match self.turn_decision() {
+            match self.reservation_decision() {
                 Some(ColdDecision::Wait) => {
-                    self.wait_for_turn().await;
+                    self.wait_for_reservation().await;
                     continue;
                 }
                 Some(ColdDecision::Refuse { come_back_after }) => {
@@ -140,8 +140,8 @@
     pub(super) fn choose(&self, tried: &[ReplicaId]) -> Option<ReplicaId> {
         let now = self.node.clock.now();
         let state = self.node.state.borrow();
-        let held_back = self.held_back.iter().map(|held| held.replica.clone());
-        let tried: Vec<ReplicaId> = tried.iter().cloned().chain(held_back).collect();
+        let rate_limited = self.rate_limited.iter().map(|limited| limited.replica.clone());
+        let tried: Vec<ReplicaId> = tried.iter().cloned().chain(rate_limited).collect();
         let request = self.routing_request(&tried);
         self.node
             .step_times
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -18,43 +18,48 @@
 const MAX_RESERVATION_WAITS: u32 = 1;
 
 /// A replica whose rate limit leaves no reservation in time.
-pub(super) struct HeldBack {
+pub(super) struct RateLimitedReplica {
     pub(super) replica: ReplicaId,
     /// When a reservation may be granted.
-    again_at: Moment,
+    retry_at: Moment,
 }
 
 impl<P: Platform> RequestRun<P> {
     /// Takes a reservation at a replica and waits until it is due. Returns false if it would be due
     /// too late. All sends need one, as the replica counts them all: first sends, repeats and
     /// resumed streams. Returns immediately for a replica that announced no limit.
-    pub(super) async fn take_turn(&mut self, replica: &ReplicaId) -> bool {
-        self.turn = None;
-        let want = LimitRequest {
-            patience: self.turn_patience(),
+    pub(super) async fn take_reservation(&mut self, replica: &ReplicaId) -> bool {
+        self.reservation = None;
+        let limit_request = LimitRequest {
+            patience: self.reservation_patience(),
             is_urgent: self
                 .configuration
                 .is_most_urgent_of(&self.service, self.route.priority),
         };
-        let Some(turn) = replica_reservation::request(&self.node, replica, "request", want).await else {
+        let Some(decision) =
+            replica_reservation::request(&self.node, replica, "request", limit_request).await
+        else {
             return true;
         };
-        match turn.verdict {
+        match decision.verdict {
             LimitVerdict::Granted(credit, after) => {
-                self.turn = credit;
-                let turn_at = self.now() + after;
-                self.node.clock.sleep_until(turn_at.min(self.deadline)).await;
+                self.reservation = credit;
+                let reservation_at = self.now() + after;
+                self.node
+                    .clock
+                    .sleep_until(reservation_at.min(self.deadline))
+                    .await;
                 true
             }
             LimitVerdict::Refused { retry_after } => {
-                let heard_ago = self.now().since(turn.limit.received_at);
+                let limit_age = self.now().since(decision.limit.received_at);
                 tracing::info!(target: "limit", id = self.facts.id, replica = &**replica, outcome = "refused",
-                    limit_per_s = turn.limit.rate.per_s(), heard_ms_ago = heard_ago.as_millis() as u64,
-                    is_urgent = want.is_urgent, patience_ms = want.patience.as_millis() as u64,
+                    limit_per_s = decision.limit.rate.per_s(), heard_ms_ago = limit_age.as_millis() as u64,
+                    is_urgent = limit_request.is_urgent, patience_ms = limit_request.patience.as_millis() as u64,
                     again_after_ms = retry_after.as_millis() as u64);
-                self.held_back.push(HeldBack {
+                self.rate_limited.push(RateLimitedReplica {
                     replica: replica.clone(),
-                    again_at: self.now() + retry_after,
+                    retry_at: self.now() + retry_after,
                 });
                 false
             }
@@ -63,7 +68,7 @@
 
     /// Returns the time for which the request can wait for its reservation and still meet its
     /// objective. A resumed stream can wait as long as a pause within its pause objective.
-    fn turn_patience(&self) -> Duration {
+    fn reservation_patience(&self) -> Duration {
         let spent = self.waited() + self.first_event_after();
         let left = self.route.objective.saturating_sub(spent);
         let pause = self.answered_after.and(self.route.pause_objective);
@@ -74,13 +79,13 @@
     /// no reservation. Returns `None` if rate limits are not the cause. The time of the next
     /// reservation accounts for the calls of all nodes, so a request that would then be in time
     /// waits, but only once. If that wait was in vain, it is refused.
-    pub(super) fn turn_decision(&self) -> Option<ColdDecision> {
-        let turn_at = self.held_back.iter().map(|held| held.again_at).min()?;
+    pub(super) fn reservation_decision(&self) -> Option<ColdDecision> {
+        let reservation_at = self.rate_limited.iter().map(|limited| limited.retry_at).min()?;
         let arrival = self.model_key().and_then(|key| {
             let state = self.node.state.borrow();
             state.replicas.arrival(&self.service, &key.model)
         });
-        let first_at = arrival.map_or(turn_at, |arrival| arrival.min(turn_at));
+        let first_at = arrival.map_or(reservation_at, |arrival| arrival.min(reservation_at));
         let ready_in = first_at.since(self.now());
         let request = ColdRequest {
             waited: self.waited(),
@@ -92,7 +97,7 @@
         };
         let decision = decide_in_cooldown(&request, self.rank(), self.unit());
         let may_wait =
-            self.turn_waits < MAX_RESERVATION_WAITS && self.node.lifecycle() != Lifecycle::Stopping;
+            self.reservation_waits < MAX_RESERVATION_WAITS && self.node.lifecycle() != Lifecycle::Stopping;
         if decision == ColdDecision::Wait && !may_wait {
             let come_back_after = retry_after_cooldown(ready_in, self.rank(), self.unit());
             return Some(ColdDecision::Refuse { come_back_after });
@@ -101,14 +106,14 @@
     }
 
     /// Waits until the request may request another reservation.
-    pub(super) async fn wait_for_turn(&mut self) {
-        self.turn_waits += 1;
-        let Some(turn_at) = self.held_back.iter().map(|held| held.again_at).min() else {
+    pub(super) async fn wait_for_reservation(&mut self) {
+        self.reservation_waits += 1;
+        let Some(reservation_at) = self.rate_limited.iter().map(|limited| limited.retry_at).min() else {
             return;
         };
-        while self.now() < turn_at.min(self.deadline) && self.choose(&self.tried).is_none() {
+        while self.now() < reservation_at.min(self.deadline) && self.choose(&self.tried).is_none() {
             self.wait_for_view().await;
         }
-        self.held_back.clear();
+        self.rate_limited.clear();
     }
 }
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -52,7 +52,7 @@
 use self::cold::NextReplica;
 use self::forwarding::{find_route, pick_backend, read_body};
 use self::guards::{acquire_slot, InFlightGuard, ServiceSlot};
-use self::limited::HeldBack;
+use self::limited::RateLimitedReplica;
 use self::sending::SendEnd;
 use crate::crash_trial::Trial;
 use crate::metrics::Metrics;
@@ -178,9 +178,9 @@
         slot,
         sends: 0,
         tried: Vec::new(),
-        held_back: Vec::new(),
-        turn: None,
-        turn_waits: 0,
+        rate_limited: Vec::new(),
+        reservation: None,
+        reservation_waits: 0,
         repeats: 0,
         refused_by: None,
         may_have_run: false,
@@ -216,11 +216,11 @@
     sends: usize,
     tried: Vec<ReplicaId>,
     /// Replicas whose rate limit leaves no reservation in time.
-    held_back: Vec<HeldBack>,
+    rate_limited: Vec<RateLimitedReplica>,
     /// The reservation at the next replica, if that announced a rate limit.
-    turn: Option<Credit>,
+    reservation: Option<Credit>,
     /// Number of waits before another request for a reservation.
-    turn_waits: u32,
+    reservation_waits: u32,
     repeats: u32,
     refused_by: Option<ReplicaId>,
     may_have_run: bool,
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -65,7 +65,7 @@
         limit: Option<Moment>,
     ) -> SendEnd<P> {
         // Returned to the limit when dropped without a send.
-        let turn = self.turn.take();
+        let reservation = self.reservation.take();
         let address = {
             let state = self.node.state.borrow();
             state
@@ -98,8 +98,8 @@
         if let Some(credit) = &self.credit {
             credit.spend();
         }
-        if let Some(turn) = &turn {
-            turn.spend();
+        if let Some(reservation) = &reservation {
+            reservation.spend();
         }
         self.sent_after.get_or_insert(self.waited());
         let attempt_deadline = limit.map_or(self.deadline, |limit| limit.min(self.deadline));
@@ -111,8 +111,8 @@
         {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
-                if let Some(turn) = turn.filter(|_| error.nothing_sent()) {
-                    turn.unspend();
+                if let Some(reservation) = reservation.filter(|_| error.nothing_sent()) {
+                    reservation.unspend();
                 }
                 return self.send_failed(&send, &error);
             }
