--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -76,18 +76,18 @@
                     continue;
                 }
                 Some(ColdDecision::Refuse { come_back_after }) => {
-                    self.count_turned_away();
+                    self.count_rejected();
                     return NextReplica::GiveUp("its replicas take no more now", Some(come_back_after));
                 }
                 None => {}
             }
-            match self.rest_decision() {
+            match self.cooldown_decision() {
                 Some(ColdDecision::Wait) if self.node.lifecycle() != Lifecycle::Stopping => {
                     self.wait_for_view().await;
                     continue;
                 }
                 Some(ColdDecision::Refuse { come_back_after }) => {
-                    self.count_turned_away();
+                    self.count_rejected();
                     return NextReplica::GiveUp("its replicas want rest", Some(come_back_after));
                 }
                 Some(ColdDecision::Wait) | None => {}
@@ -249,10 +249,10 @@
             return Some(ADAPTER_READY_IN);
         }
         let arrival = state.replicas.arrival(&self.service, &key.model);
-        let rest_ends = state
+        let cooldown_end = state
             .replicas
             .earliest_holder_cooldown_end(&self.service, &key.model, now);
-        if let Some(ready_at) = arrival.into_iter().chain(rest_ends).min() {
+        if let Some(ready_at) = arrival.into_iter().chain(cooldown_end).min() {
             return Some(ready_at.since(now).max(Duration::from_millis(20)));
         }
         if state
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -68,7 +68,7 @@
                 return None;
             }
             let request = self.full_request(&free_capacity);
-            let decision = decide_full(&request, self.rank(), self.unit());
+            let decision = decide_full(&request, self.rank(), self.uniform_sample());
             if ticket.is_none() {
                 self.log_full(&free_capacity, &request, decision);
             }
@@ -164,7 +164,7 @@
     }
 
     fn refuse_full(&self, cause: &'static str, retry_after: Duration) -> Option<NextReplica> {
-        self.count_turned_away();
+        self.count_rejected();
         Metrics::count(&self.node.metrics.full_holders, "request", cause);
         Some(NextReplica::GiveUp(cause, Some(retry_after)))
     }
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -95,11 +95,11 @@
             patience: self.patience(),
             left: self.deadline.since(self.now()),
         };
-        let decision = decide_in_cooldown(&request, self.rank(), self.unit());
+        let decision = decide_in_cooldown(&request, self.rank(), self.uniform_sample());
         let may_wait =
             self.reservation_waits < MAX_RESERVATION_WAITS && self.node.lifecycle() != Lifecycle::Stopping;
         if decision == ColdDecision::Wait && !may_wait {
-            let come_back_after = retry_after_cooldown(ready_in, self.rank(), self.unit());
+            let come_back_after = retry_after_cooldown(ready_in, self.rank(), self.uniform_sample());
             return Some(ColdDecision::Refuse { come_back_after });
         }
         Some(decision)
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -267,7 +267,7 @@
                 }
                 SendEnd::NotSent => self.exclude(replica),
                 SendEnd::NotExecuted { misdirected } => {
-                    if !self.after_refusal(&replica, misdirected).await {
+                    if !self.prepare_resend(&replica, misdirected).await {
                         let retry_after = self.retry_after_refusal(&replica);
                         return self.give_up("the replica refused", Some(retry_after));
                     }
@@ -370,7 +370,7 @@
 
     /// Returns whether the request may be resent after a replica provably did not run it: to
     /// another replica if the route allows more attempts, otherwise to the same one after a pause.
-    async fn after_refusal(&mut self, replica: &ReplicaId, misdirected: bool) -> bool {
+    async fn prepare_resend(&mut self, replica: &ReplicaId, misdirected: bool) -> bool {
         if self.sends >= MAX_SENDS {
             return false;
         }
@@ -380,7 +380,7 @@
             self.exclude(replica.clone());
             return true;
         }
-        if misdirected || !self.pause_for(replica).await {
+        if misdirected || !self.pause_before_resend(replica).await {
             return false;
         }
         self.refused_by = Some(replica.clone());
--- a/crates/croftrill-node/src/request/resting.rs
+++ b/crates/croftrill-node/src/request/resting.rs
@@ -18,21 +18,21 @@
 impl<P: Platform> RequestRun<P> {
     /// Decides what to do while all replicas that could take the request are in cooldown. Returns
     /// `None` if one of them is not, or if another replica will have loaded the model sooner.
-    pub(super) fn rest_decision(&self) -> Option<ColdDecision> {
-        let rest_ends = self.rest_ends()?;
+    pub(super) fn cooldown_decision(&self) -> Option<ColdDecision> {
+        let cooldown_end = self.cooldown_end()?;
         let request = ColdRequest {
             waited: self.waited(),
-            ready_in: rest_ends.since(self.now()),
+            ready_in: cooldown_end.since(self.now()),
             first_event_after: self.first_event_after(),
             objective: self.route.objective,
             patience: self.patience(),
             left: self.deadline.since(self.now()),
         };
-        Some(decide_in_cooldown(&request, self.rank(), self.unit()))
+        Some(decide_in_cooldown(&request, self.rank(), self.uniform_sample()))
     }
 
     /// Returns the earliest end of the replicas' cooldowns, if cooldowns are what blocks the request.
-    fn rest_ends(&self) -> Option<Moment> {
+    fn cooldown_end(&self) -> Option<Moment> {
         let now = self.now();
         let state = self.node.state.borrow();
         let replicas = &state.replicas;
@@ -47,18 +47,18 @@
             return None;
         }
         let arrival = replicas.arrival(&self.service, &key.model);
-        let rest_ends = replicas.earliest_holder_cooldown_end(&self.service, &key.model, now)?;
+        let cooldown_end = replicas.earliest_holder_cooldown_end(&self.service, &key.model, now)?;
         arrival
-            .is_none_or(|arrival| rest_ends <= arrival)
-            .then_some(rest_ends)
+            .is_none_or(|arrival| cooldown_end <= arrival)
+            .then_some(cooldown_end)
     }
 
     /// Waits before the request is resent to the replica that refused it. Returns false, without
     /// waiting, if it would then be too late or the replica takes no more requests. Returns false
     /// after the wait if the replica rejects requests by then.
-    pub(super) async fn pause_for(&self, replica: &ReplicaId) -> bool {
+    pub(super) async fn pause_before_resend(&self, replica: &ReplicaId) -> bool {
         let now = self.now();
-        let pause = match self.wanted_in(replica) {
+        let pause = match self.resend_delay(replica) {
             Some(pause) if now + pause + self.first_event_after() < self.arrival + self.route.objective => {
                 pause
             }
@@ -66,11 +66,11 @@
         };
         self.node.clock.sleep_until(now + pause).await;
         // The replica may have signalled more in its answer to another request.
-        !self.is_turned_away_by(replica)
+        !self.is_rejected_by(replica)
     }
 
     /// Returns the time until the request may be resent to the replica, or `None` if that is leaving.
-    fn wanted_in(&self, replica: &ReplicaId) -> Option<Duration> {
+    fn resend_delay(&self, replica: &ReplicaId) -> Option<Duration> {
         let now = self.now();
         let state = self.node.state.borrow();
         let Some(entry) = state.replicas.get(replica) else {
@@ -79,21 +79,21 @@
         if !entry.is_ready() {
             return None;
         }
-        let rest = entry
+        let cooldown = entry
             .cooldown_until(now)
             .map(|until| until.since(now) + RANK_STEP * u32::from(self.rank()));
-        Some(rest.unwrap_or(SAME_REPLICA_PAUSE))
+        Some(cooldown.unwrap_or(SAME_REPLICA_PAUSE))
     }
 
     /// Returns the retry delay for a caller whose request the replica refused.
     pub(super) fn retry_after_refusal(&self, replica: &ReplicaId) -> Duration {
-        if !self.is_turned_away_by(replica) {
+        if !self.is_rejected_by(replica) {
             return DEFAULT_RETRY_AFTER;
         }
-        match self.rest_ends() {
-            Some(rest_ends) => {
-                let rest_left = rest_ends.since(self.now());
-                retry_after_cooldown(rest_left, self.rank(), self.unit())
+        match self.cooldown_end() {
+            Some(cooldown_end) => {
+                let cooldown_left = cooldown_end.since(self.now());
+                retry_after_cooldown(cooldown_left, self.rank(), self.uniform_sample())
             }
             // Another replica may take the request on the caller's next attempt.
             None => OTHER_NODE_RETRY_AFTER,
@@ -101,13 +101,13 @@
     }
 
     /// Returns a sample from 0 to 1 that is fixed for the request and uniform over requests.
-    pub(super) fn unit(&self) -> f64 {
+    pub(super) fn uniform_sample(&self) -> f64 {
         xxh3_64(self.facts.id.as_bytes()) as f64 / u64::MAX as f64
     }
 
     /// Counts the request, once, as one that the holders of its model could not serve in time, which
     /// is demand for another holder.
-    pub(super) fn count_turned_away(&self) {
+    pub(super) fn count_rejected(&self) {
         if self.counted_late.replace(true) {
             return;
         }
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -89,7 +89,7 @@
                 return SendEnd::NotSent;
             }
         };
-        if self.is_turned_away_by(replica) {
+        if self.is_rejected_by(replica) {
             // The replica signalled so in another answer after it was chosen.
             return SendEnd::NotSent;
         }
@@ -244,7 +244,7 @@
     }
 
     /// Returns whether the replica signalled that it takes no requests (for now).
-    pub(super) fn is_turned_away_by(&self, replica: &ReplicaId) -> bool {
+    pub(super) fn is_rejected_by(&self, replica: &ReplicaId) -> bool {
         let now = self.now();
         self.node.state.borrow().replicas.rejects_requests(replica, now)
     }
