--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -128,7 +128,7 @@
 
 /// Refuses a request that waits for its quota reservation while the node is stopping. Another
 /// node can wait for it; this one may end first.
-fn refuse_at_stop<P: Platform>(
+fn refuse_while_stopping<P: Platform>(
     node: &Node<P>,
     facts: &RequestFacts,
     tenant: &str,
@@ -186,7 +186,12 @@
             break;
         }
         if !sleep_unless_stopping(node, deadline.min(clock.now() + pause)).await {
-            return Err(Box::new(refuse_at_stop(node, facts, &tenant.name, asked_at)));
+            return Err(Box::new(refuse_while_stopping(
+                node,
+                facts,
+                &tenant.name,
+                asked_at,
+            )));
         }
         ask.want.patience = wait.ahead(clock.now());
         verdict = node.quotas.ask(ask, deadline).await;
--- a/crates/croftrill-node/src/request/answers.rs
+++ b/crates/croftrill-node/src/request/answers.rs
@@ -17,7 +17,12 @@
 
 impl<P: Platform> RequestRun<P> {
     /// Forwards a complete answer.
-    pub(super) fn answer_whole(self, replica: &ReplicaId, mut head: response::Parts, body: Bytes) -> Answer {
+    pub(super) fn answer_complete(
+        self,
+        replica: &ReplicaId,
+        mut head: response::Parts,
+        body: Bytes,
+    ) -> Answer {
         head.headers = end_to_end(&head.headers);
         if self.head.method != Method::HEAD {
             head.headers.remove(header::CONTENT_LENGTH);
@@ -48,10 +53,10 @@
         } else {
             Some(retry_after.unwrap_or(DEFAULT_RETRY_AFTER))
         };
-        self.refuse_finally(status, cause, retry_after)
+        self.refuse_request(status, cause, retry_after)
     }
 
-    fn refuse_finally(
+    fn refuse_request(
         &self,
         status: StatusCode,
         cause: &'static str,
@@ -60,7 +65,7 @@
         Metrics::count(&self.node.metrics.requests, kind_name(self.route.kind), "refused");
         tracing::info!(target: "request", id = self.facts.id, route = &*self.route.name, outcome = "given up",
             cause, status = status.as_u16(), tenant = self.tenant.as_deref(), sends = self.sends, model = self.facts.model.as_deref(),
-            adapter = self.facts.adapter.as_deref(), quota_cost = self.quota_cost(), paid_ms = millis(self.paid_after),
+            adapter = self.facts.adapter.as_deref(), quota_cost = self.quota_cost(), paid_ms = millis(self.quota_granted_after),
             sent_ms = millis(self.sent_after), waited_ms = self.waited().as_millis() as u64,
             retry_after_ms = retry_after.map(|time| time.as_millis() as u64), version = self.configuration.version);
         refuse(status, cause, retry_after)
@@ -68,7 +73,7 @@
 
     /// Returns the final answer to a request under which replicas ended. It names no retry
     /// delay, as such a request may never be served.
-    pub(super) fn turn_away(&self, verdict: Verdict) -> Answer {
+    pub(super) fn refuse_suspect(&self, verdict: Verdict) -> Answer {
         let fingerprint = self.fingerprint();
         let outcome = match verdict {
             Verdict::Held(_) => "held back",
@@ -87,7 +92,7 @@
         if self.may_have_run {
             return self.give_up(cause, None);
         }
-        self.refuse_finally(StatusCode::SERVICE_UNAVAILABLE, cause, None)
+        self.refuse_request(StatusCode::SERVICE_UNAVAILABLE, cause, None)
     }
 
     pub(super) fn log_end(&self, replica: &ReplicaId, outcome: &'static str) {
@@ -95,7 +100,7 @@
         Metrics::count(&self.node.metrics.requests, kind_name(self.route.kind), metric);
         tracing::info!(target: "request", id = self.facts.id, route = &*self.route.name, outcome,
             replica = &**replica, tenant = self.tenant.as_deref(), sends = self.sends, model = self.facts.model.as_deref(),
-            adapter = self.facts.adapter.as_deref(), quota_cost = self.quota_cost(), paid_ms = millis(self.paid_after),
+            adapter = self.facts.adapter.as_deref(), quota_cost = self.quota_cost(), paid_ms = millis(self.quota_granted_after),
             sent_ms = millis(self.sent_after),
             answered_ms = millis(self.answered_after), prompt_tokens = self.facts.prompt_tokens,
             longest_pause_ms = self.longest_pause.get().as_millis() as u64, late = self.counted_late.get(),
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -28,7 +28,7 @@
     /// Returns the verdict that keeps the request from being sent now, if replicas ended under it.
     /// From the second replica tried on, first waits until it is known whether the last one has
     /// ended. The first one is not waited for, as a single end blocks nothing.
-    pub(super) async fn barred(&self) -> Option<Verdict> {
+    pub(super) async fn blocking_verdict(&self) -> Option<Verdict> {
         if let [_, .., last] = self.tried.as_slice() {
             crash_watch::wait_until_checked(&self.node, last).await;
         }
@@ -48,8 +48,8 @@
     /// Returns the verdict that keeps the request from being sent at this moment. Checked again
     /// after a wait: crashes may have been reported meanwhile, and other copies of the request may
     /// have waited as well. Only one copy of a suspect runs at a time.
-    pub(super) async fn barred_from_sending(&mut self) -> Option<Verdict> {
-        if let Some(verdict) = self.barred().await {
+    pub(super) async fn blocking_verdict_before_send(&mut self) -> Option<Verdict> {
+        if let Some(verdict) = self.blocking_verdict().await {
             return Some(verdict);
         }
         let verdict = self.verdict();
@@ -66,7 +66,7 @@
     }
 
     /// Records that a replica sent a complete answer, so that the request did not crash it.
-    pub(super) fn answered_whole(&self) {
+    pub(super) fn record_complete_answer(&self) {
         if !self.node.state.borrow().crash_ledger.is_empty() {
             crash_reports::record_complete_answer(&self.node, self.fingerprint());
         }
@@ -78,7 +78,7 @@
 
     /// Records that the connection to a replica ended, or went silent, before the answer was
     /// complete. `answer_duration` is the time since the answer's head, or `None` if no head arrived.
-    pub(super) fn broke_at(&self, replica: &ReplicaId, answer_duration: Option<Duration>) {
+    pub(super) fn report_broken_request(&self, replica: &ReplicaId, answer_duration: Option<Duration>) {
         let broken = BrokenRequest {
             id: self.facts.id.clone(),
             fingerprint: self.fingerprint(),
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -149,7 +149,7 @@
         Ok(credit) => credit,
         Err(answer) => return *answer,
     };
-    let paid_after = credit.as_ref().map(|_| node.clock.now().since(arrival));
+    let quota_granted_after = credit.as_ref().map(|_| node.clock.now().since(arrival));
     let service = pick_backend(&route, &facts.id);
     let slot_wait = node
         .clock
@@ -166,7 +166,7 @@
         facts,
         tenant,
         credit,
-        paid_after,
+        quota_granted_after,
         route,
         service,
         configuration,
@@ -203,7 +203,7 @@
     /// The charge to the tenant's quota.
     credit: Option<Credit>,
     /// Time from arrival until the quota granted the request.
-    paid_after: Option<Duration>,
+    quota_granted_after: Option<Duration>,
     route: Arc<Route>,
     service: ServiceName,
     configuration: Arc<Configuration>,
@@ -243,15 +243,15 @@
     async fn serve(mut self) -> Answer {
         self.count_arrival();
         loop {
-            if let Some(verdict) = self.barred().await {
-                return self.turn_away(verdict);
+            if let Some(verdict) = self.blocking_verdict().await {
+                return self.refuse_suspect(verdict);
             }
             let replica = match self.next_replica().await {
                 NextReplica::Send(replica) => replica,
                 NextReplica::GiveUp(cause, retry_after) => return self.give_up(cause, retry_after),
             };
-            if let Some(verdict) = self.barred_from_sending().await {
-                return self.turn_away(verdict);
+            if let Some(verdict) = self.blocking_verdict_before_send().await {
+                return self.refuse_suspect(verdict);
             }
             if self.sends > 0 && !self.take_retry(&replica) {
                 return self.give_up("retry budget used up", Some(DEFAULT_RETRY_AFTER));
@@ -259,10 +259,10 @@
             let end = self.send(&replica, None, self.attempt_limit()).await;
             match end {
                 SendEnd::Streaming(streaming) => return self.answer_stream(*streaming),
-                SendEnd::Whole { head, body } => {
+                SendEnd::Complete { head, body } => {
                     let failed = head.status.is_server_error();
                     if !failed || !self.may_repeat_after(&replica) {
-                        return self.answer_whole(&replica, head, body);
+                        return self.answer_complete(&replica, head, body);
                     }
                 }
                 SendEnd::NotSent => self.exclude(replica),
@@ -319,7 +319,7 @@
     }
 
     /// Records the time between two chunks of the stream.
-    fn note_pause(&self, pause: Duration) {
+    fn record_pause(&self, pause: Duration) {
         self.longest_pause.set(self.longest_pause.get().max(pause));
         if self.route.pause_objective.is_some_and(|longest| pause > longest) {
             self.count_late();
@@ -364,8 +364,8 @@
         if !self.tried.contains(replica) {
             self.tried.push(replica.clone());
         }
-        let within = self.sends < (self.route.max_attempts as usize).min(MAX_SENDS);
-        self.route.is_idempotent() && within && self.now() < self.deadline
+        let has_attempts_left = self.sends < (self.route.max_attempts as usize).min(MAX_SENDS);
+        self.route.is_idempotent() && has_attempts_left && self.now() < self.deadline
     }
 
     /// Returns whether the request may be resent after a replica provably did not run it: to
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -28,7 +28,7 @@
     /// The head of an answer that can be forwarded while its body arrives.
     Streaming(Box<Streaming<P>>),
     /// A complete answer.
-    Whole { head: response::Parts, body: Bytes },
+    Complete { head: response::Parts, body: Bytes },
     /// Nothing was sent.
     NotSent,
     /// The replica provably did not run the request.
@@ -141,7 +141,7 @@
             return SendEnd::NotSent;
         }
         send.record(SendOutcome::Failure);
-        self.broke_at(&send.replica, None);
+        self.report_broken_request(&send.replica, None);
         SendEnd::Broken {
             cause: "the replica broke off",
         }
@@ -191,7 +191,7 @@
         }
         match self.node.clock.timeout_at(self.deadline, body.collect()).await {
             Ok(Ok(body)) => {
-                self.answered_whole();
+                self.record_complete_answer();
                 let failed = head.status.is_server_error();
                 if failed {
                     tracing::info!(target: "send", id = self.facts.id, replica = &**replica,
@@ -205,14 +205,14 @@
                 if self.route.is_idempotent() {
                     self.node.pool.put_back(connection, &head.headers);
                 }
-                SendEnd::Whole {
+                SendEnd::Complete {
                     head,
                     body: body.to_bytes(),
                 }
             }
             Ok(Err(_)) => {
                 send.record(SendOutcome::Failure);
-                self.broke_at(replica, Some(self.now().since(head_received_at)));
+                self.report_broken_request(replica, Some(self.now().since(head_received_at)));
                 SendEnd::Broken {
                     cause: "the answer was cut off",
                 }
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -85,7 +85,7 @@
             match end {
                 PumpEnd::Complete => {
                     current.send.record(SendOutcome::Success);
-                    self.answered_whole();
+                    self.record_complete_answer();
                     if self.route.is_idempotent() {
                         let headers = &current.head.headers;
                         self.node.pool.put_back(current.connection, headers);
@@ -144,7 +144,7 @@
                     tracing::info!(target: "send", id = self.facts.id, replica = &*streaming.send.replica,
                         outcome = "stream silent", silent_ms = self.now().since(last_event).as_millis() as u64);
                     self.node.pool.found_silent(&streaming.connection);
-                    self.stream_broke(streaming, last_event);
+                    self.report_broken_stream(streaming, last_event);
                     return PumpEnd::Silent;
                 }
                 () = self.node.clock.sleep_until(self.deadline) => return PumpEnd::OutOfTime,
@@ -152,7 +152,7 @@
             let bytes = match frame {
                 None => return self.pump_rest(cutter, sender).await,
                 Some(Err(_)) => {
-                    self.stream_broke(streaming, last_event);
+                    self.report_broken_stream(streaming, last_event);
                     return PumpEnd::Broken;
                 }
                 Some(Ok(frame)) => match frame.into_data() {
@@ -163,7 +163,7 @@
             let now = self.now();
             let pause = now.since(std::mem::replace(&mut last_event, now));
             *longest_pause = pause.max(*longest_pause);
-            self.note_pause(pause);
+            self.record_pause(pause);
             let bytes = if self.route.resumable {
                 cutter.push(&bytes)
             } else {
@@ -177,9 +177,9 @@
         }
     }
 
-    fn stream_broke(&self, streaming: &Streaming<P>, last_event: Moment) {
+    fn report_broken_stream(&self, streaming: &Streaming<P>, last_event: Moment) {
         let answer_duration = last_event.since(streaming.head_received_at);
-        self.broke_at(&streaming.send.replica, Some(answer_duration));
+        self.report_broken_request(&streaming.send.replica, Some(answer_duration));
     }
 
     pub(super) async fn pump_rest(&self, cutter: &mut EventCutter, sender: &StreamSender) -> PumpEnd {
@@ -245,7 +245,7 @@
             let NextReplica::Send(replica) = self.next_replica().await else {
                 break;
             };
-            if self.barred_from_sending().await.is_some() || !self.take_retry(&replica) {
+            if self.blocking_verdict_before_send().await.is_some() || !self.take_retry(&replica) {
                 break;
             }
             drop(earlier.take());
