--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -256,7 +256,7 @@
             if self.sends > 0 && !self.take_retry(&replica) {
                 return self.give_up("retry budget used up", Some(DEFAULT_RETRY_AFTER));
             }
-            let end = self.send(&replica, None, self.attempt_limit()).await;
+            let end = self.send(&replica, None, self.silence_deadline()).await;
             match end {
                 SendEnd::Streaming(streaming) => return self.answer_stream(*streaming),
                 SendEnd::Complete { head, body } => {
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -52,9 +52,10 @@
 
 impl<P: Platform> RequestRun<P> {
     /// Returns when a silent replica is abandoned for another one.
-    pub(super) fn attempt_limit(&self) -> Option<Moment> {
-        let more = self.sends + 1 < self.route.max_attempts as usize;
-        (self.route.is_idempotent() && more).then(|| self.now() + self.route.objective / SILENCE_DIVISOR)
+    pub(super) fn silence_deadline(&self) -> Option<Moment> {
+        let has_attempts_left = self.sends + 1 < self.route.max_attempts as usize;
+        (self.route.is_idempotent() && has_attempts_left)
+            .then(|| self.now() + self.route.objective / SILENCE_DIVISOR)
     }
 
     /// Sends the request to a replica and classifies the answer by its head.
@@ -62,7 +63,7 @@
         &mut self,
         replica: &ReplicaId,
         resume_after: Option<&str>,
-        limit: Option<Moment>,
+        silence_deadline: Option<Moment>,
     ) -> SendEnd<P> {
         // Returned to the limit when dropped without a send.
         let reservation = self.reservation.take();
@@ -93,7 +94,7 @@
             // The replica signalled so in another answer after it was chosen.
             return SendEnd::NotSent;
         }
-        let request = self.engine_request(replica, resume_after);
+        let request = self.replica_request(replica, resume_after);
         self.sends += 1;
         if let Some(credit) = &self.credit {
             credit.spend();
@@ -102,7 +103,7 @@
             reservation.spend();
         }
         self.sent_after.get_or_insert(self.waited());
-        let attempt_deadline = limit.map_or(self.deadline, |limit| limit.min(self.deadline));
+        let attempt_deadline = silence_deadline.map_or(self.deadline, |limit| limit.min(self.deadline));
         let answer = match self
             .node
             .clock
@@ -114,7 +115,7 @@
                 if let Some(reservation) = reservation.filter(|_| error.nothing_sent()) {
                     reservation.unspend();
                 }
-                return self.send_failed(&send, &error);
+                return self.handle_send_error(&send, &error);
             }
             Err(_) if self.now() >= self.deadline => {
                 self.node.pool.found_silent(&connection);
@@ -130,14 +131,14 @@
         };
         send.prompt_done();
         self.answered_after = Some(self.waited());
-        self.judge_answer(replica, answer, connection, send).await
+        self.classify_answer(replica, answer, connection, send).await
     }
 
-    pub(super) fn send_failed(&mut self, send: &SendGuard<P>, error: &ExchangeError) -> SendEnd<P> {
+    pub(super) fn handle_send_error(&mut self, send: &SendGuard<P>, error: &ExchangeError) -> SendEnd<P> {
         tracing::info!(target: "send", id = self.facts.id, replica = &*send.replica, %error);
         if error.nothing_sent() {
             self.sends -= 1;
-            self.did_not_run();
+            self.refund_credit();
             return SendEnd::NotSent;
         }
         send.record(SendOutcome::Failure);
@@ -149,13 +150,13 @@
 
     /// Refunds the quota charge, as the last send did not run, unless an earlier send may have run.
     /// A later send charges it again.
-    fn did_not_run(&self) {
+    fn refund_credit(&self) {
         if let Some(credit) = self.credit.as_ref().filter(|_| !self.may_have_run) {
             credit.unspend();
         }
     }
 
-    pub(super) async fn judge_answer(
+    pub(super) async fn classify_answer(
         &mut self,
         replica: &ReplicaId,
         answer: Response<Incoming>,
@@ -165,10 +166,10 @@
         let head_received_at = self.now();
         let (head, body) = answer.into_parts();
         let facts = self.node.platform.dialect().answer_facts(&self.facts.id, &head);
-        self.take_load(&send, &facts);
-        self.hear_replica(&send, &facts);
+        self.record_load(&send, &facts);
+        self.apply_signals(&send, &facts);
         if facts.execution == Execution::NotExecuted {
-            return self.not_executed(replica, &facts, &head, &send);
+            return self.handle_not_executed(replica, &facts, &head, &send);
         }
         let usable = facts.is_ours && (!head.status.is_success() || (facts.is_signed && facts.is_plain));
         if !usable {
@@ -221,7 +222,7 @@
         }
     }
 
-    fn take_load(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
+    fn record_load(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
         if let Some(load) = facts.load {
             let is_sure = facts.is_ours && !facts.is_misdirected;
             load_updates::record_answer_load(&self.node, &send.replica, send.started_ms, load, is_sure);
@@ -229,18 +230,18 @@
     }
 
     /// Applies the signals in the replica's answer.
-    fn hear_replica(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
+    fn apply_signals(&self, send: &SendGuard<P>, facts: &AnswerFacts) {
         let call = AnsweredCall {
             started_ms: send.started_ms,
             sent_at: send.sent_at,
             answered_at: self.now(),
         };
-        let mut word = facts.word;
-        if word.limit == LimitSignal::Unlimited && (facts.is_misdirected || !facts.is_ours) {
+        let mut signals = facts.word;
+        if signals.limit == LimitSignal::Unlimited && (facts.is_misdirected || !facts.is_ours) {
             // The answer may come from another replica, or belong to another request.
-            word.limit = LimitSignal::Unspecified;
+            signals.limit = LimitSignal::Unspecified;
         }
-        replica_signals::apply(&self.node, &send.replica, call, word, &self.facts.id);
+        replica_signals::apply(&self.node, &send.replica, call, signals, &self.facts.id);
     }
 
     /// Returns whether the replica signalled that it takes no requests (for now).
@@ -249,7 +250,7 @@
         self.node.state.borrow().replicas.rejects_requests(replica, now)
     }
 
-    pub(super) fn not_executed(
+    pub(super) fn handle_not_executed(
         &self,
         replica: &ReplicaId,
         facts: &AnswerFacts,
@@ -270,14 +271,14 @@
         } else {
             send.record(SendOutcome::Failure);
         }
-        self.did_not_run();
+        self.refund_credit();
         SendEnd::NotExecuted {
             misdirected: facts.is_misdirected,
         }
     }
 
     /// Returns the request to send to a replica.
-    pub(super) fn engine_request(
+    pub(super) fn replica_request(
         &self,
         replica: &ReplicaId,
         resume_after: Option<&str>,
