--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -29,16 +29,16 @@
     Broken,
     /// Nothing arrived for a long time: the replica may be slow, or lost without a reset.
     Silent,
-    CallerGone,
+    CallerDisconnected,
     OutOfTime,
 }
 
 /// The outcome of an attempt to resume a stream at another replica.
-enum Resumed<P: Platform> {
+enum ResumeOutcome<P: Platform> {
     /// The stream continues at another replica.
-    Elsewhere(Box<Streaming<P>>),
+    Resumed(Box<Streaming<P>>),
     /// The stream could not be resumed. Contains the earlier run if that was not ended.
-    Nowhere(Option<Box<Streaming<P>>>),
+    NotResumed(Option<Box<Streaming<P>>>),
 }
 
 impl<P: Platform> RequestRun<P> {
@@ -70,12 +70,12 @@
         }
         let mut cutter = EventCutter::after(self.facts.last_event_id.clone());
         let mut current = first;
-        let mut may_leave = true;
+        let mut may_switch = true;
         loop {
             let replica = current.send.replica.clone();
             let mut longest_pause = Duration::ZERO;
             let end = self
-                .pump_one(&mut current, &mut cutter, &sender, may_leave, &mut longest_pause)
+                .pump_replica(&mut current, &mut cutter, &sender, may_switch, &mut longest_pause)
                 .await;
             self.node
                 .state
@@ -93,7 +93,7 @@
                     self.log_end(&replica, "served");
                     return;
                 }
-                PumpEnd::CallerGone => {
+                PumpEnd::CallerDisconnected => {
                     self.log_end(&replica, "caller gone");
                     return;
                 }
@@ -109,16 +109,16 @@
             current.send.record(SendOutcome::Failure);
             let earlier = (end == PumpEnd::Silent).then_some(current);
             match self.resume(&replica, &cutter, earlier).await {
-                Resumed::Elsewhere(next) => {
+                ResumeOutcome::Resumed(next) => {
                     cutter.drop_partial();
                     current = *next;
-                    may_leave = true;
+                    may_switch = true;
                 }
-                Resumed::Nowhere(Some(earlier)) => {
+                ResumeOutcome::NotResumed(Some(earlier)) => {
                     current = *earlier;
-                    may_leave = false;
+                    may_switch = false;
                 }
-                Resumed::Nowhere(None) => {
+                ResumeOutcome::NotResumed(None) => {
                     self.log_end(&replica, "stream cut off");
                     return;
                 }
@@ -126,21 +126,21 @@
         }
     }
 
-    /// Forwards what a replica sends. `may_leave` is false once no other replica could take over.
-    pub(super) async fn pump_one(
+    /// Forwards what a replica sends. `may_switch` is false once no other replica could take over.
+    pub(super) async fn pump_replica(
         &self,
         streaming: &mut Streaming<P>,
         cutter: &mut EventCutter,
         sender: &StreamSender,
-        may_leave: bool,
+        may_switch: bool,
         longest_pause: &mut Duration,
     ) -> PumpEnd {
         let mut last_event = self.now();
         loop {
             let frame = tokio::select! {
                 frame = streaming.body.frame() => frame,
-                () = sender.closed() => return PumpEnd::CallerGone,
-                () = self.silent_since(last_event), if may_leave => {
+                () = sender.closed() => return PumpEnd::CallerDisconnected,
+                () = self.wait_for_silence(last_event), if may_switch => {
                     tracing::info!(target: "send", id = self.facts.id, replica = &*streaming.send.replica,
                         outcome = "stream silent", silent_ms = self.now().since(last_event).as_millis() as u64);
                     self.node.pool.found_silent(&streaming.connection);
@@ -150,7 +150,7 @@
                 () = self.node.clock.sleep_until(self.deadline) => return PumpEnd::OutOfTime,
             };
             let bytes = match frame {
-                None => return self.pump_rest(cutter, sender).await,
+                None => return self.pump_remainder(cutter, sender).await,
                 Some(Err(_)) => {
                     self.report_broken_stream(streaming, last_event);
                     return PumpEnd::Broken;
@@ -170,7 +170,7 @@
                 Some(bytes)
             };
             if let Some(bytes) = bytes {
-                if let Err(end) = self.pass(sender, StreamPart::Bytes(bytes)).await {
+                if let Err(end) = self.forward(sender, StreamPart::Bytes(bytes)).await {
                     return end;
                 }
             }
@@ -182,14 +182,14 @@
         self.report_broken_request(&streaming.send.replica, Some(answer_duration));
     }
 
-    pub(super) async fn pump_rest(&self, cutter: &mut EventCutter, sender: &StreamSender) -> PumpEnd {
-        let rest = cutter.take_rest();
-        if !rest.is_empty() {
-            if let Err(end) = self.pass(sender, StreamPart::Bytes(rest)).await {
+    pub(super) async fn pump_remainder(&self, cutter: &mut EventCutter, sender: &StreamSender) -> PumpEnd {
+        let remainder = cutter.take_rest();
+        if !remainder.is_empty() {
+            if let Err(end) = self.forward(sender, StreamPart::Bytes(remainder)).await {
                 return end;
             }
         }
-        match self.pass(sender, StreamPart::End).await {
+        match self.forward(sender, StreamPart::End).await {
             Ok(()) => PumpEnd::Complete,
             Err(end) => end,
         }
@@ -199,33 +199,33 @@
     /// another replica. That is the latest moment at which the next holder's first event still
     /// reaches the caller before it gives up. Earlier, the replica may only be slow, and resuming
     /// elsewhere means that the prompt is read again. Never returns for other streams.
-    async fn silent_since(&self, last_event: Moment) {
+    async fn wait_for_silence(&self, last_event: Moment) {
         let patience = caller_patience(&self.route).filter(|_| self.route.resumable);
         let Some(patience) = patience else {
             return std::future::pending().await;
         };
-        let next_takes = self.first_event_after() * PROMPT_TIME_FACTOR + RESUME_TIME;
-        let caller_leaves = self.deadline.min(last_event + patience);
-        let latest = caller_leaves - next_takes;
+        let resume_takes = self.first_event_after() * PROMPT_TIME_FACTOR + RESUME_TIME;
+        let caller_gives_up = self.deadline.min(last_event + patience);
+        let latest = caller_gives_up - resume_takes;
         // A pause within the pause objective is not silence, however little time is left.
-        let bearable = self.route.pause_objective.unwrap_or(patience);
+        let tolerated_pause = self.route.pause_objective.unwrap_or(patience);
         self.node
             .clock
-            .sleep_until(latest.max(last_event + bearable))
+            .sleep_until(latest.max(last_event + tolerated_pause))
             .await;
     }
 
     /// Forwards a chunk. The deadline bounds how long a caller that stops reading, or whose
     /// connection went silent, holds up the replica.
-    async fn pass(&self, sender: &StreamSender, part: StreamPart) -> Result<(), PumpEnd> {
+    async fn forward(&self, sender: &StreamSender, chunk: StreamPart) -> Result<(), PumpEnd> {
         match self
             .node
             .clock
-            .timeout_at(self.deadline, sender.send(Ok(part)))
+            .timeout_at(self.deadline, sender.send(Ok(chunk)))
             .await
         {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(PumpEnd::CallerGone),
+            Ok(Err(_)) => Err(PumpEnd::CallerDisconnected),
             Err(_) => Err(PumpEnd::OutOfTime),
         }
     }
@@ -235,13 +235,13 @@
     /// returned.
     async fn resume(
         &mut self,
-        left: &ReplicaId,
+        previous: &ReplicaId,
         cutter: &EventCutter,
         mut earlier: Option<Streaming<P>>,
-    ) -> Resumed<P> {
+    ) -> ResumeOutcome<P> {
         let after = cutter.last_id().map(str::to_string);
-        let mut left = left.clone();
-        while self.may_repeat_after(&left) {
+        let mut previous = previous.clone();
+        while self.may_repeat_after(&previous) {
             let NextReplica::Send(replica) = self.next_replica().await else {
                 break;
             };
@@ -250,11 +250,11 @@
             }
             drop(earlier.take());
             match self.send(&replica, after.as_deref(), None).await {
-                SendEnd::Streaming(streaming) => return Resumed::Elsewhere(streaming),
+                SendEnd::Streaming(streaming) => return ResumeOutcome::Resumed(streaming),
                 SendEnd::OutOfTime => break,
-                _ => left = replica,
+                _ => previous = replica,
             }
         }
-        Resumed::Nowhere(earlier.map(Box::new))
+        ResumeOutcome::NotResumed(earlier.map(Box::new))
     }
 }
