--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -57,7 +57,7 @@
             if self.now() >= self.deadline {
                 return NextReplica::GiveUp("out of time", None);
             }
-            if let Some(refused) = self.await_place().await {
+            if let Some(refused) = self.await_slot().await {
                 return refused;
             }
             let chosen = match self.choose(&self.tried) {
@@ -83,7 +83,7 @@
             }
             match self.cooldown_decision() {
                 Some(ColdDecision::Wait) if self.node.lifecycle() != Lifecycle::Stopping => {
-                    self.wait_for_view().await;
+                    self.wait_for_view_change().await;
                     continue;
                 }
                 Some(ColdDecision::Refuse { come_back_after }) => {
@@ -102,7 +102,7 @@
                 Some(ColdDecision::Refuse { come_back_after }) => {
                     return NextReplica::GiveUp("model not loaded", Some(come_back_after));
                 }
-                Some(ColdDecision::Wait) => self.wait_for_view().await,
+                Some(ColdDecision::Wait) => self.wait_for_view_change().await,
             }
         }
     }
@@ -273,8 +273,8 @@
 
     /// Returns the time from arrival until the caller or the route ends the request.
     pub(super) fn patience(&self) -> Duration {
-        let whole = self.deadline.since(self.arrival);
-        caller_patience(&self.route).map_or(whole, |patience| patience.min(whole))
+        let total = self.deadline.since(self.arrival);
+        caller_patience(&self.route).map_or(total, |patience| patience.min(total))
     }
 
     /// Returns the time after which a refused caller should find the model loaded.
@@ -296,15 +296,15 @@
             .tell_orderers(&ToOrderer::Waiting(WireModel::from_key(key)));
     }
 
-    pub(super) async fn wait_for_view(&self) {
-        let longest = self.now() + MAX_CHECK_INTERVAL;
+    pub(super) async fn wait_for_view_change(&self) {
+        let latest = self.now() + MAX_CHECK_INTERVAL;
         let wake = async {
             tokio::select! {
                 () = self.node.view_changed.notified() => {}
                 () = self.node.stop_requested.notified() => {}
             }
         };
-        let _ = self.node.clock.timeout_at(longest.min(self.deadline), wake).await;
+        let _ = self.node.clock.timeout_at(latest.min(self.deadline), wake).await;
     }
 
     pub(super) fn first_event_after(&self) -> Duration {
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -42,7 +42,7 @@
         self.node.state.borrow().waiting_requests.is_next(self.id)
     }
 
-    fn let_in(self) {
+    fn admit(self) {
         self.node.state.borrow_mut().waiting_requests.admit(self.id);
     }
 }
@@ -58,12 +58,12 @@
     /// Waits until the request may be sent to one of its holders. It is sent at once if one
     /// has a free slot or nothing is known about their slots. Returns how the request ends if it
     /// may not be sent.
-    pub(super) async fn await_place(&mut self) -> Option<NextReplica> {
+    pub(super) async fn await_slot(&mut self) -> Option<NextReplica> {
         let key = self.model_key()?;
         let mut ticket: Option<WaitTicket<P>> = None;
         loop {
-            let free_capacity = self.free_capacity()?;
-            if free_capacity.free_candidates > 0 && self.is_turn_of(ticket.as_ref(), &key) {
+            let free_capacity = self.holder_capacity()?;
+            if free_capacity.free_candidates > 0 && self.is_next_for_model(ticket.as_ref(), &key) {
                 self.end_wait(ticket, "a place is free");
                 return None;
             }
@@ -90,7 +90,7 @@
             if !waiting.is_waiting() {
                 return self.refuse_full("more urgent requests wait", self.starts_in(&free_capacity));
             }
-            self.wait_for_room().await;
+            self.wait_for_capacity().await;
             if self.now() >= self.deadline {
                 return Some(NextReplica::GiveUp("out of time", None));
             }
@@ -99,7 +99,7 @@
 
     /// Returns what is known about the slots of the request's holders. Returns `None` if nothing
     /// is, or if the request's answer has started already and is only resumed.
-    fn free_capacity(&self) -> Option<FreeCapacity> {
+    fn holder_capacity(&self) -> Option<FreeCapacity> {
         if self.answered_after.is_some() {
             return None;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether no other request of this node is ahead of this one for its model.
-    fn is_turn_of(&self, ticket: Option<&WaitTicket<P>>, key: &ModelKey) -> bool {
+    fn is_next_for_model(&self, ticket: Option<&WaitTicket<P>>, key: &ModelKey) -> bool {
         match ticket {
             Some(ticket) => ticket.is_next(),
             None => !self.node.state.borrow().waiting_requests.waits_for(&key.base()),
@@ -158,7 +158,7 @@
 
     fn end_wait(&self, ticket: Option<WaitTicket<P>>, outcome: &'static str) {
         let Some(ticket) = ticket else { return };
-        ticket.let_in();
+        ticket.admit();
         Metrics::count(&self.node.metrics.full_holders, "wait", outcome);
         tracing::info!(target: "full", id = self.facts.id, outcome, waited_ms = self.waited().as_millis() as u64);
     }
@@ -178,8 +178,8 @@
             objective_ms = request.objective.as_millis() as u64, patience_ms = request.patience.as_millis() as u64);
     }
 
-    async fn wait_for_room(&self) {
-        let longest = (self.now() + MAX_CHECK_INTERVAL).min(self.deadline);
+    async fn wait_for_capacity(&self) {
+        let latest = (self.now() + MAX_CHECK_INTERVAL).min(self.deadline);
         let wake = async {
             tokio::select! {
                 () = self.node.room_changed.notified() => {}
@@ -188,6 +188,6 @@
             }
         };
         // A timeout is expected: the caller checks the holders either way.
-        let _ = self.node.clock.timeout_at(longest, wake).await;
+        let _ = self.node.clock.timeout_at(latest, wake).await;
     }
 }
--- a/crates/croftrill-node/src/request/limited.rs
+++ b/crates/croftrill-node/src/request/limited.rs
@@ -112,7 +112,7 @@
             return;
         };
         while self.now() < reservation_at.min(self.deadline) && self.choose(&self.tried).is_none() {
-            self.wait_for_view().await;
+            self.wait_for_view_change().await;
         }
         self.rate_limited.clear();
     }
