--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -48,7 +48,8 @@
     if tenants.is_empty() {
         return Ok(None);
     }
-    let holder = shown_key(headers, scheme).and_then(|key| tenants.find_by_key(key).ok_or(Denied::Unknown));
+    let holder =
+        presented_key(headers, scheme).and_then(|key| tenants.find_by_key(key).ok_or(Denied::Unknown));
     match holder {
         Ok(tenant) => Ok(Some(tenant.name.clone())),
         Err(_) if route.public => Ok(None),
@@ -57,7 +58,7 @@
 }
 
 /// Returns the key in a request's headers.
-fn shown_key<'a>(headers: &'a HeaderMap, scheme: &str) -> Result<&'a [u8], Denied> {
+fn presented_key<'a>(headers: &'a HeaderMap, scheme: &str) -> Result<&'a [u8], Denied> {
     let mut values = headers.get_all(header::AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
         let is_given = headers.contains_key(header::AUTHORIZATION);
@@ -68,10 +69,10 @@
         });
     };
     let bytes = value.as_bytes().trim_ascii();
-    let (word, rest) = bytes.split_at(bytes.len().min(scheme.len()));
+    let (given_scheme, rest) = bytes.split_at(bytes.len().min(scheme.len()));
     let key = rest.trim_ascii_start();
-    let is_apart = key.len() < rest.len();
-    let is_readable = word.eq_ignore_ascii_case(scheme.as_bytes()) && is_apart && !key.is_empty();
+    let is_separated = key.len() < rest.len();
+    let is_readable = given_scheme.eq_ignore_ascii_case(scheme.as_bytes()) && is_separated && !key.is_empty();
     if !is_readable || key.len() > MAX_KEY_BYTES {
         return Err(Denied::Unreadable);
     }
@@ -107,11 +108,11 @@
     now: Moment,
     deadline: Moment,
 ) -> ReservationWait {
-    let reading = first_event_after(facts) * PROMPT_TIME_FACTOR;
+    let reading_time = first_event_after(facts) * PROMPT_TIME_FACTOR;
     let max_ahead = configuration
         .ahead_limits
         .max_ahead(route.priority, route.objective);
-    let patience = patience(route.objective, reading).min(deadline.since(now));
+    let patience = patience(route.objective, reading_time).min(deadline.since(now));
     ReservationWait::new(now, patience, max_ahead)
 }
 
@@ -132,11 +133,11 @@
     node: &Node<P>,
     facts: &RequestFacts,
     tenant: &str,
-    asked_at: Moment,
+    requested_at: Moment,
 ) -> Answer {
     Metrics::count(&node.metrics.denied, "quota", "stopping");
     tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "the node is stopping", tenant,
-        waited_ms = node.clock.now().since(asked_at).as_millis() as u64);
+        waited_ms = node.clock.now().since(requested_at).as_millis() as u64);
     let cause = "the node is stopping";
     refuse(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -163,26 +164,27 @@
         return Ok(None);
     };
     let clock = &node.clock;
-    let asked_at = clock.now();
-    let wait = reservation_wait(facts, configuration, route, asked_at, deadline);
-    let mut ask = QuotaAsk {
+    let requested_at = clock.now();
+    let wait = reservation_wait(facts, configuration, route, requested_at, deadline);
+    let mut request = QuotaAsk {
         tenant: &tenant.name,
         quota,
         version: configuration.version,
         want: QuotaRequest {
             cost: quota.unit.cost(facts.metered_tokens),
-            patience: wait.ahead(asked_at),
+            patience: wait.ahead(requested_at),
             is_urgent: configuration.tenants.is_most_urgent(route.priority),
         },
     };
-    let mut verdict = node.quotas.ask(ask, deadline).await;
-    let mut place = None;
+    let mut verdict = node.quotas.ask(request, deadline).await;
+    let mut waiting_slot = None;
     while let QuotaVerdict::Beyond { retry_after, .. } = verdict {
         let Some(pause) = wait.pause(retry_after, clock.now()) else {
             break;
         };
-        place = place.or_else(|| node.quotas.wait_slot(&tenant.name, &node.metrics.quota_waiting));
-        if place.is_none() {
+        waiting_slot =
+            waiting_slot.or_else(|| node.quotas.wait_slot(&tenant.name, &node.metrics.quota_waiting));
+        if waiting_slot.is_none() {
             break;
         }
         if !sleep_unless_stopping(node, deadline.min(clock.now() + pause)).await {
@@ -190,13 +192,13 @@
                 node,
                 facts,
                 &tenant.name,
-                asked_at,
+                requested_at,
             )));
         }
-        ask.want.patience = wait.ahead(clock.now());
-        verdict = node.quotas.ask(ask, deadline).await;
+        request.want.patience = wait.ahead(clock.now());
+        verdict = node.quotas.ask(request, deadline).await;
     }
-    drop(place);
+    drop(waiting_slot);
     match verdict {
         QuotaVerdict::Granted(credit, after) => {
             clock.sleep_until(deadline.min(clock.now() + after)).await;
@@ -205,8 +207,8 @@
         QuotaVerdict::Beyond { retry_after, balance } => {
             Metrics::count(&node.metrics.denied, "quota", "beyond");
             tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "beyond the quota",
-                tenant = &*tenant.name, cost = ask.want.cost, balance = balance as i64, is_urgent = ask.want.is_urgent,
-                ahead_ms = ask.want.patience.as_millis() as u64, waited_ms = clock.now().since(asked_at).as_millis() as u64,
+                tenant = &*tenant.name, cost = request.want.cost, balance = balance as i64, is_urgent = request.want.is_urgent,
+                ahead_ms = request.want.patience.as_millis() as u64, waited_ms = clock.now().since(requested_at).as_millis() as u64,
                 rate_per_s = quota.rate_per_s as u64, burst = quota.burst as u64,
                 again_after_ms = retry_after.as_millis() as u64, version = configuration.version);
             let cause = "beyond the tenant's quota";
@@ -219,7 +221,7 @@
         QuotaVerdict::Unreachable => {
             Metrics::count(&node.metrics.denied, "quota", "no keeper");
             tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "no keeper in reach",
-                tenant = &*tenant.name, cost = ask.want.cost, version = configuration.version);
+                tenant = &*tenant.name, cost = request.want.cost, version = configuration.version);
             let cause = "the tenant's quota cannot be asked for";
             Err(Box::new(refuse(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/croftrill-node/src/request/answers.rs
+++ b/crates/croftrill-node/src/request/answers.rs
@@ -9,7 +9,7 @@
 use http::header::{self, HeaderValue};
 use http::{response, Method, Response, StatusCode};
 
-use super::forwarding::end_to_end;
+use super::forwarding::end_to_end_headers;
 use super::{Answer, RequestRun, DEFAULT_RETRY_AFTER};
 use crate::metrics::Metrics;
 use crate::ports::Platform;
@@ -23,7 +23,7 @@
         mut head: response::Parts,
         body: Bytes,
     ) -> Answer {
-        head.headers = end_to_end(&head.headers);
+        head.headers = end_to_end_headers(&head.headers);
         if self.head.method != Method::HEAD {
             head.headers.remove(header::CONTENT_LENGTH);
         }
--- a/crates/croftrill-node/src/request/forwarding.rs
+++ b/crates/croftrill-node/src/request/forwarding.rs
@@ -30,12 +30,12 @@
         .iter()
         .map(|backend| u64::from(backend.weight))
         .sum();
-    let mut place = xxh3_64(id.as_bytes()) % total.max(1);
+    let mut position = xxh3_64(id.as_bytes()) % total.max(1);
     for backend in &route.backends {
-        if place < u64::from(backend.weight) {
+        if position < u64::from(backend.weight) {
             return backend.service.clone();
         }
-        place -= u64::from(backend.weight);
+        position -= u64::from(backend.weight);
     }
     route
         .backends
@@ -48,19 +48,19 @@
 pub(super) async fn read_body(
     body: Incoming,
     head: &request::Parts,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Bytes, StatusCode> {
-    let told = head
+    let content_length = head
         .headers
         .get(header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok());
-    if told
+    if content_length
         .and_then(|value| value.parse::<usize>().ok())
-        .is_some_and(|length| length > most)
+        .is_some_and(|length| length > max_bytes)
     {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    match Limited::new(body, most).collect().await {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
         Err(_) => Err(StatusCode::BAD_REQUEST),
@@ -85,7 +85,7 @@
 ];
 
 /// Returns the headers without those that concern only this connection.
-pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(super) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = headers.clone();
     let named = headers.get_all(header::CONNECTION);
     for name in named
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -10,7 +10,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-use super::forwarding::{end_to_end, origin_form};
+use super::forwarding::{end_to_end_headers, origin_form};
 use super::guards::SendGuard;
 use super::RequestRun;
 use crate::connection::{Connection, ExchangeError};
@@ -286,7 +286,7 @@
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = origin_form(&self.head.uri);
-        let mut headers = end_to_end(&self.head.headers);
+        let mut headers = end_to_end_headers(&self.head.headers);
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(header::EXPECT);
         let forwarding = Forwarding {
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 
 use super::cold::NextReplica;
-use super::forwarding::end_to_end;
+use super::forwarding::end_to_end_headers;
 use super::sending::{SendEnd, Streaming};
 use super::{Answer, RequestRun};
 use crate::ports::Platform;
@@ -47,7 +47,7 @@
         let (sender, body) = AnswerBody::stream();
         let mut answer = Response::new(body);
         *answer.status_mut() = streaming.head.status;
-        *answer.headers_mut() = end_to_end(&streaming.head.headers);
+        *answer.headers_mut() = end_to_end_headers(&streaming.head.headers);
         if self.route.resumable {
             // The length may change if the stream is resumed at another replica.
             answer.headers_mut().remove(header::CONTENT_LENGTH);
