--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -7,8 +7,8 @@
 //! - [`guards`]: resources that a request holds.
 //! - [`cold`]: waits for models that are not loaded.
 //! - [`full`]: waits for free slots at replicas.
-//! - [`resting`]: waits for replicas in cooldown.
-//! - [`limited`]: reservations at replicas that announced a rate limit.
+//! - [`cooldown`]: waits for replicas in cooldown.
+//! - [`replica_limits`]: reservations at replicas that announced a rate limit.
 //! - [`sending`]: one send to a replica.
 //! - [`streaming`]: event streams.
 //! - [`answers`]: final answers.
@@ -22,13 +22,13 @@
 mod access;
 mod answers;
 mod cold;
+mod cooldown;
 mod crashing;
 mod fingerprint;
 mod forwarding;
 mod full;
 mod guards;
-mod limited;
-mod resting;
+mod replica_limits;
 mod sending;
 mod streaming;
 
@@ -52,7 +52,7 @@
 use self::cold::NextReplica;
 use self::forwarding::{find_route, pick_backend, read_body};
 use self::guards::{acquire_slot, InFlightGuard, ServiceSlot};
-use self::limited::RateLimitedReplica;
+use self::replica_limits::RateLimitedReplica;
 use self::sending::SendEnd;
 use crate::crash_trial::Trial;
 use crate::metrics::Metrics;
