--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -21,7 +21,7 @@
 /// Expected time from the request for an adapter until it is loaded.
 const ADAPTER_READY_IN: Duration = Duration::from_millis(120);
 /// Expected time until the orderer publishes what a newly listed replica holds. That arrives over
-/// another link than the listing, within milliseconds; an adapter's time is a safe estimate.
+/// another link than the listing, within milliseconds; the estimate is the same as for an adapter.
 const PLACEMENT_UPDATE_IN: Duration = ADAPTER_READY_IN;
 /// Expected time from the first reminder about a model to the order to load it.
 const ORDER_DELAY: Duration = Duration::from_millis(350);
--- a/crates/croftrill-node/src/request/cooldown.rs
+++ b/crates/croftrill-node/src/request/cooldown.rs
@@ -31,7 +31,7 @@
         Some(decide_in_cooldown(&request, self.rank(), self.uniform_sample()))
     }
 
-    /// Returns the earliest end of the replicas' cooldowns, if cooldowns are what blocks the request.
+    /// Returns the earliest end of the replicas' cooldowns, if those are what blocks the request.
     fn cooldown_end(&self) -> Option<Moment> {
         let now = self.now();
         let state = self.node.state.borrow();
@@ -69,7 +69,7 @@
         !self.is_rejected_by(replica)
     }
 
-    /// Returns the time until the request may be resent to the replica, or `None` if that is leaving.
+    /// Returns the time until the request may be resent to the replica, or `None` if it is leaving.
     fn resend_delay(&self, replica: &ReplicaId) -> Option<Duration> {
         let now = self.now();
         let state = self.node.state.borrow();
@@ -105,8 +105,8 @@
         xxh3_64(self.facts.id.as_bytes()) as f64 / u64::MAX as f64
     }
 
-    /// Counts the request, once, as one that the holders of its model could not serve in time, which
-    /// is demand for another holder.
+    /// Counts the request, once, as one that the holders of its model could not serve in time. The
+    /// count is demand for another holder.
     pub(super) fn count_rejected(&self) {
         if self.counted_late.replace(true) {
             return;
--- a/crates/croftrill-node/src/request/crashing.rs
+++ b/crates/croftrill-node/src/request/crashing.rs
@@ -26,8 +26,8 @@
     }
 
     /// Returns the verdict that keeps the request from being sent now, if replicas ended under it.
-    /// From the second replica tried on, first waits until it is known whether the last one has
-    /// ended. The first one is not waited for, as a single end blocks nothing.
+    /// Once two replicas were tried, first waits until it is known whether the last one has ended.
+    /// After the first replica there is no wait, as a single end blocks nothing.
     pub(super) async fn blocking_verdict(&self) -> Option<Verdict> {
         if let [_, .., last] = self.tried.as_slice() {
             crash_watch::wait_until_checked(&self.node, last).await;
@@ -45,9 +45,10 @@
         crash_reports::verdict(&self.node, self.fingerprint())
     }
 
-    /// Returns the verdict that keeps the request from being sent at this moment. Checked again
-    /// after a wait: crashes may have been reported meanwhile, and other copies of the request may
-    /// have waited as well. Only one copy of a suspect runs at a time.
+    /// Returns the verdict that keeps the request from being sent at this moment. A second check is
+    /// needed after the wait for a replica: crashes may have been reported meanwhile, and other
+    /// copies of the request may have waited as well. Takes the trial of a suspect of which only
+    /// one copy may run at a time.
     pub(super) async fn blocking_verdict_before_send(&mut self) -> Option<Verdict> {
         if let Some(verdict) = self.blocking_verdict().await {
             return Some(verdict);
@@ -59,7 +60,7 @@
         match crash_trial::acquire(&self.node, self.fingerprint()).await {
             TrialOutcome::Acquired(trial) => self.trial = Some(trial),
             TrialOutcome::Busy => return Some(verdict),
-            // The request may be harmless, which cannot be found out without the store.
+            // The request may be harmless, and without the store no node can find out.
             TrialOutcome::StoreUnavailable => {}
         }
         None
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -55,9 +55,9 @@
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Waits until the request may be sent to one of its holders. It is sent at once if one
-    /// has a free slot or nothing is known about their slots. Returns how the request ends if it
-    /// may not be sent.
+    /// Waits until the request may be sent to one of its holders. It may be sent at once if one has
+    /// a free slot or nothing is known about their slots. Returns how the request ends if it may
+    /// not be sent.
     pub(super) async fn await_slot(&mut self) -> Option<NextReplica> {
         let key = self.model_key()?;
         let mut ticket: Option<WaitTicket<P>> = None;
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -359,7 +359,7 @@
         self.tried.push(replica);
     }
 
-    /// Returns whether the request may be sent to another replica after it may have run at this one.
+    /// Returns whether the request, which may have run at this replica, may be sent to another one.
     fn may_repeat_after(&mut self, replica: &ReplicaId) -> bool {
         if !self.tried.contains(replica) {
             self.tried.push(replica.clone());
--- a/crates/croftrill-node/src/request/replica_limits.rs
+++ b/crates/croftrill-node/src/request/replica_limits.rs
@@ -76,9 +76,9 @@
     }
 
     /// Decides what to do while the rate limits of all replicas that could take the request leave
-    /// no reservation. Returns `None` if rate limits are not the cause. The time of the next
+    /// no reservation. Returns `None` if rate limits are not the cause. The expected time of the
     /// reservation accounts for the calls of all nodes, so a request that would then be in time
-    /// waits, but only once. If that wait was in vain, it is refused.
+    /// waits, but only once. After a wait in vain it is refused.
     pub(super) fn reservation_decision(&self) -> Option<ColdDecision> {
         let reservation_at = self.rate_limited.iter().map(|limited| limited.retry_at).min()?;
         let arrival = self.model_key().and_then(|key| {
@@ -105,7 +105,7 @@
         Some(decision)
     }
 
-    /// Waits until the request may request another reservation.
+    /// Waits until another reservation may be requested.
     pub(super) async fn wait_for_reservation(&mut self) {
         self.reservation_waits += 1;
         let Some(reservation_at) = self.rate_limited.iter().map(|limited| limited.retry_at).min() else {
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -42,7 +42,7 @@
 }
 
 impl<P: Platform> RequestRun<P> {
-    /// Answers with a stream, which a separate task forwards.
+    /// Returns the answer with a stream as its body, which a separate task forwards.
     pub(super) fn answer_stream(mut self, streaming: Streaming<P>) -> Answer {
         let (sender, body) = AnswerBody::stream();
         let mut answer = Response::new(body);
