--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -196,7 +196,7 @@
                 let failed = head.status.is_server_error();
                 if failed {
                     tracing::info!(target: "send", id = self.facts.id, replica = &**replica,
-                        status = head.status.as_u16(), outcome = "server error", sends = self.sends);
+                        status = head.status.as_u16(), outcome = "failed there", sends = self.sends);
                 }
                 send.record(if failed {
                     SendOutcome::Failure
