--- a/crates/croftrill-node/src/request/replica_limits.rs
+++ b/crates/croftrill-node/src/request/replica_limits.rs
@@ -52,7 +52,7 @@
                 true
             }
             LimitVerdict::Refused { retry_after } => {
-                let limit_age = self.now().since(decision.limit.heard_at);
+                let limit_age = self.now().since(decision.limit.received_at);
                 tracing::info!(target: "limit", id = self.facts.id, replica = &**replica, outcome = "refused",
                     limit_per_s = decision.limit.rate.per_s(), heard_ms_ago = limit_age.as_millis() as u64,
                     is_urgent = limit_request.is_urgent, patience_ms = limit_request.patience.as_millis() as u64,
