--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -1,4 +1,4 @@
-//! A follower's side of its link to a relay.
+//! Links a follower to a relay and applies the relay's messages.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -24,23 +24,22 @@
 use crate::ports::Platform;
 use crate::wire::decode;
 
-/// Longest time between two looks at whether there is a relay to follow.
+/// Maximum time between two checks for a relay to follow.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// Time for which a relay that failed is passed over while there are others.
+/// Time for which a failed relay is not tried again while there are others.
 const FAILED_RELAY_RESTS: Duration = Duration::from_secs(3);
-/// Longest time at a relay that hears neither orderers nor the store: about the
-/// time for which its news are believed.
+/// Maximum time to follow a relay that receives updates from neither orderers nor the
+/// store: about the time for which its updates are trusted.
 const LONGEST_USELESS: Duration = Duration::from_millis(1300);
-/// Longest time at a relay that has no view to pass on yet: twice what a relay needs
-/// to read one of ten thousand replicas as many others do (5 MB each, 45 of them over
+/// Maximum time to wait at a relay that has no view to publish yet. This is twice the time
+/// in which 45 relays read a view of ten thousand replicas at once (5 MB each over
 /// 1,000 Mbit/s: 1.8 s).
 const LONGEST_PREPARING: Duration = Duration::from_secs(4);
-/// Time between two looks at what requests do not ask for any more.
+/// Time between two checks for interests that are no longer used.
 const EXPIRE_EVERY: Duration = Duration::from_secs(10);
 
-/// Follows a relay of the zone whenever there is one, until the process ends.
-/// While none can be reached, a node that can know all replicas links to the orderers
-/// itself.
+/// Follows a relay of the zone whenever there is one, until the process ends. While none
+/// is reachable, a node that may know all replicas is linked to the orderers directly.
 pub async fn follow_relays<P: Platform>(node: Rc<Node<P>>, mut outgoing: mpsc::Receiver<ToOrderer>) {
     let mut failed: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
@@ -49,7 +48,7 @@
         let relay = relays.iter().find(|address| !failed.contains_key(address));
         let Some(address) = relay.copied() else {
             leave_relays(&node);
-            // They are for whomever the node is linked to.
+            // The messages are meant only for a peer that the node is linked to.
             while outgoing.try_recv().is_ok() {}
             let looked = sleep(LOOK_EVERY);
             tokio::select! {
@@ -58,7 +57,7 @@
                 () = node.view_changed.notified(), if relays.is_empty() => {}
             }
             if !relays.is_empty() {
-                // All of them failed: each may be back.
+                // All relays failed, so none is preferred: each may be reachable again.
                 failed.clear();
             }
             continue;
@@ -70,7 +69,8 @@
     }
 }
 
-/// There is no relay to follow, or none can be reached.
+/// Sets the uplink for a node that has no relay to follow, or whose relays are all
+/// unreachable.
 fn leave_relays<P: Platform>(node: &Node<P>) {
     let uplink = uplink_without_relay(node);
     let former = std::mem::replace(&mut node.state.borrow_mut().tree.uplink, uplink);
@@ -85,9 +85,10 @@
     node.relay_changed.notify_waiters();
 }
 
-/// The orderers' own links tell everything: to whoever belongs there, and in a fleet of
-/// few replicas to anybody. In a large one its relays' followers would fill the orderers'
-/// links; they go on with what they know.
+/// Returns the uplink of a node without a relay. Orderers publish all replicas over their
+/// direct links. Nodes that are not followers use these links, and in a fleet of few
+/// replicas all nodes may. In a large fleet the followers would saturate the orderers'
+/// links, so they continue with the replicas that they know.
 fn uplink_without_relay<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
     let is_below = matches!(place_of(node, &state.members), TreeRole::Follower(_));
@@ -99,24 +100,25 @@
     }
 }
 
-/// True while the relay hears an orderer, or passes on what the store tells it.
+/// Returns true while the relay is linked to an orderer or publishes the store's changes.
 fn is_useful<P: Platform>(node: &Node<P>) -> bool {
     let now = node.clock.now();
     let state = node.state.borrow();
     state.linked.contains(&true) || state.directory.trusts_relay(now)
 }
 
-/// What a link to a relay has told so far.
+/// The state of a link to a relay.
 struct Followed {
     delay: LinkDelay,
     whole: WholeInParts,
-    /// True once the relay had a view to pass on.
+    /// True once the relay has had a view to publish.
     has_begun: bool,
-    /// True once it told of an older view than this node's.
+    /// True once the relay published replicas of an older view than this node's.
     lags_behind: bool,
 }
 
-/// Listens to a relay until it falls silent or hears nothing itself.
+/// Follows a relay until the link ends, the relay receives no updates itself, or this node
+/// must not follow it any more.
 async fn listen_to<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
@@ -137,8 +139,9 @@
     let mut next_expiry = Instant::now() + EXPIRE_EVERY;
     while !node.gives_orders() && !node.state.borrow().tree.is_called_upon {
         if node.state.borrow().tree.exceeds_told {
-            // Begun anew, the relay tells all that this node must know, and the rest is
-            // forgotten. What it says until then counts on less than this node knows.
+            // On a new link, the relay publishes all replicas that this node must know, and
+            // the node forgets the others. The relay's messages on the current link assume
+            // that this node knows fewer replicas than it does.
             return Err(io::Error::other(
                 "the node knows replicas that the relay does not tell of",
             ));
@@ -167,8 +170,9 @@
                     link.send(Bytes::from(reply.serialize_bin())).await?;
                 }
                 if followed.lags_behind {
-                    // What it passed over is told to nobody. Begun anew, the relay waits
-                    // until it has caught up, and tells all that this node must know.
+                    // The changes that this node rejected would not be sent again. On a new
+                    // link, the relay waits until it has caught up, and then publishes all
+                    // replicas that this node must know.
                     return Err(io::Error::other("the relay lags behind"));
                 }
             }
@@ -178,7 +182,7 @@
                     link.send(message).await?;
                 }
             }
-            // This node may have become an orderer, or be called upon as a relay.
+            // This node may have become an orderer, or another node tried to follow it.
             () = node.relay_changed.notified() => {}
         }
     }
@@ -197,7 +201,7 @@
     })
 }
 
-/// Tells the relay what requests have not asked for for long.
+/// Drops the interests that requests have not used for long, and sends them to the relay.
 async fn forget_unused<P: Platform>(node: &Node<P>, link: &mut PeerLink) -> io::Result<()> {
     let now = node.clock.now();
     let unused = node.state.borrow_mut().tree.wants.expire(now);
@@ -209,7 +213,7 @@
     link.send(Bytes::from(message)).await
 }
 
-/// Takes a relay's message; answers what it should be asked.
+/// Handles a message of a relay and returns the reply to it, if any.
 fn take_message<P: Platform>(
     node: &Node<P>,
     relay: SocketAddr,
@@ -234,8 +238,8 @@
     None
 }
 
-/// The relay said which shards' orderers it hears. From now on the node's own
-/// links to the orderers are not needed.
+/// Records the shards whose orderers the relay is linked to. From now on the node does not
+/// need its own links to the orderers.
 fn take_linked<P: Platform>(node: &Node<P>, relay: SocketAddr, linked: &[bool]) {
     let hears = |shard: Shard| linked.get(shard.index()).copied().unwrap_or(false);
     let uplink = Uplink::Relay(relay);
@@ -248,7 +252,7 @@
     }
 }
 
-/// The relay said how much of the replicas it tells.
+/// Records which replicas the relay publishes.
 fn take_scope<P: Platform>(node: &Node<P>, scope: WireScope) {
     let mut state = node.state.borrow_mut();
     let is_narrow = scope == WireScope::ByInterest;
@@ -256,13 +260,12 @@
         tracing::info!(target: "peer", event = "knows some replicas from now on");
     }
     state.tree.told_scope = Some(scope);
-    // All are known again once they have been told.
+    // Reset only once all replicas have been received.
     state.tree.is_narrow |= is_narrow;
 }
 
-/// Takes in replicas that this node must know, by its interests; false if the relay lags
-/// behind what this node heard of the store by itself: changes in between would be told
-/// to nobody.
+/// Applies replicas that match this node's interests. Returns false if the relay's view is
+/// older than this node's own, as the relay would not publish the changes in between.
 fn take_replicas<P: Platform>(node: &Node<P>, told: WireReplicas) -> bool {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -1,4 +1,4 @@
-//! One follower of a relay: how much of the replicas it is told, and in which messages.
+//! Chooses what a relay publishes to one follower, and encodes the messages.
 
 use std::rc::Rc;
 
@@ -18,19 +18,19 @@
 use crate::ports::{Platform, RecordReader};
 use crate::wire::WireList;
 
-/// News for all followers of a relay. Those that know everything get it as it was
-/// encoded once.
+/// An update for all followers of a relay. It is encoded once for those that know all
+/// replicas.
 #[derive(Debug, Clone)]
 pub enum FollowerNews {
-    /// The same for everyone.
+    /// A message that is the same for all followers.
     Common(Bytes),
-    /// Changes of the store.
+    /// Changes of the store, and their encoded form.
     Directory(Rc<DirectoryNews>, Bytes),
-    /// What replicas hold: as it is told, and read once for all followers.
+    /// Placements, decoded once for all followers, and their encoded form.
     Placements(Rc<Vec<ToldPlacement>>, Bytes),
 }
 
-/// What a replica holds, in both forms.
+/// A placement and its message form.
 #[derive(Debug)]
 pub struct ToldPlacement {
     wire: WirePlacement,
@@ -46,21 +46,22 @@
     }
 }
 
-/// What a relay knows of one follower.
+/// A relay's state for one follower.
 pub(super) struct Follower {
     scope: WireScope,
     interests: FollowerInterests,
-    /// Revision that its view reached as it came.
+    /// Revision that the follower's view had reached when it connected.
     reached: u64,
     knows_all: bool,
-    /// Revision of this node's view that it was last told whole. News up to it that waited
-    /// meanwhile are part of that: it passes them over.
+    /// Revision of the view that was last published to the follower on connecting or as a
+    /// replay. Queued updates up to this revision are skipped, as that view includes them.
     told_up_to: u64,
 }
 
 impl Follower {
-    /// A follower as it comes. Up to `most_replicas_told` it is told of all replicas;
-    /// beyond, what it would never use is most of what it got.
+    /// Creates the state of a follower that connected. In a fleet of up to
+    /// `most_replicas_told` replicas all are published to it; in a larger one it would
+    /// never use most of them.
     pub(super) fn new<P: Platform>(node: &Node<P>, follow: &WireFollow) -> Self {
         let count = node.state.borrow().replicas.len();
         let scope = if count <= node.settings.most_replicas_told {
@@ -86,27 +87,30 @@
         self.scope
     }
 
-    /// True once the fleet has outgrown what this follower is told: it is to come anew.
+    /// Returns true once the fleet is too large to publish all replicas to this follower,
+    /// which must then reconnect.
     pub(super) fn is_outgrown<P: Platform>(&self, node: &Node<P>) -> bool {
         let count = node.state.borrow().replicas.len();
         self.scope == WireScope::All && count > 2 * node.settings.most_replicas_told
     }
 
-    /// True if this node's view is no older than the follower's, which must not go back.
+    /// Returns true if this node has a full view that is no older than the follower's view,
+    /// which must not move backwards.
     pub(super) fn can_begin<P: Platform>(&self, node: &Node<P>) -> bool {
         let state = node.state.borrow();
         let reached = state.directory.reached();
         reached > 0 && reached >= self.reached && !state.tree.is_narrow && state.configuration_item.is_some()
     }
 
-    /// All that it needs to go on from its own view.
+    /// Returns the messages that the follower needs to continue from its own view.
     pub(super) fn beginning<P: Platform>(&mut self, node: &Node<P>) -> Vec<Bytes> {
         let lacks_replicas = self.scope == WireScope::All && !self.knows_all;
         let after = if lacks_replicas { 0 } else { self.reached };
         self.view_since(node, after)
     }
 
-    /// The changes after a revision, or all, and the replicas.
+    /// Returns the messages with the changes after a revision, or with the full view, and
+    /// with the replicas and their placements.
     pub(super) fn view_since<P: Platform>(&mut self, node: &Node<P>, after: u64) -> Vec<Bytes> {
         self.told_up_to = node.state.borrow().directory.reached();
         if self.scope == WireScope::All {
@@ -116,14 +120,14 @@
         }
         let ids = self.interests.resync(&node.state.borrow().replicas);
         let answers: Vec<Interest> = self.interests.iter().cloned().collect();
-        // The view takes the follower on without the changes of replicas: these come first,
-        // as the link may end in between.
+        // The view advances the follower's revision without the changes of replicas. The
+        // replicas are sent first, as the link may end in between.
         let mut messages = self.replicas_messages(node, &ids, &answers, true);
         messages.extend(view_since(node, after, false));
         messages
     }
 
-    /// The follower's requests ask for more.
+    /// Adds interests of the follower and returns the messages with the matching replicas.
     pub(super) fn want<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Vec<Bytes> {
         let interests: Vec<Interest> = interests.iter().map(WireModel::to_interest).collect();
         let mut ids = Vec::new();
@@ -136,7 +140,8 @@
         self.replicas_messages(node, &ids, &interests, false)
     }
 
-    /// It has not asked for these for long.
+    /// Removes interests that the follower no longer uses, and returns the message with the
+    /// replicas that are no longer published to it.
     pub(super) fn forget<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Bytes {
         let interests: Vec<Interest> = interests.iter().map(WireModel::to_interest).collect();
         let gone = self
@@ -145,7 +150,7 @@
         FromOrderer::Forgotten(gone.iter().map(ToString::to_string).collect()).encode()
     }
 
-    /// What it must hear of some news.
+    /// Returns the messages to the follower about an update.
     pub(super) fn news<P: Platform>(&mut self, node: &Node<P>, news: &FollowerNews) -> Vec<Bytes> {
         match news {
             FollowerNews::Common(message) => vec![message.clone()],
@@ -159,7 +164,7 @@
         }
     }
 
-    /// What it must hear of replicas' loads, if anything.
+    /// Returns the message to the follower about replicas' loads, if there is one.
     pub(super) fn loads(&self, told: &FollowerLoads) -> Option<Bytes> {
         match self.scope {
             WireScope::All => Some(told.message().clone()),
@@ -252,7 +257,7 @@
         messages
     }
 
-    /// These replicas, which answer these interests.
+    /// Returns the messages with these replicas, which answer these interests.
     fn replicas_messages<P: Platform>(
         &self,
         node: &Node<P>,
@@ -289,7 +294,7 @@
     }
 }
 
-/// The replica that a change is about, if it is about one.
+/// Returns the replica that a change is about, if any.
 fn replica_of<P: Platform>(node: &Node<P>, change: &WireChange) -> Option<ReplicaId> {
     match change {
         WireChange::Replica(listing) => Some(listing.id.as_str().into()),
@@ -310,7 +315,7 @@
     replicas.collect()
 }
 
-/// How soon the models of these interests could be loaded anywhere.
+/// Returns the minimum load times over all replicas of the models of these interests.
 fn reloads<P: Platform>(node: &Node<P>, interests: &[Interest]) -> Vec<WireReload> {
     let now = node.clock.now();
     let state = node.state.borrow();
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -1,11 +1,11 @@
-//! The tree over which a large fleet hears its orderers.
+//! Distributes the orderers' updates to the nodes of a large fleet over a tree of relays.
 //!
-//! [`role`] says who relays to whom. A relay listens to every orderer, as all
-//! nodes of a small fleet do ([`crate::peer_link`]), and passes on what it hears
-//! to its followers ([`serve`]); a follower has one link, to a relay ([`follow`]).
-//! The tree has no third level: a relay serves only while it hears the orderers
-//! itself, so two nodes can never follow each other. Where the replicas are many a
-//! follower knows those that its requests ask for ([`wants`], [`follower`]).
+//! [`role`] chooses the relays. A relay is linked to every orderer, as all nodes of a
+//! small fleet are ([`crate::peer_link`]), and publishes what it receives to its
+//! followers ([`serve`]); a follower has one link, to a relay ([`follow`]). The tree has
+//! no third level: a relay serves followers only while it is linked to the orderers
+//! itself, so two nodes can never follow each other. If the fleet has many replicas, a
+//! follower knows only those that its requests may use ([`wants`], [`follower`]).
 //!
 //! [`role`]: croftrill_scheduler::relay_tree::role
 
@@ -40,60 +40,62 @@
 };
 use crate::ports::{Platform, RecordReader};
 
-/// Memory for changes that followers may ask for again, in bytes: some
+/// Memory for changes that followers may request again, in bytes: enough for some
 /// configurations and the entries of a few hundred nodes.
 const MOST_LOGGED_BYTES: usize = 512 * 1024;
-/// Bytes of one change that can be told a listener; of a larger one it is told only
-/// that there is something. Below the limit of a frame, `MOST_MESSAGE_BYTES`.
+/// Maximum size of a change that is sent to a listener in full, in bytes. For a larger
+/// change the listener only learns that it exists. The value is below the limit of a
+/// frame, `MOST_MESSAGE_BYTES`.
 pub(crate) const MOST_NEWS_BYTES: usize = 768 * 1024;
-/// Proofs that nothing changed are passed on this rarely; each is believed for
+/// Minimum time between two published proofs that nothing changed. Each is trusted for
 /// `relay_lifetime`, three times as long.
 const PROOF_EVERY: Duration = Duration::from_millis(400);
-/// One reminder that a model is waited for serves so long for all followers.
+/// Minimum time between two reminders to the orderers that requests wait for a model,
+/// on behalf of all followers.
 const REMINDER_SERVES: Duration = Duration::from_millis(200);
-/// Backlog of a slow follower before it must begin anew, in messages.
+/// Maximum backlog of a slow follower before it must reconnect, in messages.
 pub(crate) const RELAY_BACKLOG: usize = 128;
 
-/// Whom a node hears the orderers through.
+/// The peers through which a node receives the orderers' updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Uplink {
-    /// Links to the orderers themselves.
+    /// Direct links to the orderers.
     Orderers,
     /// A relay at this address.
     Relay(SocketAddr),
-    /// Nobody: its relays cannot be reached, and the orderers would have to tell it of
-    /// all replicas.
+    /// None: the node's relays are unreachable, and the orderers would have to publish
+    /// all replicas to it.
     Nobody,
 }
 
-/// What a node keeps as a part of the tree.
+/// A node's state in the relay tree.
 #[derive(Debug)]
 pub struct TreeState {
-    /// Whom it hears the orderers through.
+    /// The peers through which it receives the orderers' updates.
     pub uplink: Uplink,
-    /// What it passed on of the store's changes.
+    /// The store's changes that it has published.
     log: RelayLog<WireChange>,
-    /// When the view that the log leads to was last complete.
+    /// When the view at the end of the log was last known to be complete.
     proven_at: Moment,
-    /// When a proof was last passed on.
+    /// When a proof was last published.
     proof_passed_at: Moment,
-    /// When it last asked a peer for changes that it missed.
+    /// When the node last requested missed changes from a peer.
     replay_asked_at: Option<Moment>,
-    /// True once a peer did not know the missed changes.
+    /// True once a peer could not replay the missed changes.
     is_history_gone: bool,
-    /// When the orderers were last reminded of a model for a follower.
+    /// When the orderers were last reminded of each model on behalf of a follower.
     reminded: HashMap<WireModel, Moment>,
-    /// True while this node knows only replicas that it was told by its interests.
+    /// True while this node knows only the replicas that match its interests.
     is_narrow: bool,
-    /// How much of the replicas the relay tells over the present link, once it said so.
+    /// Which replicas the relay publishes over the current link, once it has sent that.
     told_scope: Option<WireScope>,
-    /// True once this node learned of replicas, elsewhere than over the present link, that
-    /// its relay does not count as told: it would hear of no change of theirs.
+    /// True once this node knows replicas from another source than the current link that
+    /// its relay does not publish to it: it would receive no changes of these replicas.
     exceeds_told: bool,
-    /// True once somebody came to follow this node, a relay by its own list, while it had
-    /// the present link to another.
+    /// True once another node tried to follow this one, which is a relay by its own list
+    /// of nodes, while this node was linked to another relay.
     is_called_upon: bool,
-    /// What its requests ask for.
+    /// The interests of its own requests.
     wants: Wants,
 }
 
@@ -117,24 +119,25 @@
 }
 
 impl TreeState {
-    /// True while the node knows only replicas that it was told by its interests.
+    /// Returns true while the node knows only the replicas that match its interests.
     pub fn is_narrow(&self) -> bool {
         self.is_narrow
     }
 
-    /// No relay has told anything over the present link yet.
+    /// Resets what the relay has published over the current link.
     fn reset_link(&mut self) {
         self.told_scope = None;
         self.exceeds_told = false;
         self.is_called_upon = false;
     }
 
-    /// True while this node hears of replicas only what a relay tells it by its interests.
+    /// Returns true while the relay publishes only replicas that match the node's interests.
     fn is_told_by_interests(&self) -> bool {
         self.told_scope == Some(WireScope::ByInterest)
     }
 
-    /// True if a reminder of this model should go to the orderers now.
+    /// Returns true if the orderers should be reminded of this model now, and records the
+    /// reminder.
     fn takes_reminder(&mut self, model: &WireModel, now: Moment) -> bool {
         self.reminded.retain(|_, at| now.since(*at) < REMINDER_SERVES);
         if self.reminded.contains_key(model) {
@@ -145,13 +148,13 @@
     }
 }
 
-/// True while a node hears the orderers by links of its own.
+/// Returns true while a node has its own links to the orderers.
 pub(crate) fn is_direct<P: Platform>(node: &Node<P>) -> bool {
     node.state.borrow().tree.uplink == Uplink::Orderers
 }
 
-/// Addresses of the relays that a node should follow, the first choice first;
-/// none if it belongs to the orderers' own listeners.
+/// Returns the addresses of the relays that a node may follow, in order of preference,
+/// or none if the node should be linked to the orderers directly.
 fn relays_above<P: Platform>(node: &Node<P>) -> Vec<SocketAddr> {
     let state = node.state.borrow();
     let TreeRole::Follower(relays) = place_of(node, &state.members) else {
@@ -164,15 +167,15 @@
     relays.iter().filter_map(address_of).collect()
 }
 
-/// True if other nodes hear the orderers through this one: its zone does by its own
-/// list of nodes, or somebody follows it by another list.
+/// Returns true if this node relays the orderers' updates: it is a relay by its own list
+/// of nodes, or it has followers whose lists differ.
 pub(crate) fn is_relay<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
     let is_chosen = || place_of(node, &state.members) == TreeRole::Relay;
     state.tree.uplink == Uplink::Orderers && (node.followers.receiver_count() > 0 || is_chosen())
 }
 
-/// True if this node's list of the fleet says that it belongs below relays.
+/// Returns true if this node is a follower by its own list of nodes.
 pub(crate) fn is_below_relays<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
     matches!(place_of(node, &state.members), TreeRole::Follower(_))
@@ -196,19 +199,19 @@
     relay_tree::role(own, others)
 }
 
-/// True while this node has a link to a relay.
+/// Returns true while this node is linked to a relay.
 pub(crate) fn follows_relay<P: Platform>(node: &Node<P>) -> bool {
     matches!(node.state.borrow().tree.uplink, Uplink::Relay(_))
 }
 
-/// True while this node knows only some replicas, and can learn of the others from
-/// nobody but the store.
+/// Returns true while this node knows only some replicas and can read the others only
+/// from the store.
 pub(crate) fn lacks_replicas<P: Platform>(node: &Node<P>) -> bool {
     let tree = &node.state.borrow().tree;
     tree.is_narrow && tree.uplink == Uplink::Orderers
 }
 
-/// From now on this node knows all replicas.
+/// Records that this node knows all replicas.
 pub(crate) fn knows_all_replicas<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     state.tree.is_narrow = false;
@@ -216,8 +219,8 @@
     knows_untold_replicas(node, &mut state.tree);
 }
 
-/// This node learned by itself of replicas that it did not know: if it follows a relay that
-/// tells by interests, the link to it must begin anew.
+/// Records that this node read new replicas from the store. If it follows a relay that
+/// publishes by interest, it must reconnect to the relay.
 pub(crate) fn learned_replicas<P: Platform>(node: &Node<P>) {
     knows_untold_replicas(node, &mut node.state.borrow_mut().tree);
 }
@@ -229,20 +232,20 @@
     }
 }
 
-/// News for this node's followers.
+/// Publishes an update to this node's followers, if it has any.
 fn pass_on_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> FollowerNews) {
     if node.followers.receiver_count() > 0 {
-        // It fails only once the last follower has left.
+        // Fails only after the last follower disconnected.
         let _ = node.followers.send(news());
     }
 }
 
-/// A message for each of this node's followers.
+/// Publishes the same message to all followers of this node.
 pub(crate) fn pass_on<P: Platform>(node: &Node<P>, message: Bytes) {
     pass_on_to_followers(node, || FollowerNews::Common(message));
 }
 
-/// What replicas hold, as this node tells its listeners in `message`.
+/// Publishes placements to this node's followers. `message` is their encoded form.
 pub(crate) fn pass_on_placements<P: Platform>(node: &Node<P>, placements: &[WirePlacement], message: &Bytes) {
     pass_on_to_followers(node, || {
         let now = node.clock.now();
@@ -251,7 +254,8 @@
     });
 }
 
-/// What replicas hold, as this node read it, for followers that hear of it from nobody else.
+/// Publishes placements that this node read from the store, for followers that receive
+/// them from no other node.
 pub(crate) fn pass_on_read<P: Platform>(node: &Node<P>, placements: &[Placement]) {
     let now = node.clock.now();
     let wire = placements
@@ -263,8 +267,8 @@
     }
 }
 
-/// This node's view went on by a span of the store's changes: followers are
-/// told, and it is kept for those that miss it.
+/// Publishes a span of the store's changes to the followers and logs it for those that
+/// miss it.
 pub(crate) fn pass_on_news<P: Platform>(node: &Node<P>, mut news: DirectoryNews, proven_at: Moment) {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
@@ -293,10 +297,11 @@
     }
 }
 
-/// The answer to a listener that misses the changes after a revision: these changes, or
-/// everything. `with_replicas`: false for one that is told of replicas by itself.
+/// Returns the messages for a listener that missed the changes after a revision: these
+/// changes, or the full view. `with_replicas` is false for a listener to which replicas
+/// are published separately.
 pub(crate) fn view_since<P: Platform>(node: &Node<P>, after: u64, with_replicas: bool) -> Vec<Bytes> {
-    // One without a view takes no changes as new, however far back the log reaches.
+    // A listener without a view needs the full view, however far back the log reaches.
     let logged = (after > 0).then(|| logged_since(node, after)).flatten();
     if let Some(mut news) = logged {
         if !with_replicas {
@@ -321,15 +326,15 @@
     }
 }
 
-/// What this node knows of what replicas hold, for one that listens to it: at first,
-/// and after each replay.
+/// Returns the messages with all known placements, for a listener that connected or
+/// received a replay.
 pub(crate) fn known_placements<P: Platform>(node: &Node<P>) -> Vec<Bytes> {
     let now = node.clock.now();
     let placements = node.state.borrow().replicas.placements();
     FromOrderer::encode_placements(&placements, now)
 }
 
-/// The changes after a revision, if the log reaches back to it.
+/// Returns the changes after a revision, or `None` if the log does not cover it.
 fn logged_since<P: Platform>(node: &Node<P>, after: u64) -> Option<DirectoryNews> {
     let state = node.state.borrow();
     let (reached, changes) = state.tree.log.since(after)?;
@@ -353,8 +358,9 @@
     Some(news)
 }
 
-/// The revision after which a peer should tell the changes again, if one should
-/// be asked now: one at a time, as each sends the same.
+/// Returns the revision after which a peer should replay the changes, if a replay should
+/// be requested now, and records the request. Only one replay is requested at a time, as
+/// every peer sends the same changes.
 pub(crate) fn wanted_replay<P: Platform>(node: &Node<P>, retry_after: Duration) -> Option<u64> {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
@@ -368,31 +374,31 @@
     Some(reached)
 }
 
-/// A peer does not know the missed changes: the store must be asked.
+/// Records that a peer cannot replay the missed changes, so that the store must be read.
 pub(crate) fn history_gone<P: Platform>(node: &Node<P>) {
     node.state.borrow_mut().tree.is_history_gone = true;
     node.relay_changed.notify_waiters();
 }
 
-/// True if no peer can tell what this node misses.
+/// Returns true if no peer can replay the changes that this node missed.
 pub(crate) fn is_history_gone<P: Platform>(node: &Node<P>) -> bool {
     node.state.borrow().tree.is_history_gone
 }
 
-/// This node's view is complete again.
+/// Records that this node's view is complete again.
 pub(crate) fn gap_closed<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     state.tree.is_history_gone = false;
     state.tree.replay_asked_at = None;
 }
 
-/// The message that says which shards' orderers this node hears.
+/// Returns the message with the shards whose orderers this node is linked to.
 fn linked_message<P: Platform>(node: &Node<P>) -> Bytes {
     let linked: [bool; SHARD_COUNT] = node.state.borrow().linked;
     Bytes::from(FromOrderer::Linked(linked.to_vec().into()).serialize_bin())
 }
 
-/// Followers are told which shards' orderers this node hears.
+/// Publishes to the followers the shards whose orderers this node is linked to.
 pub(crate) fn pass_on_linked<P: Platform>(node: &Node<P>) {
     pass_on(node, linked_message(node));
 }
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -1,4 +1,4 @@
-//! A relay's side of a link to one of its followers.
+//! Serves a follower over its link to a relay.
 
 use std::io;
 use std::rc::Rc;
@@ -20,14 +20,14 @@
 use crate::ports::Platform;
 use crate::wire::decode;
 
-/// Time between two looks of a relay at whether it has a view to pass on.
+/// Time between two checks of a relay for a view to publish.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
-/// Serves a follower until either side ends, or this node does not hear the
-/// orderers by itself any more.
+/// Serves a follower until either side closes the link, or this node is no longer linked
+/// to the orderers itself.
 ///
-/// A relay that has no view itself yet keeps the link: as all start together, its
-/// followers could do nothing better than to wait.
+/// A relay that has no view itself yet keeps the link open. This happens when all nodes
+/// start at the same time, and its followers have no better source then.
 pub(crate) async fn serve_follower<P: Platform>(
     node: Rc<Node<P>>,
     mut link: PeerLink,
@@ -65,7 +65,7 @@
                             node.step_times.time("news for followers", || follower.news(&node, &news))
                         }
                         (None, FollowerNews::Common(message)) => vec![message],
-                        // It is told all that is known as it begins.
+                        // The follower receives the current state when it is started.
                         (None, _) => Vec::new(),
                     };
                     if !messages.is_empty() {
@@ -73,7 +73,7 @@
                     }
                     send_all(&mut link, messages).await?;
                 }
-                // The follower fell behind: it connects anew and gets everything.
+                // The follower fell behind: it reconnects and receives everything again.
                 Err(RecvError::Lagged(_) | RecvError::Closed) => return Ok(()),
             },
             told = loads.next() => {
@@ -104,21 +104,22 @@
     Ok(())
 }
 
-/// Somebody takes this node for a relay while it follows one itself. If its own list says
-/// the same, it has to leave that one, and can be followed from then on; until somebody
-/// comes it need not, as a relay reads all that holds.
+/// Records that another node tried to follow this node while it follows a relay itself. If
+/// this node is a relay by its own list of nodes, it leaves that relay and can be followed
+/// from then on. It does so only on request, as a relay reads the whole store.
 fn called_upon<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     if place_of(node, &state.members) != TreeRole::Relay {
         return;
     }
-    tracing::info!(target: "peer", event = "leaving a relay to be one");
+    tracing::info!(target: "peer", event = "leaving the relay to become a relay");
     state.tree.is_called_upon = true;
     drop(state);
     node.relay_changed.notify_waiters();
 }
 
-/// Tells a follower all that it needs, if this node can yet.
+/// Sends a new follower all that it needs, and returns its state; `None` if this node has
+/// no suitable view yet.
 async fn begin<P: Platform>(
     node: &Node<P>,
     follow: &WireFollow,
@@ -143,7 +144,8 @@
     Ok(())
 }
 
-/// Takes a follower's message: its demand goes up with this node's own.
+/// Handles a message of a follower and returns the replies. The follower's demand is added
+/// to this node's own.
 fn take_message<P: Platform>(
     node: &Node<P>,
     follower: Option<&mut Follower>,
@@ -172,9 +174,9 @@
         ToOrderer::Forget(interests) => {
             return follower.map_or_else(Vec::new, |follower| vec![follower.forget(node, &interests)]);
         }
-        // Only a link's first message.
+        // Valid only as the first message of a link.
         ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::AskQuotas(_) => {}
-        // Taken by the link itself.
+        // Handled by the caller.
         ToOrderer::Loads(_) => {}
     }
     Vec::new()
--- a/crates/croftrill-node/src/tree/wants.rs
+++ b/crates/croftrill-node/src/tree/wants.rs
@@ -1,4 +1,5 @@
-//! What a node's own requests ask for, where its relay tells by interests.
+//! The interests of a node's own requests, by which its relay chooses the replicas that it
+//! publishes to the node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,15 +12,15 @@
 use crate::peer::{ToOrderer, WireModel};
 use crate::ports::Platform;
 
-/// Longest wait of a request for what its relay tells of the replicas that it asks for:
-/// a hundred times the usual one, within a zone.
+/// Maximum wait of a request for its relay to publish the replicas that serve it: a hundred
+/// times the usual wait within a zone.
 const LONGEST_WANT: Duration = Duration::from_millis(250);
 
-/// Time without a request after which an interest is given up: a few times what callers
-/// wait between two requests for one model, so that news of a model that is still in use
-/// need not be fetched anew, a round trip of about a millisecond in a zone.
+/// Time without a request after which an interest is dropped: a few times the pause of
+/// callers between two requests for one model. Interest in a model that is still in use
+/// thus need not be sent again, which takes a round trip of about a millisecond in a zone.
 const KEPT_FOR: Duration = Duration::from_secs(60);
-/// Time after which an interest that was not answered is told again.
+/// Time after which an interest that was not answered is sent again.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Clone, Copy)]
@@ -29,23 +30,24 @@
     is_answered: bool,
 }
 
-/// What is known of an interest.
+/// The state of an interest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WantState {
-    /// The relay told what serves it, and tells every change.
+    /// The relay has published the replicas that serve it, and publishes every change.
     Answered,
-    /// The relay is to be asked now.
+    /// A request to the relay is due.
     ToBeAsked,
-    /// Its answer is awaited.
+    /// The relay's answer is pending.
     Awaited,
 }
 
-/// A node's interests.
+/// The interests of a node.
 #[derive(Debug, Default)]
 pub struct Wants(HashMap<Interest, Want>);
 
 impl Wants {
-    /// A request asks for something.
+    /// Records that a request uses an interest, and returns the state of the interest. If a
+    /// request to the relay is due, it counts as sent.
     pub fn used(&mut self, interest: &Interest, now: Moment) -> WantState {
         let want = self.0.entry(interest.clone()).or_insert(Want {
             used_at: now,
@@ -66,19 +68,19 @@
         WantState::ToBeAsked
     }
 
-    /// The relay told what serves an interest.
+    /// Records that the relay has published the replicas that serve an interest.
     pub fn answered(&mut self, interest: &Interest) {
         if let Some(want) = self.0.get_mut(interest) {
             want.is_answered = true;
         }
     }
 
-    /// All of them.
+    /// Returns all interests.
     pub fn all(&self) -> impl Iterator<Item = &Interest> {
         self.0.keys()
     }
 
-    /// Gives up what was not asked for for long; answers it.
+    /// Removes and returns the interests that have not been used for long.
     pub fn expire(&mut self, now: Moment) -> Vec<Interest> {
         let is_over = |want: &Want| now.since(want.used_at) >= KEPT_FOR;
         let over = self.0.iter().filter(|(_, want)| is_over(want));
@@ -90,8 +92,8 @@
     }
 }
 
-/// A request asks for this: where this node knows only some replicas, it waits until
-/// those are known that serve it.
+/// Waits until this node knows the replicas that serve a request with these interests, for
+/// a limited time. Returns at once if the node knows all replicas.
 pub(crate) async fn know<P: Platform>(node: &Node<P>, interests: &[Interest]) {
     let until = node.clock.now() + LONGEST_WANT;
     let wait = async {
@@ -103,11 +105,12 @@
             changed.await;
         }
     };
-    // The relay may be away; what is known already serves meanwhile.
+    // If the relay is unreachable, the request uses the replicas that are known already.
     let _ = node.clock.timeout_at(until, wait).await;
 }
 
-/// True if nothing is to be waited for; asks the relay where that is due.
+/// Returns true if the node knows the replicas that serve these interests. Sends to the
+/// relay those interests for which a request is due.
 fn is_known<P: Platform>(node: &Node<P>, interests: &[Interest]) -> bool {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
--- a/crates/croftrill-node/src/tree/whole_view.rs
+++ b/crates/croftrill-node/src/tree/whole_view.rs
@@ -1,7 +1,7 @@
-//! All that a node knows of the store, for a listener that missed too much.
+//! Builds a full view of the store for a listener that missed too many changes.
 //!
-//! A relay's view is the store's as of the revision that it reached, so a
-//! listener may take it in place of reading everything itself.
+//! A relay's view equals the store as of the revision that it has reached, so a listener
+//! may apply it instead of reading everything itself.
 
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
@@ -12,8 +12,8 @@
 use crate::peer::{DirectoryNews, RevisedChange, WireChange, WireListing};
 use crate::ports::Platform;
 
-/// This node's view as changes from nothing, with or without the replicas; `None` if it
-/// has none itself.
+/// Returns this node's view as changes to an empty view, with or without the replicas, or
+/// `None` if this node has no full view itself.
 pub(super) fn whole_view<P: Platform>(
     node: &Node<P>,
     proven_at: Moment,
@@ -54,7 +54,7 @@
     listings.map(|listing| WireChange::Replica(WireListing::from_listing(listing)))
 }
 
-/// The nodes' reports of requests that crash replicas.
+/// Returns the nodes' reports of requests that crash replicas.
 fn crash_reports(state: &NodeState) -> impl Iterator<Item = WireChange> {
     let items = crash_reports::items(&state.crash_ledger).into_iter();
     items.map(|(key, value)| WireChange::Written {
@@ -63,7 +63,7 @@
     })
 }
 
-/// The nodes' own items, as the store holds them.
+/// Returns the nodes' own items, as the store contains them.
 fn own_items(members: &Members) -> impl Iterator<Item = WireChange> + '_ {
     members.items().map(|(key, item)| {
         let value = match &item {
