--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -1,4 +1,4 @@
-//! Waiting for a relay: what a node reads of the store meanwhile, and for how long.
+//! Waits for a relay to be trusted, and reads from the store what is needed meanwhile.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 use crate::ports::{Freshness, KeyValueStore, Platform, RecordReader};
 use crate::tree;
 
-/// Longest wait for a part of one of the cheap reads.
+/// Timeout for a page of a small read.
 const LOOK_LIMIT: Duration = Duration::from_millis(900);
-/// Time between two cheap reads while a node waits for a relay, on average.
+/// Average time between two small reads while a node waits for a relay.
 const LOOK_EVERY: Duration = Duration::from_millis(400);
-/// The same in a large fleet, where a node knows its relays from its first look. All
-/// nodes of a thousand that look every 0.4 s take 85 % of the store's link, which the
-/// relays need to read what they are waited for.
+/// Time between two small reads in a large fleet, where a node knows its relays after the
+/// first read. A thousand nodes that read every 0.4 s use 85 % of the store's link, which
+/// the relays need to read the view that the nodes wait for.
 const LARGE_FLEET_LOOK_EVERY: Duration = Duration::from_secs(2);
-/// Shortest time for which a node waits for its relays before it reads everything itself,
-/// for each node that it knows, which are those of its zone at first: 5 s of 164, as of a
-/// thousand nodes before ten thousand replicas 45 relays have read everything after 2.5 s,
-/// and all nodes together after 40; 1.5 s of 49.
+/// Minimum time for which a node waits for its relays before it reads everything itself,
+/// per node that it knows. At first it knows the nodes of its zone: it waits 5 s with 164
+/// of them and 1.5 s with 49. With a thousand nodes and ten thousand replicas, 45 relays
+/// need 2.5 s to read everything, and all nodes together would need 40 s.
 const PATIENCE_PER_NODE: Duration = Duration::from_millis(30);
-/// Time for which a node of a large fleet leaves the configuration to its relays.
+/// Time for which a node of a large fleet relies on its relays for the configuration.
 const LATE_CONFIGURATION: Duration = Duration::from_millis(4000);
 
-/// In a large fleet waits for a relay to tell all that it knows; true once one did.
+/// In a large fleet, waits for a relay to publish its full view. Returns true if one did.
 pub(super) async fn hears_view_from_relay<P: Platform>(node: &Node<P>) -> bool {
     if must_ask_store(node) || misses_little(node) {
         return false;
@@ -46,16 +46,16 @@
     relay::covers(node)
 }
 
-/// True if this node has had a view and a read of everything is no longer than a message:
-/// what it missed then must not wait for a relay that may miss the same.
+/// Returns true if this node has had a view and a read of everything is no larger than a
+/// message. Then the node does not wait for a relay that may have missed the same changes.
 fn misses_little<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
     let is_small = state.replicas.len() <= node.settings.most_replicas_told && !state.tree.is_narrow();
     state.directory.reached() > 0 && is_small
 }
 
-/// A node that has had a view, and waits for a relay to tell what it missed, reads the
-/// configuration by itself: that has a deadline.
+/// Reads the configuration if this node has had a view and waits for a relay to publish the
+/// changes that it missed, as a new configuration must arrive within a deadline.
 async fn look_for_configuration<P: Platform>(node: &Node<P>) {
     if node.state.borrow().directory.reached() == 0 {
         return;
@@ -63,19 +63,18 @@
     let key = node.platform.records().configuration_key();
     match node.store().range(key, Freshness::Latest, LOOK_LIMIT).await {
         Ok(snapshot) => view::apply_newer(node, snapshot),
-        Err(error) => tracing::warn!(target: "directory", event = "no configuration read", %error),
+        Err(error) => tracing::warn!(target: "directory", event = "reading the configuration failed", %error),
     }
 }
 
-/// True if no relay can be waited for: others depend on this node, or no relay can tell
-/// what it lacks.
+/// Returns true if this node must not wait for a relay: others depend on it, or no relay
+/// can publish what it lacks.
 pub(super) fn must_ask_store<P: Platform>(node: &Node<P>) -> bool {
     is_depended_on(node) || tree::is_history_gone(node) || tree::lacks_replicas(node)
 }
 
-/// Waits for what the relay tells to be believed (again), for as long as the
-/// store need not be watched; looks meanwhile for who could tell. An orderer and
-/// a relay wait for nobody: others depend on them.
+/// Waits until the relay is trusted, for up to `patience`, and meanwhile reads the entries
+/// of nodes that may be relays. Orderers and relays do not wait, as others depend on them.
 pub(super) async fn await_relay<P: Platform>(node: &Node<P>, patience: Duration) {
     let begun = node.clock.now();
     let until = begun + patience;
@@ -100,7 +99,8 @@
     }
 }
 
-/// Pause before a waiting node looks for peers: none in a small fleet.
+/// Returns the pause before a waiting node reads the entries of its peers: none in a small
+/// fleet.
 fn look_pause<P: Platform>(node: &Node<P>) -> Duration {
     if tree::is_below_relays(node) {
         LARGE_FLEET_LOOK_EVERY
@@ -109,10 +109,10 @@
     }
 }
 
-/// Cheap reads of what a node needs to find whom to hear: the configuration if it has
-/// none, as nobody is listed without one; then the nodes of its zone, and in a fleet
-/// without relays the orderers. In a large fleet relays tell the configuration, unless
-/// they are late. Nothing is read while a peer is heard.
+/// Performs the small reads that a node needs to find its peers: the configuration if it
+/// has none, as no node is listed without one; then the nodes of its zone, and in a fleet
+/// without relays the orderers. In a large fleet the relays publish the configuration,
+/// unless they are late. A node with a configuration and a link to an orderer reads nothing.
 async fn look_for_peers<P: Platform>(node: &Node<P>, relays_are_late: bool) {
     let has_configuration = node.configuration().is_some();
     if has_configuration && node.state.borrow().linked.contains(&true) {
@@ -120,7 +120,7 @@
     }
     let is_below = tree::is_below_relays(node);
     if is_below && tree::follows_relay(node) && !relays_are_late {
-        // It tells all of that as soon as it can.
+        // The relay publishes all of this as soon as it can.
         return;
     }
     if !has_configuration && (relays_are_late || !is_below) {
@@ -135,11 +135,11 @@
     }
 }
 
-/// Takes in what a cheap read of a prefix finds.
+/// Reads a prefix and applies the items that are new.
 async fn look_at<P: Platform>(node: &Node<P>, prefix: &str) {
     let read = node.store().range(prefix, Freshness::MayLag, LOOK_LIMIT).await;
     match read {
         Ok(snapshot) => view::apply_newer(node, snapshot),
-        Err(error) => tracing::debug!(target: "directory", event = "no peers read", prefix, %error),
+        Err(error) => tracing::debug!(target: "directory", event = "reading peers failed", prefix, %error),
     }
 }
--- a/crates/croftrill-node/src/directory/backoff.rs
+++ b/crates/croftrill-node/src/directory/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after failed calls to the store.
+//! Computes pauses and timeouts after failed calls to the store.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 
 use crate::ports::StoreError;
 
-/// Longest wait for a part of everything, at the first try.
+/// Timeout for a page of a read of everything, at the first attempt.
 const LEAST_READ_LIMIT: Duration = Duration::from_millis(900);
-/// The same after failures.
+/// Maximum timeout for a page after failures.
 const MOST_READ_LIMIT: Duration = Duration::from_secs(8);
-/// Shortest pause after a failed call.
+/// Maximum pause after the first failed call.
 const LEAST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Pauses after failed calls, longer with each, and says when the store is lost and back.
+/// Pauses after failed calls, with an exponential delay, and logs when the store becomes
+/// unreachable and reachable.
 #[derive(Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Longest wait for a part of everything: short at first, as the store may
-    /// be silent, and longer with each failure, as many nodes may read at once.
+    /// Returns the timeout for a page of a read of everything. It is short at first, as the
+    /// store may not respond, and grows with each failure, as many nodes may read at once.
     pub(super) fn read_limit(&self) -> Duration {
         (LEAST_READ_LIMIT * 2u32.pow(self.failures.min(4))).min(MOST_READ_LIMIT)
     }
 
-    /// A call succeeded.
+    /// Records a successful call.
     pub(super) fn succeeded(&mut self) {
         if self.failures > 0 {
             tracing::info!(target: "directory", event = "store is back", failures = self.failures);
@@ -35,7 +36,7 @@
         self.failures = 0;
     }
 
-    /// A call failed: waits before the next one, up to `longest`.
+    /// Records a failed call and waits before the next one, up to `longest`.
     pub(super) async fn pause(&mut self, error: &StoreError, call: &'static str, longest: Duration) {
         if self.failures == 0 {
             tracing::warn!(target: "directory", event = "store call failed", call, %error);
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -1,9 +1,10 @@
 //! Follows the store: configuration, replicas, and the nodes' own entries.
 //!
-//! The orderer watches everything and relays the changes to the other nodes
-//! ([`relay`]); a node watches by itself while no relay is believed. Configurations
-//! only move forward. When history is gone, everything is read again; when the
-//! store is away, what is known stays in force.
+//! The orderer watches all keys and relays the changes to the other nodes ([`relay`]); a
+//! node watches the store itself only while it trusts no relay. A configuration is never
+//! replaced by an older one. If the history that the node needs is no longer available,
+//! the node reads everything again; while the store is unreachable, the last known state
+//! remains in use.
 
 mod await_relay;
 mod backoff;
@@ -25,39 +26,39 @@
 use crate::ports::{Changes, Freshness, KeyValueStore, Platform, StoreError, WatchCall};
 use crate::tree;
 
-/// The prefix that is followed: all keys.
+/// The prefix that matches all keys.
 const EVERYTHING: &str = "";
-/// Time after a node's start for which it waits for a relay: many may start
-/// together, and no promise about time holds yet.
+/// Time for which a node waits for a relay after its start. Many nodes may start at the
+/// same time, and no bound on the age of a view applies yet.
 const FIRST_PATIENCE: Duration = Duration::from_millis(2500);
-/// Calls a second with which all nodes together ask a store that fails: few
-/// beside the thousands that a fleet's store serves.
+/// Maximum rate of retries of all nodes together while the store fails, in calls per
+/// second: low compared with the thousands of calls that a fleet's store serves.
 const RETRIES_PER_SECOND: f64 = 100.0;
-/// Longest pause after failed calls in a small fleet.
+/// Maximum pause after failed calls in a small fleet.
 const LEAST_LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// Longest pause in any fleet: half of the time after which nodes are taken to
-/// be in touch with a store that came back.
+/// Maximum pause in any fleet: half of the time within which nodes are expected to reach a
+/// store that is available again.
 const MOST_LONGEST_PAUSE: Duration = Duration::from_millis(2500);
-/// Time between two looks at whether a waiting watch has been overtaken.
+/// Time between two checks whether a pending watch has missed a change.
 const AUDIT_EVERY: Duration = Duration::from_millis(700);
-/// Bytes of history that a node takes in any case: 0.1 s over 10 Mbit/s.
+/// Amount of history that a node reads in any case, in bytes: 0.1 s over 10 Mbit/s.
 const LEAST_HISTORY_BYTES: u64 = 128 * 1024;
-/// History is read up to so many times the size of all that holds. On the wire an
-/// item takes about one and a half times its size, so a node that must read all
-/// after all has lost less than the time of one more such read.
+/// Maximum size of the history to read, relative to the size of the current state. On the
+/// wire an item takes about 1.5 times its size, so a node that must read everything after
+/// all has lost less than the time of one more such read.
 const HISTORY_PER_STATE: u64 = 2;
-/// The same for a node that others depend on, by its link: a fleet that starts is all
-/// history, and a read of everything would take as long as that.
+/// Maximum time to read history over the link of a node that others depend on. While a
+/// fleet starts, its whole state is recent history, and a full read would take as long.
 const HISTORY_TIME: Duration = Duration::from_millis(400);
-/// Bytes that an entry of a replica or of a node takes in the store, about.
+/// Approximate size of an entry of a replica or of a node in the store, in bytes.
 const ENTRY_BYTES: u64 = 250;
-/// Time that a watch has to answer after the store moved on.
+/// Time in which a watch must return a change after the store's revision has increased.
 const AUDIT_SLACK: Duration = Duration::from_millis(300);
 
 /// Follows the store until the process ends.
 ///
-/// The first read may lag: what it misses comes by the relay or by a watch from
-/// its revision on.
+/// The first read may be stale: the relay or a watch provides the changes after its
+/// revision.
 pub async fn follow<P: Platform>(node: Rc<Node<P>>) {
     let mut backoff = Backoff::default();
     let mut freshness = Freshness::MayLag;
@@ -74,19 +75,20 @@
     }
 }
 
-/// Reads all items of the store, until that succeeds or a peer has told them meanwhile.
+/// Reads all items of the store, and retries until that succeeds or a peer has published a
+/// full view.
 async fn read_everything<P: Platform>(node: &Node<P>, backoff: &mut Backoff, freshness: Freshness) {
     loop {
-        // The pages of a read are of several moments: what is relayed in
-        // between must not count as known.
+        // The pages of a read come from different revisions, so changes that are relayed
+        // in between must not count as known.
         node.state.borrow_mut().directory.reset();
         let limit = backoff.read_limit();
         match node.store().range(EVERYTHING, freshness, limit).await {
             Ok(snapshot) if snapshot.revision < node.state.borrow().directory.reached() => {
                 backoff.succeeded();
-                // A peer told its whole view meanwhile, which is newer: taken in now, what
-                // was read would count as complete up to there.
-                tracing::info!(target: "directory", event = "read is older than what a peer told",
+                // A peer published a newer full view meanwhile. If the older items were
+                // applied now, they would count as complete up to the newer revision.
+                tracing::info!(target: "directory", event = "read is older than a peer's full view",
                     revision = snapshot.revision);
                 return;
             }
@@ -107,23 +109,23 @@
     }
 }
 
-/// True if other nodes hear of changes through this one.
+/// Returns true if other nodes receive changes through this one.
 fn is_depended_on<P: Platform>(node: &Node<P>) -> bool {
     node.gives_orders() || tree::is_relay(node)
 }
 
-/// Why a node's view cannot go on from what it knows.
+/// Why a node's view cannot be continued by further changes.
 #[derive(Debug, thiserror::Error)]
 enum ViewGap {
-    /// The history between cannot be had, or is longer than is worth reading.
+    /// The changes since are unavailable, or more than are worth reading.
     #[error("{0}")]
     History(StoreError),
-    /// The node knows some replicas, and now needs all.
+    /// The node knows only some replicas, and now needs all.
     #[error("only some replicas are known")]
     Replicas,
 }
 
-/// Most bytes of history that are worth reading at once.
+/// Returns the maximum amount of history that is worth reading at once, in bytes.
 fn most_history_bytes<P: Platform>(node: &Node<P>) -> u64 {
     let state = node.state.borrow();
     let entries = state.replicas.len() + state.members.node_count();
@@ -141,28 +143,28 @@
     most.max((link * HISTORY_TIME.as_secs_f64()) as u64)
 }
 
-/// How a node's own watch ended.
+/// The result of a node's own watch.
 enum WatchEnd {
     /// The store answered.
     Answered {
-        /// What it said.
+        /// The changes in the answer.
         changes: Changes,
-        /// Time from the first byte of the answer to its last.
+        /// Time between the first and the last byte of the answer.
         arrived_for: Duration,
     },
-    /// It failed.
+    /// The call failed.
     Failed(StoreError),
-    /// The store moved on and the watch did not say so.
+    /// The store's revision increased and the watch did not return the change.
     Overtaken {
         /// A revision that the store has reached.
         reached: u64,
     },
-    /// The relay is believed again, or the orderer's lease came or went.
+    /// The relay is trusted again, or the node acquired or lost an orderer's lease.
     RoleChanged,
 }
 
-/// Follows changes, by the relay or by watching, until history cannot be had or
-/// is longer than is worth reading; answers which.
+/// Follows changes, by the relay or by watching the store, until the view cannot be
+/// continued; returns the reason.
 async fn follow_changes<P: Platform>(
     node: &Node<P>,
     backoff: &mut Backoff,
@@ -193,7 +195,8 @@
         match watch(node, after, most_history_bytes(node)).await {
             WatchEnd::Answered { changes, arrived_for } => {
                 backoff.succeeded();
-                // What took long to arrive is old already.
+                // An answer that took long to arrive is outdated, so the next watch starts
+                // at once.
                 at_once = arrived_for > relay::PROMPT_ANSWER;
                 node.step_times.time("answer of a watch", || {
                     let changes = changes.without_replaced();
@@ -211,8 +214,8 @@
     }
 }
 
-/// Longest pause of a node after failed calls: all nodes together ask a store
-/// that is away at a bounded rate, but those that others depend on ask often.
+/// Returns the maximum pause of this node after failed calls. All nodes together retry at
+/// a bounded rate, but nodes that others depend on retry often.
 fn longest_pause<P: Platform>(node: &Node<P>) -> Duration {
     if is_depended_on(node) {
         return LEAST_LONGEST_PAUSE;
@@ -222,7 +225,7 @@
     shared.clamp(LEAST_LONGEST_PAUSE, MOST_LONGEST_PAUSE)
 }
 
-/// A watch failed: pauses, but no longer than until the relay is believed again.
+/// Pauses after a failed watch, at most until the relay is trusted again.
 async fn pause_unless_covered<P: Platform>(node: &Node<P>, backoff: &mut Backoff, error: &StoreError) {
     let covered = async {
         while !relay::covers(node) {
@@ -235,7 +238,7 @@
     }
 }
 
-/// One watch by the node itself.
+/// Performs one watch of the store.
 async fn watch<P: Platform>(node: &Node<P>, after: u64, most_bytes: u64) -> WatchEnd {
     let store = node.store();
     let arrival = Arrival::default();
@@ -265,9 +268,9 @@
     }
 }
 
-/// Ends when a watch had better begin anew, unless its answer is arriving. That
-/// shows that its path works, and begun anew it would only be longer; limits of
-/// its own end it if it stops.
+/// Completes when a watch should be restarted, unless its answer is already arriving. An
+/// arriving answer shows that the network path works, and the answer to a new watch would
+/// only be longer. If the answer stalls, the call's own limits end it.
 async fn interruption<P: Platform>(node: &Node<P>, after: u64, arrival: &Arrival) -> WatchEnd {
     let end = tokio::select! {
         () = node.store_path.changed() => WatchEnd::Failed(StoreError::NoAnswer),
@@ -284,20 +287,20 @@
     end
 }
 
-/// Pause between two watches. An orderer's and a relay's are short, as other
+/// Returns the pause between two watches. It is short for orderers and relays, as other
 /// nodes depend on them.
 fn watch_pause<P: Platform>(node: &Node<P>) -> Duration {
     let pace = &node.settings.pace;
     if is_depended_on(node) {
         return pace.relay_watch_every;
     }
-    // Many nodes may be without a relay at the same time.
+    // Many nodes may have no relay at the same time.
     let shared = longest_pause(node).min(node.settings.relay_patience());
     shared.max(pace.watch_every)
 }
 
-/// Longest wait of one watch. An orderer's and a relay's end soon: each answer
-/// proves that what it relays is complete.
+/// Returns the maximum wait of one watch. It is short for orderers and relays, as each
+/// answer proves that the changes they relay are complete.
 fn watch_wait<P: Platform>(node: &Node<P>) -> Duration {
     let pace = &node.settings.pace;
     if is_depended_on(node) {
@@ -307,9 +310,10 @@
     }
 }
 
-/// Ends when the store has moved past `after` and a waiting watch has had time
-/// to say so: its answer was lost, its path is dead, or the store's watches
-/// hear nothing. The relay may know of it while stale reads are behind.
+/// Completes when the store's revision exceeds `after` and a pending watch has had time to
+/// return the change: its answer was lost, its connection is dead, or the store's watches
+/// do not work. Returns the store's revision. The relay may announce a higher revision
+/// while stale reads still lag.
 async fn overtaken<P: Platform>(node: &Node<P>, after: u64) -> u64 {
     loop {
         sleep(AUDIT_EVERY).await;
@@ -323,7 +327,7 @@
                 return reached;
             }
             Ok(_) => {}
-            // The watch's own path may be as dead.
+            // The connection of the watch may be dead as well.
             Err(error) => {
                 tracing::debug!(target: "directory", event = "audit of a watch failed", %error);
                 node.store_path.call_ended(false);
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -1,8 +1,8 @@
-//! What the orderer learns of the store, relayed to the other nodes.
+//! Relays the store's changes from the orderer to the other nodes.
 //!
-//! One watch of the store serves all nodes: calls to the store are what most
-//! nodes would otherwise spend. Each answer of the orderer's watch goes out as
-//! [`DirectoryNews`]; [`FollowedView`] judges whether a node may rely on them.
+//! One watch of the store serves all nodes, as watches of their own would be the largest
+//! cost of most nodes. Each answer of the orderer's watch is sent as [`DirectoryNews`];
+//! [`FollowedView`] decides whether a node may rely on these messages.
 //!
 //! [`FollowedView`]: croftrill_scheduler::followed_view::FollowedView
 
@@ -24,26 +24,26 @@
 use crate::ports::{Changes, Item, Platform, Record, RecordReader, StoreEvent};
 use crate::tree;
 
-/// Added to the wait of a watch for its answer to count as just given.
+/// Time by which an answer may exceed the wait of its watch and still count as current.
 pub(super) const PROMPT_ANSWER: Duration = Duration::from_millis(150);
-/// What an answer of the orderer's watch means for the other nodes.
+
+/// The span of changes in an answer of a watch, for the other nodes.
 #[derive(Debug, Clone)]
 pub struct WatchedSpan {
-    /// The changes, and the revisions that they lie between.
+    /// The changes, and the revisions that bound the span.
     pub news: DirectoryNews,
-    /// When the store showed that this is everything.
+    /// When the store proved that the changes are complete.
     pub proven_at: Moment,
 }
 
-/// The watch of an orderer or of a relay was answered: the answer goes to its
-/// listeners.
+/// Publishes the answer of an orderer's or a relay's watch to its listeners.
 pub(super) fn pass_on<P: Platform>(node: &Node<P>, changes: &Changes, asked_at: Moment) {
     let gives_orders = node.gives_orders();
     if !gives_orders && !tree::is_relay(node) {
         return;
     }
     let now = node.clock.now();
-    // A relay's view may have gone on by news while its watch waited.
+    // A relay's view may have advanced by relayed updates while its watch waited.
     let after = node.state.borrow().directory.reached();
     if changes.revision < after {
         return;
@@ -56,8 +56,8 @@
             sent_at_ms: 0,
             changes: told_changes(node, &changes.events, after).into(),
         },
-        // An answer that lay unread, as while this process was stopped, proves
-        // nothing later than its question.
+        // An answer that was not read at once, for example because this process was
+        // stopped, proves nothing about the time after its request.
         proven_at: if is_prompt(node, asked_at) { now } else { asked_at },
     };
     tree::pass_on_news(node, span.news.clone(), span.proven_at);
@@ -66,20 +66,20 @@
     }
 }
 
-/// True if the answer to an orderer's or a relay's watch of `asked_at` tells what
-/// is so now.
+/// Returns true if the answer to an orderer's or a relay's watch that was sent at
+/// `asked_at` is current.
 fn is_prompt<P: Platform>(node: &Node<P>, asked_at: Moment) -> bool {
     let longest = node.settings.pace.relay_watch_wait + PROMPT_ANSWER;
     node.clock.now().since(asked_at) <= longest
 }
 
-/// The changes of one answer after a revision that the other nodes must know.
+/// Returns those changes of one answer after a revision that the other nodes must know.
 fn told_changes<P: Platform>(node: &Node<P>, events: &[StoreEvent], after: u64) -> Vec<RevisedChange> {
     let mut told_keys: HashSet<&str> = HashSet::new();
     let mut changes = Vec::new();
     for event in events.iter().filter(|event| event.revision() > after) {
-        // What this node knew before the answer says nothing of a key that
-        // changed earlier in it.
+        // If the key changed earlier in the same answer, this node's previous state of it
+        // is outdated.
         let changed_before = told_keys.contains(event.key());
         if let Some(change) = told(node, event, changed_before) {
             told_keys.insert(event.key());
@@ -89,13 +89,13 @@
     changes
 }
 
-/// The message form of a change; `None` if the other nodes need not know it.
+/// Returns the message form of a change, or `None` if the other nodes need not know it.
 fn told<P: Platform>(node: &Node<P>, event: &StoreEvent, changed_before: bool) -> Option<RevisedChange> {
     let change = match event {
         StoreEvent::Written(item) => match listing_of(node, item) {
             Listed::Replica(listing) if !changed_before && is_known(node, &listing) => return None,
             Listed::Replica(listing) => WireChange::Replica(WireListing::from_listing(&listing)),
-            // Whatever stands there, however large, is no replica.
+            // The value, however large, lists no replica, so it is not sent.
             Listed::Nothing => WireChange::Removed {
                 key: item.key.clone(),
             },
@@ -110,12 +110,12 @@
     Some(RevisedChange { revision, change })
 }
 
-/// What an item says of a replica.
+/// The content of an item with regard to replicas.
 enum Listed {
     Replica(ReplicaListing),
-    /// Its key stands for one, but nothing that can be read stands there.
+    /// The key is one of a replica, but the value is unreadable.
     Nothing,
-    /// It is about something else.
+    /// The key is not one of a replica.
     OtherItem,
 }
 
@@ -130,8 +130,8 @@
     }
 }
 
-/// True if a listing differs from the known one in its holdings at most: of
-/// these the orderer tells from what it ordered.
+/// Returns true if a listing differs from the known one at most in its holdings, which the
+/// orderer publishes according to its orders.
 fn is_known<P: Platform>(node: &Node<P>, listing: &ReplicaListing) -> bool {
     let state = node.state.borrow();
     let Some(entry) = state.replicas.get(&listing.id) else {
@@ -145,7 +145,7 @@
     known == *listing
 }
 
-/// A relayed change as the view takes it.
+/// Converts a relayed change to a change of the view.
 fn heard<P: Platform>(node: &Node<P>, revised: RevisedChange) -> ViewChange {
     let revision = revised.revision;
     match revised.change {
@@ -169,7 +169,7 @@
 }
 
 impl WatchedSpan {
-    /// The messages to each listening node.
+    /// Returns the messages to each listening node.
     pub fn into_news(self, now: Moment) -> Vec<DirectoryNews> {
         let mut news = self.news;
         news.stamp(self.proven_at, now);
@@ -177,12 +177,12 @@
     }
 }
 
-/// Takes in what an orderer or a relay tells over a link with `delay`; answers
-/// what it meant for the view, if anything.
+/// Applies an update of an orderer or a relay, received over a link with `delay`. Returns
+/// its effect on the view, or `None` if it was ignored.
 ///
-/// An orderer must know of nothing but its own watch's answers: what it knew
-/// from another orderer already, it would leave out of its relay, and its
-/// listeners would never hear of it.
+/// An orderer applies only the answers of its own watch. It does not relay listings that
+/// it knows already, so its listeners would never receive those that it knows from another
+/// orderer.
 pub fn take_news<P: Platform>(
     node: &Node<P>,
     news: DirectoryNews,
@@ -220,12 +220,12 @@
     Some(outcome)
 }
 
-/// A view that is being told whole, in parts.
+/// The chunks received so far of a full view.
 #[derive(Debug, Default)]
 pub struct WholeInParts(Vec<RevisedChange>);
 
 impl WholeInParts {
-    /// Takes a part; the whole once it was the last one.
+    /// Adds a chunk and returns the full view if the chunk is the last one.
     fn take(&mut self, part: WholePart) -> Option<DirectoryNews> {
         if part.is_first {
             self.0.clear();
@@ -239,7 +239,8 @@
     }
 }
 
-/// Takes a part of all that an orderer or a relay knows, as this node misses too much.
+/// Handles a chunk of the full view of an orderer or a relay, which sends it if this node
+/// missed too many changes. Applies the view once it is complete.
 pub fn take_whole<P: Platform>(
     node: &Node<P>,
     part: WholePart,
@@ -277,15 +278,15 @@
     node.relay_changed.notify_waiters();
 }
 
-/// When the view that news lead to was proven complete, by this node's clock.
+/// Returns when the view after an update was proven complete, by this node's clock.
 fn proof_of(news: &DirectoryNews, delay: &mut LinkDelay, now: Moment) -> Moment {
     let age = Duration::from_millis(u64::from(news.proof_age_ms));
     let late = delay.excess(Duration::from_millis(news.sent_at_ms), now);
     now - age - late
 }
 
-/// Passes on what of a span goes on from this node's view: of the same span
-/// from several orderers, followers get one.
+/// Publishes the changes of a span that are new to this node, so that followers receive
+/// each change once when several orderers send it.
 fn relay_on<P: Platform>(node: &Node<P>, news: &DirectoryNews, proven_at: Moment) {
     let after = node.state.borrow().directory.reached();
     let newer = news.changes.iter().filter(|revised| revised.revision > after);
@@ -305,21 +306,21 @@
     }
 }
 
-/// No orderer is linked any more.
+/// Records that this node receives updates from no orderer any more.
 pub fn lost<P: Platform>(node: &Node<P>) {
     node.state.borrow_mut().directory.relay_lost();
     node.relay_changed.notify_waiters();
 }
 
-/// True while the relay is believed, so that the store need not be asked. Where this node
-/// lacks replicas, no relay tells of them, however complete its news are.
+/// Returns true while the relay is trusted, so that the store need not be read. If this
+/// node lacks replicas, no relay publishes them, however complete its updates are.
 pub(super) fn covers<P: Platform>(node: &Node<P>) -> bool {
     let now = node.clock.now();
     let is_believed = node.state.borrow().directory.trusts_relay(now);
     is_believed && !node.gives_orders() && !tree::lacks_replicas(node)
 }
 
-/// Ends when the relay is not believed any more.
+/// Completes when the relay is no longer trusted.
 pub(super) async fn while_covered<P: Platform>(node: &Node<P>) {
     while covers(node) {
         let until = node
@@ -338,7 +339,8 @@
     tracing::info!(target: "directory", event = "relay lost, asking the store", revision);
 }
 
-/// Ends when the relay is believed, or this node got or lost the orderer's lease.
+/// Completes when the relay is trusted, or this node acquired its first or lost its last
+/// orderer's lease, or needs the replicas that it does not know.
 pub(super) async fn until_role_changes<P: Platform>(node: &Node<P>) {
     let gave_orders = node.gives_orders();
     while !covers(node) && node.gives_orders() == gave_orders && !tree::lacks_replicas(node) {
--- a/crates/croftrill-node/src/directory/unheard.rs
+++ b/crates/croftrill-node/src/directory/unheard.rs
@@ -1,9 +1,9 @@
-//! What replicas hold, read from the store while their orderer is not heard.
+//! Reads the replicas' holdings from the store while their orderer is unreachable.
 //!
-//! Each orderer tells what the replicas of its shard hold, so a relay leaves out listings
-//! that changed in that alone. A node that hears the relay, but not the orderer of a shard,
-//! would go by what that shard's replicas held when it last read everything, and refuse
-//! models that they have loaded since.
+//! Each orderer publishes what the replicas of its shard hold, so listings that changed
+//! only in their holdings are not relayed. A node that receives the relayed changes, but
+//! is not linked to the orderer of a shard, would use the holdings of that shard's
+//! replicas as of its last full read, and refuse models that were loaded since.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::ports::{Freshness, KeyValueStore, Platform, Record, RecordReader, Snapshot};
 use crate::tree;
 
-/// Longest wait for a part of the replicas' entries.
+/// Timeout for a page of the replicas' entries.
 const READ_LIMIT: Duration = Duration::from_millis(900);
 
-/// Reads the replicas' entries whenever a request lacks a model and the orderer of a shard
-/// is not heard, until the process ends. One read serves all requests, and the pause after
-/// it grows with the fleet as that after failed calls does.
+/// Reads the replicas' entries whenever a request finds no holder of its model and the
+/// orderer of a shard is unreachable, until the process ends. One read serves all waiting
+/// requests, and the pause after it grows with the fleet like the pause after failed calls.
 pub async fn read_holdings<P: Platform>(node: Rc<Node<P>>) {
     loop {
         node.holdings_wanted.notified().await;
@@ -34,7 +34,7 @@
         match node.store().range(prefix, Freshness::Latest, READ_LIMIT).await {
             Ok(snapshot) => apply_holdings(&node, &snapshot),
             Err(error) => {
-                tracing::warn!(target: "directory", event = "no holdings read", %error);
+                tracing::warn!(target: "directory", event = "reading the replicas' holdings failed", %error);
             }
         }
         let share = rand::rng().random_range(0.75..1.25);
@@ -42,9 +42,9 @@
     }
 }
 
-/// True if somebody has given a shard's orders for longer than a takeover lasts without
-/// this node hearing of it. Where nobody gives orders, replicas load nothing; where a relay
-/// tells, it is the relay that must hear.
+/// Returns true if a shard has an orderer, and this node has not been linked to it for
+/// longer than a takeover takes. Without an orderer, replicas load nothing. If the node
+/// follows a relay, the relay is responsible for this check.
 fn is_unheard<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
     let now = node.clock.now();
     let state = node.state.borrow();
@@ -54,8 +54,8 @@
     has_orderer && !is_linked && is_late && state.tree.uplink == tree::Uplink::Orderers
 }
 
-/// Takes in what the replicas of unheard shards hold, and nothing else: the rest of their
-/// listings is known by changes, which may be newer than what was read.
+/// Applies only the holdings of the replicas whose orderer is unreachable. The rest of their
+/// listings is known from changes that may be newer than this read.
 fn apply_holdings<P: Platform>(node: &Node<P>, snapshot: &Snapshot) {
     let records = node.platform.records();
     let listings = snapshot.items.iter().filter_map(|item| match records.read(item) {
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -1,4 +1,4 @@
-//! Takes what the store tells into the node's state.
+//! Applies the store's items and changes to the node's state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 
 /// A change of the view.
 pub(super) enum ViewChange {
-    /// As the store tells it.
+    /// A change as the store reports it.
     Store(StoreEvent),
-    /// A replica's listing, as the orderer relays it.
+    /// A replica's listing as the orderer relays it.
     Replica {
         /// The listing.
         listing: ReplicaListing,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Takes in all items and forgets replicas and nodes that are not among them.
+/// Applies all items and removes replicas and nodes that are not among them.
 pub(super) fn apply_snapshot<P: Platform>(node: &Node<P>, snapshot: Snapshot) {
     let records = node.platform.records();
     let listed: HashSet<ReplicaId> = snapshot
@@ -53,15 +53,15 @@
     announce(node);
 }
 
-/// Forgets replicas that are not `listed`, and nodes without one of these keys.
+/// Removes replicas that are not `listed`, and nodes without one of these keys.
 fn forget_all_but<P: Platform>(node: &Node<P>, listed: &HashSet<ReplicaId>, keys: &HashSet<&str>) {
     let mut state = node.state.borrow_mut();
     state.replicas.retain(|id| listed.contains(id));
     state.members.retain(|key| keys.contains(key));
 }
 
-/// Takes in all that a peer knows, and forgets what it does not.
-/// `has_replicas`: false if it tells of replicas by itself.
+/// Applies a peer's full view and removes what it does not contain. `has_replicas` is
+/// false if the peer publishes replicas separately.
 pub(super) fn apply_whole<P: Platform>(
     node: &Node<P>,
     changes: Vec<ViewChange>,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Takes in the items that were written after the view's revision, which stays:
-/// the changes up to theirs are still to come, their removals among them.
+/// Applies the items that were written after the view's revision. That revision does not
+/// change: other changes up to the items' revisions, such as removals, are still missing.
 pub(super) fn apply_newer<P: Platform>(node: &Node<P>, snapshot: Snapshot) {
     let mut any = false;
     for item in &snapshot.items {
@@ -123,8 +123,8 @@
     }
 }
 
-/// Takes in the changes up to the revision `reached`, but for those that the
-/// view contains already.
+/// Applies the changes up to the revision `reached`, except for those that the view
+/// contains already.
 pub(super) fn apply_changes<P: Platform>(
     node: &Node<P>,
     changes: impl IntoIterator<Item = ViewChange>,
@@ -175,7 +175,7 @@
         }
         Record::Malformed(reason) => {
             tracing::warn!(target: "directory", event = "item cannot be read", key = item.key, reason);
-            // It names no replica, also where a good entry stood before.
+            // An unreadable entry lists no replica, even if the previous entry was valid.
             if let Some(id) = node.platform.records().replica_of(&item.key) {
                 node.state.borrow_mut().replicas.remove(&id);
             }
@@ -215,6 +215,7 @@
     }
 }
 
+/// Notifies the tasks of this node that its view has changed.
 pub(crate) fn announce<P: Platform>(node: &Node<P>) {
     node.metrics
         .replicas
