--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -35,7 +35,7 @@
 use crate::quota::Quotas;
 use crate::settings::NodeSettings;
 use crate::step_times::StepTimes;
-use crate::tree::{FollowerNews, TreeState, Uplink, RELAY_BACKLOG};
+use crate::tree::{FollowerNews, TreeState, Uplink, FOLLOWER_BACKLOG};
 
 /// Where a node is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -295,7 +295,7 @@
             step_times: Rc::default(),
             in_flight: Cell::new(0),
             stop_asked: Cell::new(None),
-            followers: broadcast::channel(RELAY_BACKLOG).0,
+            followers: broadcast::channel(FOLLOWER_BACKLOG).0,
             to_orderers,
             to_relay,
             orderer_inboxes,
--- a/crates/croftrill-node/src/peer/news.rs
+++ b/crates/croftrill-node/src/peer/news.rs
@@ -6,7 +6,7 @@
 use croftrill_scheduler::time::Moment;
 use nanoserde::{DeBin, SerBin};
 
-use crate::tree::MOST_NEWS_BYTES;
+use crate::tree::MAX_CHANGE_BYTES;
 use crate::wire::WireList;
 
 /// Bytes of one message of those in which more is told, about: 50 ms over 20 Mbit/s, so
@@ -141,7 +141,7 @@
     /// is complete. A change that is too large for any message leaves a span that begins
     /// where it ends: a gap to whoever has not got so far.
     pub fn into_parts(mut self) -> Vec<DirectoryNews> {
-        let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MOST_NEWS_BYTES;
+        let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
         if self.changes.iter().any(is_too_large) {
             self.after = self.reached;
             self.changes.clear();
@@ -187,7 +187,7 @@
 impl WholePart {
     /// A view in parts that fit into messages; `None` if some item fits into none.
     pub fn parts_of(whole: DirectoryNews, has_replicas: bool) -> Option<Vec<WholePart>> {
-        let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MOST_NEWS_BYTES;
+        let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
         if whole.changes.iter().any(is_too_large) {
             return None;
         }
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -25,32 +25,32 @@
 use crate::wire::decode;
 
 /// Maximum time between two checks for a relay to follow.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Time for which a failed relay is not tried again while there are others.
-const FAILED_RELAY_RESTS: Duration = Duration::from_secs(3);
+const FAILED_RELAY_COOLDOWN: Duration = Duration::from_secs(3);
 /// Maximum time to follow a relay that receives updates from neither orderers nor the
 /// store: about the time for which its updates are trusted.
-const LONGEST_USELESS: Duration = Duration::from_millis(1300);
+const MAX_USELESS_RELAY_TIME: Duration = Duration::from_millis(1300);
 /// Maximum time to wait at a relay that has no view to publish yet. This is twice the time
 /// in which 45 relays read a view of ten thousand replicas at once (5 MB each over
 /// 1,000 Mbit/s: 1.8 s).
-const LONGEST_PREPARING: Duration = Duration::from_secs(4);
+const MAX_RELAY_PREPARATION: Duration = Duration::from_secs(4);
 /// Time between two checks for interests that are no longer used.
-const EXPIRE_EVERY: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Follows a relay of the zone whenever there is one, until the process ends. While none
 /// is reachable, a node that may know all replicas is linked to the orderers directly.
 pub async fn follow_relays<P: Platform>(node: Rc<Node<P>>, mut outgoing: mpsc::Receiver<ToOrderer>) {
     let mut failed: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
-        failed.retain(|_, at| at.elapsed() < FAILED_RELAY_RESTS);
+        failed.retain(|_, at| at.elapsed() < FAILED_RELAY_COOLDOWN);
         let relays = relays_above(&node);
         let relay = relays.iter().find(|address| !failed.contains_key(address));
         let Some(address) = relay.copied() else {
             leave_relays(&node);
             // The messages are meant only for a peer that the node is linked to.
             while outgoing.try_recv().is_ok() {}
-            let looked = sleep(LOOK_EVERY);
+            let looked = sleep(RELAY_CHECK_INTERVAL);
             tokio::select! {
                 () = looked => {}
                 () = node.relay_changed.notified() => {}
@@ -136,7 +136,7 @@
     };
     let linked_at = Instant::now();
     let mut useful_at = Instant::now();
-    let mut next_expiry = Instant::now() + EXPIRE_EVERY;
+    let mut next_expiry = Instant::now() + EXPIRY_INTERVAL;
     while !node.gives_orders() && !node.state.borrow().tree.is_called_upon {
         if node.state.borrow().tree.exceeds_told {
             // On a new link, the relay publishes all replicas that this node must know, and
@@ -146,14 +146,14 @@
                 "the node knows replicas that the relay does not tell of",
             ));
         }
-        let is_preparing = !followed.has_begun && linked_at.elapsed() < LONGEST_PREPARING;
+        let is_preparing = !followed.has_begun && linked_at.elapsed() < MAX_RELAY_PREPARATION;
         if is_useful(node) || is_preparing {
             useful_at = Instant::now();
-        } else if useful_at.elapsed() > LONGEST_USELESS {
+        } else if useful_at.elapsed() > MAX_USELESS_RELAY_TIME {
             return Err(io::Error::other("the relay hears nothing itself"));
         }
         if Instant::now() >= next_expiry {
-            next_expiry = Instant::now() + EXPIRE_EVERY;
+            next_expiry = Instant::now() + EXPIRY_INTERVAL;
             forget_unused(node, &mut link).await?;
         }
         tokio::select! {
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -42,19 +42,19 @@
 
 /// Memory for changes that followers may request again, in bytes: enough for some
 /// configurations and the entries of a few hundred nodes.
-const MOST_LOGGED_BYTES: usize = 512 * 1024;
+const MAX_LOG_BYTES: usize = 512 * 1024;
 /// Maximum size of a change that is sent to a listener in full, in bytes. For a larger
 /// change the listener only learns that it exists. The value is below the limit of a
 /// frame, `MOST_MESSAGE_BYTES`.
-pub(crate) const MOST_NEWS_BYTES: usize = 768 * 1024;
+pub(crate) const MAX_CHANGE_BYTES: usize = 768 * 1024;
 /// Minimum time between two published proofs that nothing changed. Each is trusted for
 /// `relay_lifetime`, three times as long.
-const PROOF_EVERY: Duration = Duration::from_millis(400);
+const MIN_PROOF_INTERVAL: Duration = Duration::from_millis(400);
 /// Minimum time between two reminders to the orderers that requests wait for a model,
 /// on behalf of all followers.
-const REMINDER_SERVES: Duration = Duration::from_millis(200);
+const MIN_REMINDER_INTERVAL: Duration = Duration::from_millis(200);
 /// Maximum backlog of a slow follower before it must reconnect, in messages.
-pub(crate) const RELAY_BACKLOG: usize = 128;
+pub(crate) const FOLLOWER_BACKLOG: usize = 128;
 
 /// The peers through which a node receives the orderers' updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -103,7 +103,7 @@
     fn default() -> Self {
         TreeState {
             uplink: Uplink::Orderers,
-            log: RelayLog::new(MOST_LOGGED_BYTES),
+            log: RelayLog::new(MAX_LOG_BYTES),
             proven_at: Moment::default(),
             proof_passed_at: Moment::default(),
             replay_asked_at: None,
@@ -139,7 +139,8 @@
     /// Returns true if the orderers should be reminded of this model now, and records the
     /// reminder.
     fn takes_reminder(&mut self, model: &WireModel, now: Moment) -> bool {
-        self.reminded.retain(|_, at| now.since(*at) < REMINDER_SERVES);
+        self.reminded
+            .retain(|_, at| now.since(*at) < MIN_REMINDER_INTERVAL);
         if self.reminded.contains_key(model) {
             return false;
         }
@@ -281,7 +282,7 @@
     });
     tree.log.push(news.after, news.reached, changes);
     let says_nothing_new = news.after == news.reached;
-    if says_nothing_new && now.since(tree.proof_passed_at) < PROOF_EVERY {
+    if says_nothing_new && now.since(tree.proof_passed_at) < MIN_PROOF_INTERVAL {
         return;
     }
     tree.proof_passed_at = now;
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -21,7 +21,7 @@
 use crate::wire::decode;
 
 /// Time between two checks of a relay for a view to publish.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Serves a follower until either side closes the link, or this node is no longer linked
 /// to the orderers itself.
@@ -55,7 +55,7 @@
         }
         let next_look = match follower {
             Some(_) => next_heartbeat,
-            None => next_heartbeat.min(Instant::now() + LOOK_EVERY),
+            None => next_heartbeat.min(Instant::now() + VIEW_CHECK_INTERVAL),
         };
         tokio::select! {
             news = news.recv() => match news {
--- a/crates/croftrill-node/src/tree/wants.rs
+++ b/crates/croftrill-node/src/tree/wants.rs
@@ -14,14 +14,14 @@
 
 /// Maximum wait of a request for its relay to publish the replicas that serve it: a hundred
 /// times the usual wait within a zone.
-const LONGEST_WANT: Duration = Duration::from_millis(250);
+const MAX_ANSWER_WAIT: Duration = Duration::from_millis(250);
 
 /// Time without a request after which an interest is dropped: a few times the pause of
 /// callers between two requests for one model. Interest in a model that is still in use
 /// thus need not be sent again, which takes a round trip of about a millisecond in a zone.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+const INTEREST_LIFETIME: Duration = Duration::from_secs(60);
 /// Time after which an interest that was not answered is sent again.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Clone, Copy)]
 struct Want {
@@ -60,7 +60,7 @@
         }
         if want
             .asked_at
-            .is_some_and(|asked| now.since(asked) < ASK_AGAIN_AFTER)
+            .is_some_and(|asked| now.since(asked) < RESEND_INTERVAL)
         {
             return WantState::Awaited;
         }
@@ -82,7 +82,7 @@
 
     /// Removes and returns the interests that have not been used for long.
     pub fn expire(&mut self, now: Moment) -> Vec<Interest> {
-        let is_over = |want: &Want| now.since(want.used_at) >= KEPT_FOR;
+        let is_over = |want: &Want| now.since(want.used_at) >= INTEREST_LIFETIME;
         let over = self.0.iter().filter(|(_, want)| is_over(want));
         let over: Vec<Interest> = over.map(|(interest, _)| interest.clone()).collect();
         over.iter().for_each(|interest| {
@@ -95,7 +95,7 @@
 /// Waits until this node knows the replicas that serve a request with these interests, for
 /// a limited time. Returns at once if the node knows all replicas.
 pub(crate) async fn know<P: Platform>(node: &Node<P>, interests: &[Interest]) {
-    let until = node.clock.now() + LONGEST_WANT;
+    let until = node.clock.now() + MAX_ANSWER_WAIT;
     let wait = async {
         loop {
             let changed = node.view_changed.notified();
