--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -12,20 +12,20 @@
 use crate::tree;
 
 /// Timeout for a page of a small read.
-const LOOK_LIMIT: Duration = Duration::from_millis(900);
+const POLL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Average time between two small reads while a node waits for a relay.
-const LOOK_EVERY: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time between two small reads in a large fleet, where a node knows its relays after the
 /// first read. A thousand nodes that read every 0.4 s use 85 % of the store's link, which
 /// the relays need to read the view that the nodes wait for.
-const LARGE_FLEET_LOOK_EVERY: Duration = Duration::from_secs(2);
+const LARGE_FLEET_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Minimum time for which a node waits for its relays before it reads everything itself,
 /// per node that it knows. At first it knows the nodes of its zone: it waits 5 s with 164
 /// of them and 1.5 s with 49. With a thousand nodes and ten thousand replicas, 45 relays
 /// need 2.5 s to read everything, and all nodes together would need 40 s.
 const PATIENCE_PER_NODE: Duration = Duration::from_millis(30);
 /// Time for which a node of a large fleet relies on its relays for the configuration.
-const LATE_CONFIGURATION: Duration = Duration::from_millis(4000);
+const CONFIGURATION_PATIENCE: Duration = Duration::from_millis(4000);
 
 /// In a large fleet, waits for a relay to publish its full view. Returns true if one did.
 pub(super) async fn hears_view_from_relay<P: Platform>(node: &Node<P>) -> bool {
@@ -41,7 +41,7 @@
     let until = node.clock.now() + (PATIENCE_PER_NODE * known as u32).mul_f64(share);
     let may_wait = || tree::is_below_relays(node) && !must_ask_store(node) && node.clock.now() < until;
     while !relay::covers(node) && may_wait() {
-        await_relay(node, LARGE_FLEET_LOOK_EVERY).await;
+        await_relay(node, LARGE_FLEET_POLL_INTERVAL).await;
     }
     relay::covers(node)
 }
@@ -61,7 +61,7 @@
         return;
     }
     let key = node.platform.records().configuration_key();
-    match node.store().range(key, Freshness::Latest, LOOK_LIMIT).await {
+    match node.store().range(key, Freshness::Latest, POLL_TIMEOUT).await {
         Ok(snapshot) => view::apply_newer(node, snapshot),
         Err(error) => tracing::warn!(target: "directory", event = "reading the configuration failed", %error),
     }
@@ -85,9 +85,9 @@
             return;
         }
         if now >= next_look {
-            look_for_peers(node, now.since(begun) >= LATE_CONFIGURATION).await;
+            look_for_peers(node, now.since(begun) >= CONFIGURATION_PATIENCE).await;
             next_look = node.clock.now()
-                + LOOK_EVERY
+                + POLL_INTERVAL
                     .max(look_pause(node))
                     .mul_f64(rand::rng().random_range(0.75..1.25));
         }
@@ -103,7 +103,7 @@
 /// fleet.
 fn look_pause<P: Platform>(node: &Node<P>) -> Duration {
     if tree::is_below_relays(node) {
-        LARGE_FLEET_LOOK_EVERY
+        LARGE_FLEET_POLL_INTERVAL
     } else {
         Duration::ZERO
     }
@@ -137,7 +137,7 @@
 
 /// Reads a prefix and applies the items that are new.
 async fn look_at<P: Platform>(node: &Node<P>, prefix: &str) {
-    let read = node.store().range(prefix, Freshness::MayLag, LOOK_LIMIT).await;
+    let read = node.store().range(prefix, Freshness::MayLag, POLL_TIMEOUT).await;
     match read {
         Ok(snapshot) => view::apply_newer(node, snapshot),
         Err(error) => tracing::debug!(target: "directory", event = "reading peers failed", prefix, %error),
--- a/crates/croftrill-node/src/directory/backoff.rs
+++ b/crates/croftrill-node/src/directory/backoff.rs
@@ -8,11 +8,11 @@
 use crate::ports::StoreError;
 
 /// Timeout for a page of a read of everything, at the first attempt.
-const LEAST_READ_LIMIT: Duration = Duration::from_millis(900);
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum timeout for a page after failures.
-const MOST_READ_LIMIT: Duration = Duration::from_secs(8);
+const MAX_READ_TIMEOUT: Duration = Duration::from_secs(8);
 /// Maximum pause after the first failed call.
-const LEAST_BACKOFF: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Pauses after failed calls, with an exponential delay, and logs when the store becomes
 /// unreachable and reachable.
@@ -25,7 +25,7 @@
     /// Returns the timeout for a page of a read of everything. It is short at first, as the
     /// store may not respond, and grows with each failure, as many nodes may read at once.
     pub(super) fn read_limit(&self) -> Duration {
-        (LEAST_READ_LIMIT * 2u32.pow(self.failures.min(4))).min(MOST_READ_LIMIT)
+        (INITIAL_READ_TIMEOUT * 2u32.pow(self.failures.min(4))).min(MAX_READ_TIMEOUT)
     }
 
     /// Records a successful call.
@@ -42,7 +42,7 @@
             tracing::warn!(target: "directory", event = "store call failed", call, %error);
         }
         self.failures = (self.failures + 1).min(8);
-        let longest = (LEAST_BACKOFF * 2u32.pow(self.failures - 1)).min(longest);
+        let longest = (INITIAL_BACKOFF * 2u32.pow(self.failures - 1)).min(longest);
         let share = rand::rng().random_range(0.5..1.0);
         sleep(longest.mul_f64(share)).await;
     }
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -27,29 +27,29 @@
 use crate::tree;
 
 /// The prefix that matches all keys.
-const EVERYTHING: &str = "";
+const ALL_KEYS: &str = "";
 /// Time for which a node waits for a relay after its start. Many nodes may start at the
 /// same time, and no bound on the age of a view applies yet.
-const FIRST_PATIENCE: Duration = Duration::from_millis(2500);
+const INITIAL_PATIENCE: Duration = Duration::from_millis(2500);
 /// Maximum rate of retries of all nodes together while the store fails, in calls per
 /// second: low compared with the thousands of calls that a fleet's store serves.
 const RETRIES_PER_SECOND: f64 = 100.0;
 /// Maximum pause after failed calls in a small fleet.
-const LEAST_LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const SMALL_FLEET_MAX_PAUSE: Duration = Duration::from_millis(600);
 /// Maximum pause in any fleet: half of the time within which nodes are expected to reach a
 /// store that is available again.
-const MOST_LONGEST_PAUSE: Duration = Duration::from_millis(2500);
+const MAX_PAUSE: Duration = Duration::from_millis(2500);
 /// Time between two checks whether a pending watch has missed a change.
-const AUDIT_EVERY: Duration = Duration::from_millis(700);
+const AUDIT_INTERVAL: Duration = Duration::from_millis(700);
 /// Amount of history that a node reads in any case, in bytes: 0.1 s over 10 Mbit/s.
-const LEAST_HISTORY_BYTES: u64 = 128 * 1024;
+const MIN_HISTORY_LIMIT_BYTES: u64 = 128 * 1024;
 /// Maximum size of the history to read, relative to the size of the current state. On the
 /// wire an item takes about 1.5 times its size, so a node that must read everything after
 /// all has lost less than the time of one more such read.
-const HISTORY_PER_STATE: u64 = 2;
+const MAX_HISTORY_TO_STATE_RATIO: u64 = 2;
 /// Maximum time to read history over the link of a node that others depend on. While a
 /// fleet starts, its whole state is recent history, and a full read would take as long.
-const HISTORY_TIME: Duration = Duration::from_millis(400);
+const MAX_HISTORY_READ_TIME: Duration = Duration::from_millis(400);
 /// Approximate size of an entry of a replica or of a node in the store, in bytes.
 const ENTRY_BYTES: u64 = 250;
 /// Time in which a watch must return a change after the store's revision has increased.
@@ -62,7 +62,7 @@
 pub async fn follow<P: Platform>(node: Rc<Node<P>>) {
     let mut backoff = Backoff::default();
     let mut freshness = Freshness::MayLag;
-    let mut patience = FIRST_PATIENCE;
+    let mut patience = INITIAL_PATIENCE;
     loop {
         if !hears_view_from_relay(&node).await {
             read_everything(&node, &mut backoff, freshness).await;
@@ -83,7 +83,7 @@
         // in between must not count as known.
         node.state.borrow_mut().directory.reset();
         let limit = backoff.read_limit();
-        match node.store().range(EVERYTHING, freshness, limit).await {
+        match node.store().range(ALL_KEYS, freshness, limit).await {
             Ok(snapshot) if snapshot.revision < node.state.borrow().directory.reached() => {
                 backoff.succeeded();
                 // A peer published a newer full view meanwhile. If the older items were
@@ -135,12 +135,12 @@
         .map_or(0, |item| item.value.len());
     let holds_bytes = entries as u64 * ENTRY_BYTES + configuration as u64;
     drop(state);
-    let most = LEAST_HISTORY_BYTES.max(HISTORY_PER_STATE * holds_bytes);
+    let most = MIN_HISTORY_LIMIT_BYTES.max(MAX_HISTORY_TO_STATE_RATIO * holds_bytes);
     if !is_depended_on(node) {
         return most;
     }
     let link = node.settings.identity.link_bytes_per_s as f64;
-    most.max((link * HISTORY_TIME.as_secs_f64()) as u64)
+    most.max((link * MAX_HISTORY_READ_TIME.as_secs_f64()) as u64)
 }
 
 /// The result of a node's own watch.
@@ -218,11 +218,11 @@
 /// a bounded rate, but nodes that others depend on retry often.
 fn longest_pause<P: Platform>(node: &Node<P>) -> Duration {
     if is_depended_on(node) {
-        return LEAST_LONGEST_PAUSE;
+        return SMALL_FLEET_MAX_PAUSE;
     }
     let nodes = node.state.borrow().members.node_count();
     let shared = Duration::from_secs_f64(nodes as f64 / RETRIES_PER_SECOND);
-    shared.clamp(LEAST_LONGEST_PAUSE, MOST_LONGEST_PAUSE)
+    shared.clamp(SMALL_FLEET_MAX_PAUSE, MAX_PAUSE)
 }
 
 /// Pauses after a failed watch, at most until the relay is trusted again.
@@ -243,7 +243,7 @@
     let store = node.store();
     let arrival = Arrival::default();
     let call = WatchCall {
-        prefix: EVERYTHING,
+        prefix: ALL_KEYS,
         after,
         wait: watch_wait(node),
         most_bytes,
@@ -316,7 +316,7 @@
 /// while stale reads still lag.
 async fn overtaken<P: Platform>(node: &Node<P>, after: u64) -> u64 {
     loop {
-        sleep(AUDIT_EVERY).await;
+        sleep(AUDIT_INTERVAL).await;
         let told = node.state.borrow().directory.announced();
         if told > after {
             return told;
--- a/crates/croftrill-node/src/directory/unheard.rs
+++ b/crates/croftrill-node/src/directory/unheard.rs
@@ -19,7 +19,7 @@
 use crate::tree;
 
 /// Timeout for a page of the replicas' entries.
-const READ_LIMIT: Duration = Duration::from_millis(900);
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Reads the replicas' entries whenever a request finds no holder of its model and the
 /// orderer of a shard is unreachable, until the process ends. One read serves all waiting
@@ -31,7 +31,7 @@
             continue;
         }
         let prefix = node.platform.records().replica_prefix();
-        match node.store().range(prefix, Freshness::Latest, READ_LIMIT).await {
+        match node.store().range(prefix, Freshness::Latest, READ_TIMEOUT).await {
             Ok(snapshot) => apply_holdings(&node, &snapshot),
             Err(error) => {
                 tracing::warn!(target: "directory", event = "reading the replicas' holdings failed", %error);
