--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -9,7 +9,7 @@
 mod await_relay;
 mod backoff;
 pub mod relay;
-mod unheard;
+mod unreachable;
 mod view;
 
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 
 use self::await_relay::{await_relay, hears_view_from_relay, must_ask_store};
 use self::backoff::Backoff;
-pub use self::unheard::read_holdings;
+pub use self::unreachable::read_holdings;
 use self::view::ViewChange;
 use crate::connection::Arrival;
 use crate::node::Node;
--- a/crates/croftrill-node/src/tree/whole_view.rs
+++ b/crates/croftrill-node/src/tree/full_view.rs
@@ -14,7 +14,7 @@
 
 /// Returns this node's view as changes to an empty view, with or without the replicas, or
 /// `None` if this node has no full view itself.
-pub(super) fn whole_view<P: Platform>(
+pub(super) fn full_view<P: Platform>(
     node: &Node<P>,
     proven_at: Moment,
     with_replicas: bool,
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -5,15 +5,15 @@
 //! followers ([`serve`]); a follower has one link, to a relay ([`follow`]). The tree has
 //! no third level: a relay serves followers only while it is linked to the orderers
 //! itself, so two nodes can never follow each other. If the fleet has many replicas, a
-//! follower knows only those that its requests may use ([`wants`], [`follower`]).
+//! follower knows only those that its requests may use ([`own_interests`], [`follower`]).
 //!
 //! [`role`]: croftrill_scheduler::relay_tree::role
 
 mod follow;
 mod follower;
+mod full_view;
+pub mod own_interests;
 mod serve;
-pub mod wants;
-mod whole_view;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,9 +31,9 @@
 pub use self::follow::follow_relays;
 pub use self::follower::FollowerNews;
 use self::follower::ToldPlacement;
+pub(crate) use self::own_interests::know;
+use self::own_interests::Wants;
 pub(crate) use self::serve::serve_follower;
-pub(crate) use self::wants::know;
-use self::wants::Wants;
 use crate::node::Node;
 use crate::peer::{
     DirectoryNews, FromOrderer, RevisedChange, WholePart, WireChange, WireModel, WirePlacement, WireScope,
@@ -317,7 +317,7 @@
         return parts.map(|message| message.encode()).collect();
     }
     let proven_at = node.state.borrow().tree.proven_at;
-    let whole = whole_view::whole_view(node, proven_at, with_replicas);
+    let whole = full_view::full_view(node, proven_at, with_replicas);
     match whole.and_then(|whole| WholePart::parts_of(whole, with_replicas)) {
         Some(parts) => parts
             .into_iter()
