--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -50,7 +50,7 @@
 /// message. Then the node does not wait for a relay that may have missed the same changes.
 fn misses_little<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    let is_small = state.replicas.len() <= node.settings.most_replicas_told && !state.tree.is_narrow();
+    let is_small = state.replicas.len() <= node.settings.most_replicas_told && !state.tree.is_partial();
     state.directory.reached() > 0 && is_small
 }
 
@@ -70,7 +70,7 @@
 /// Returns true if this node must not wait for a relay: others depend on it, or no relay
 /// can publish what it lacks.
 pub(super) fn must_ask_store<P: Platform>(node: &Node<P>) -> bool {
-    is_depended_on(node) || tree::is_history_gone(node) || tree::lacks_replicas(node)
+    is_depended_on(node) || tree::is_history_lost(node) || tree::lacks_replicas(node)
 }
 
 /// Waits until the relay is trusted, for up to `patience`, and meanwhile reads the entries
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -205,7 +205,7 @@
         .orderer(shard)
         .is_none_or(|holder| holder.name == entry.name);
     // An orderer that knows only part of the replicas would load models that others hold.
-    state.lifecycle == Lifecycle::Ready && free && !state.tree.is_narrow()
+    state.lifecycle == Lifecycle::Ready && free && !state.tree.is_partial()
 }
 
 /// Returns this node's position in line for a shard.
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -383,7 +383,7 @@
             }
         }
         FromOrderer::Whole(part) => relay::take_whole(node, part, whole, delay),
-        FromOrderer::HistoryGone => tree::history_gone(node),
+        FromOrderer::HistoryGone => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
         FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
         // Taken by the link itself, or not for it.
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -92,7 +92,7 @@
 fn uplink_without_relay<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
     let is_below = matches!(place_of(node, &state.members), TreeRole::Follower(_));
-    let is_large = state.tree.is_narrow || state.replicas.len() > node.settings.most_replicas_told;
+    let is_large = state.tree.is_partial || state.replicas.len() > node.settings.most_replicas_told;
     if is_below && is_large {
         Uplink::Nobody
     } else {
@@ -137,8 +137,8 @@
     let linked_at = Instant::now();
     let mut useful_at = Instant::now();
     let mut next_expiry = Instant::now() + EXPIRY_INTERVAL;
-    while !node.gives_orders() && !node.state.borrow().tree.is_called_upon {
-        if node.state.borrow().tree.exceeds_told {
+    while !node.gives_orders() && !node.state.borrow().tree.is_relay_requested {
+        if node.state.borrow().tree.exceeds_published {
             // On a new link, the relay publishes all replicas that this node must know, and
             // the node forgets the others. The relay's messages on the current link assume
             // that this node knows fewer replicas than it does.
@@ -159,7 +159,7 @@
         tokio::select! {
             frame = link.hear() => {
                 let Some(frame) = frame? else { return Err(io::ErrorKind::ConnectionReset.into()) };
-                if node.state.borrow().tree.exceeds_told {
+                if node.state.borrow().tree.exceeds_published {
                     continue;
                 }
                 let message = decode::<FromOrderer>(&frame)?;
@@ -196,7 +196,7 @@
         name: identity.name.clone(),
         zone: identity.zone.clone(),
         reached: state.directory.reached(),
-        knows_all: !state.tree.is_narrow,
+        knows_all: !state.tree.is_partial,
         interests: state.tree.wants.all().map(WireModel::from_interest).collect(),
     })
 }
@@ -255,13 +255,13 @@
 /// Records which replicas the relay publishes.
 fn take_scope<P: Platform>(node: &Node<P>, scope: WireScope) {
     let mut state = node.state.borrow_mut();
-    let is_narrow = scope == WireScope::ByInterest;
-    if is_narrow && !state.tree.is_narrow {
+    let is_partial = scope == WireScope::ByInterest;
+    if is_partial && !state.tree.is_partial {
         tracing::info!(target: "peer", event = "knows some replicas from now on");
     }
-    state.tree.told_scope = Some(scope);
+    state.tree.published_scope = Some(scope);
     // Reset only once all replicas have been received.
-    state.tree.is_narrow |= is_narrow;
+    state.tree.is_partial |= is_partial;
 }
 
 /// Applies replicas that match this node's interests. Returns false if the relay's view is
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -99,7 +99,7 @@
     pub(super) fn can_begin<P: Platform>(&self, node: &Node<P>) -> bool {
         let state = node.state.borrow();
         let reached = state.directory.reached();
-        reached > 0 && reached >= self.reached && !state.tree.is_narrow && state.configuration_item.is_some()
+        reached > 0 && reached >= self.reached && !state.tree.is_partial && state.configuration_item.is_some()
     }
 
     /// Returns the messages that the follower needs to continue from its own view.
--- a/crates/croftrill-node/src/tree/full_view.rs
+++ b/crates/croftrill-node/src/tree/full_view.rs
@@ -22,7 +22,7 @@
     let state = node.state.borrow();
     let reached = state.directory.reached();
     let configuration = state.configuration_item.as_ref()?;
-    if reached == 0 || with_replicas && state.tree.is_narrow {
+    if reached == 0 || with_replicas && state.tree.is_partial {
         return None;
     }
     let written = WireChange::Written {
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -78,23 +78,23 @@
     /// When the view at the end of the log was last known to be complete.
     proven_at: Moment,
     /// When a proof was last published.
-    proof_passed_at: Moment,
+    proof_published_at: Moment,
     /// When the node last requested missed changes from a peer.
-    replay_asked_at: Option<Moment>,
+    replay_requested_at: Option<Moment>,
     /// True once a peer could not replay the missed changes.
-    is_history_gone: bool,
+    is_history_lost: bool,
     /// When the orderers were last reminded of each model on behalf of a follower.
-    reminded: HashMap<WireModel, Moment>,
+    reminded_at: HashMap<WireModel, Moment>,
     /// True while this node knows only the replicas that match its interests.
-    is_narrow: bool,
+    is_partial: bool,
     /// Which replicas the relay publishes over the current link, once it has sent that.
-    told_scope: Option<WireScope>,
+    published_scope: Option<WireScope>,
     /// True once this node knows replicas from another source than the current link that
     /// its relay does not publish to it: it would receive no changes of these replicas.
-    exceeds_told: bool,
+    exceeds_published: bool,
     /// True once another node tried to follow this one, which is a relay by its own list
     /// of nodes, while this node was linked to another relay.
-    is_called_upon: bool,
+    is_relay_requested: bool,
     /// The interests of its own requests.
     wants: Wants,
 }
@@ -105,14 +105,14 @@
             uplink: Uplink::Orderers,
             log: RelayLog::new(MAX_LOG_BYTES),
             proven_at: Moment::default(),
-            proof_passed_at: Moment::default(),
-            replay_asked_at: None,
-            is_history_gone: false,
-            reminded: HashMap::new(),
-            is_narrow: false,
-            told_scope: None,
-            exceeds_told: false,
-            is_called_upon: false,
+            proof_published_at: Moment::default(),
+            replay_requested_at: None,
+            is_history_lost: false,
+            reminded_at: HashMap::new(),
+            is_partial: false,
+            published_scope: None,
+            exceeds_published: false,
+            is_relay_requested: false,
             wants: Wants::default(),
         }
     }
@@ -120,31 +120,31 @@
 
 impl TreeState {
     /// Returns true while the node knows only the replicas that match its interests.
-    pub fn is_narrow(&self) -> bool {
-        self.is_narrow
+    pub fn is_partial(&self) -> bool {
+        self.is_partial
     }
 
     /// Resets what the relay has published over the current link.
     fn reset_link(&mut self) {
-        self.told_scope = None;
-        self.exceeds_told = false;
-        self.is_called_upon = false;
+        self.published_scope = None;
+        self.exceeds_published = false;
+        self.is_relay_requested = false;
     }
 
     /// Returns true while the relay publishes only replicas that match the node's interests.
     fn is_told_by_interests(&self) -> bool {
-        self.told_scope == Some(WireScope::ByInterest)
+        self.published_scope == Some(WireScope::ByInterest)
     }
 
     /// Returns true if the orderers should be reminded of this model now, and records the
     /// reminder.
     fn takes_reminder(&mut self, model: &WireModel, now: Moment) -> bool {
-        self.reminded
+        self.reminded_at
             .retain(|_, at| now.since(*at) < MIN_REMINDER_INTERVAL);
-        if self.reminded.contains_key(model) {
+        if self.reminded_at.contains_key(model) {
             return false;
         }
-        self.reminded.insert(model.clone(), now);
+        self.reminded_at.insert(model.clone(), now);
         true
     }
 }
@@ -209,13 +209,13 @@
 /// from the store.
 pub(crate) fn lacks_replicas<P: Platform>(node: &Node<P>) -> bool {
     let tree = &node.state.borrow().tree;
-    tree.is_narrow && tree.uplink == Uplink::Orderers
+    tree.is_partial && tree.uplink == Uplink::Orderers
 }
 
 /// Records that this node knows all replicas.
 pub(crate) fn knows_all_replicas<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
-    state.tree.is_narrow = false;
+    state.tree.is_partial = false;
     state.replicas.clear_received_reload_times();
     knows_untold_replicas(node, &mut state.tree);
 }
@@ -227,8 +227,8 @@
 }
 
 fn knows_untold_replicas<P: Platform>(node: &Node<P>, tree: &mut TreeState) {
-    if tree.is_told_by_interests() && !tree.exceeds_told {
-        tree.exceeds_told = true;
+    if tree.is_told_by_interests() && !tree.exceeds_published {
+        tree.exceeds_published = true;
         node.relay_changed.notify_waiters();
     }
 }
@@ -282,10 +282,10 @@
     });
     tree.log.push(news.after, news.reached, changes);
     let says_nothing_new = news.after == news.reached;
-    if says_nothing_new && now.since(tree.proof_passed_at) < MIN_PROOF_INTERVAL {
+    if says_nothing_new && now.since(tree.proof_published_at) < MIN_PROOF_INTERVAL {
         return;
     }
-    tree.proof_passed_at = now;
+    tree.proof_published_at = now;
     drop(state);
     if node.followers.receiver_count() == 0 {
         return;
@@ -366,31 +366,31 @@
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let reached = state.directory.reached();
-    let asked = state.tree.replay_asked_at;
+    let asked = state.tree.replay_requested_at;
     let is_waiting = asked.is_some_and(|asked| now.since(asked) < retry_after);
-    if reached == 0 || is_waiting || state.tree.is_history_gone {
+    if reached == 0 || is_waiting || state.tree.is_history_lost {
         return None;
     }
-    state.tree.replay_asked_at = Some(now);
+    state.tree.replay_requested_at = Some(now);
     Some(reached)
 }
 
 /// Records that a peer cannot replay the missed changes, so that the store must be read.
-pub(crate) fn history_gone<P: Platform>(node: &Node<P>) {
-    node.state.borrow_mut().tree.is_history_gone = true;
+pub(crate) fn record_history_lost<P: Platform>(node: &Node<P>) {
+    node.state.borrow_mut().tree.is_history_lost = true;
     node.relay_changed.notify_waiters();
 }
 
 /// Returns true if no peer can replay the changes that this node missed.
-pub(crate) fn is_history_gone<P: Platform>(node: &Node<P>) -> bool {
-    node.state.borrow().tree.is_history_gone
+pub(crate) fn is_history_lost<P: Platform>(node: &Node<P>) -> bool {
+    node.state.borrow().tree.is_history_lost
 }
 
 /// Records that this node's view is complete again.
 pub(crate) fn gap_closed<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
-    state.tree.is_history_gone = false;
-    state.tree.replay_asked_at = None;
+    state.tree.is_history_lost = false;
+    state.tree.replay_requested_at = None;
 }
 
 /// Returns the message with the shards whose orderers this node is linked to.
--- a/crates/croftrill-node/src/tree/own_interests.rs
+++ b/crates/croftrill-node/src/tree/own_interests.rs
@@ -115,7 +115,7 @@
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
-    if !tree.is_narrow {
+    if !tree.is_partial {
         return true;
     }
     let states: Vec<WantState> = interests
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -34,7 +34,7 @@
     follow: WireFollow,
 ) -> io::Result<()> {
     if !is_direct(&node) {
-        called_upon(&node);
+        record_relay_request(&node);
         return Ok(());
     }
     let mut news = node.followers.subscribe();
@@ -107,13 +107,13 @@
 /// Records that another node tried to follow this node while it follows a relay itself. If
 /// this node is a relay by its own list of nodes, it leaves that relay and can be followed
 /// from then on. It does so only on request, as a relay reads the whole store.
-fn called_upon<P: Platform>(node: &Node<P>) {
+fn record_relay_request<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     if place_of(node, &state.members) != TreeRole::Relay {
         return;
     }
     tracing::info!(target: "peer", event = "leaving the relay to become a relay");
-    state.tree.is_called_upon = true;
+    state.tree.is_relay_requested = true;
     drop(state);
     node.relay_changed.notify_waiters();
 }
