--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -52,7 +52,7 @@
                 return NextReplica::Send(replica);
             }
         }
-        tree::know(&self.node, &self.interests()).await;
+        tree::wait_until_known(&self.node, &self.interests()).await;
         loop {
             if self.now() >= self.deadline {
                 return NextReplica::GiveUp("out of time", None);
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -197,14 +197,19 @@
         zone: identity.zone.clone(),
         reached: state.directory.reached(),
         knows_all: !state.tree.is_partial,
-        interests: state.tree.wants.all().map(WireModel::from_interest).collect(),
+        interests: state
+            .tree
+            .interests
+            .iter()
+            .map(WireModel::from_interest)
+            .collect(),
     })
 }
 
 /// Drops the interests that requests have not used for long, and sends them to the relay.
 async fn forget_unused<P: Platform>(node: &Node<P>, link: &mut PeerLink) -> io::Result<()> {
     let now = node.clock.now();
-    let unused = node.state.borrow_mut().tree.wants.expire(now);
+    let unused = node.state.borrow_mut().tree.interests.expire(now);
     if unused.is_empty() {
         return Ok(());
     }
@@ -294,7 +299,7 @@
         state.replicas.record_reload_time(key.service, key.model, time);
     }
     for interest in &told.answers {
-        state.tree.wants.answered(&interest.to_interest());
+        state.tree.interests.record_answer(&interest.to_interest());
     }
     drop(state);
     relay::announce(node);
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -31,8 +31,8 @@
 pub use self::follow::follow_relays;
 pub use self::follower::FollowerNews;
 use self::follower::ToldPlacement;
-pub(crate) use self::own_interests::know;
-use self::own_interests::Wants;
+pub(crate) use self::own_interests::wait_until_known;
+use self::own_interests::OwnInterests;
 pub(crate) use self::serve::serve_follower;
 use crate::node::Node;
 use crate::peer::{
@@ -96,7 +96,7 @@
     /// of nodes, while this node was linked to another relay.
     is_relay_requested: bool,
     /// The interests of its own requests.
-    wants: Wants,
+    interests: OwnInterests,
 }
 
 impl Default for TreeState {
@@ -113,7 +113,7 @@
             published_scope: None,
             exceeds_published: false,
             is_relay_requested: false,
-            wants: Wants::default(),
+            interests: OwnInterests::default(),
         }
     }
 }
--- a/crates/croftrill-node/src/tree/own_interests.rs
+++ b/crates/croftrill-node/src/tree/own_interests.rs
@@ -24,82 +24,82 @@
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Clone, Copy)]
-struct Want {
+struct InterestRecord {
     used_at: Moment,
-    asked_at: Option<Moment>,
+    requested_at: Option<Moment>,
     is_answered: bool,
 }
 
 /// The state of an interest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WantState {
+pub enum InterestState {
     /// The relay has published the replicas that serve it, and publishes every change.
     Answered,
     /// A request to the relay is due.
-    ToBeAsked,
+    RequestDue,
     /// The relay's answer is pending.
-    Awaited,
+    Pending,
 }
 
 /// The interests of a node.
 #[derive(Debug, Default)]
-pub struct Wants(HashMap<Interest, Want>);
+pub struct OwnInterests(HashMap<Interest, InterestRecord>);
 
-impl Wants {
+impl OwnInterests {
     /// Records that a request uses an interest, and returns the state of the interest. If a
     /// request to the relay is due, it counts as sent.
-    pub fn used(&mut self, interest: &Interest, now: Moment) -> WantState {
-        let want = self.0.entry(interest.clone()).or_insert(Want {
+    pub fn record_use(&mut self, interest: &Interest, now: Moment) -> InterestState {
+        let record = self.0.entry(interest.clone()).or_insert(InterestRecord {
             used_at: now,
-            asked_at: None,
+            requested_at: None,
             is_answered: false,
         });
-        want.used_at = now;
-        if want.is_answered {
-            return WantState::Answered;
+        record.used_at = now;
+        if record.is_answered {
+            return InterestState::Answered;
         }
-        if want
-            .asked_at
-            .is_some_and(|asked| now.since(asked) < RESEND_INTERVAL)
+        if record
+            .requested_at
+            .is_some_and(|requested| now.since(requested) < RESEND_INTERVAL)
         {
-            return WantState::Awaited;
+            return InterestState::Pending;
         }
-        want.asked_at = Some(now);
-        WantState::ToBeAsked
+        record.requested_at = Some(now);
+        InterestState::RequestDue
     }
 
     /// Records that the relay has published the replicas that serve an interest.
-    pub fn answered(&mut self, interest: &Interest) {
-        if let Some(want) = self.0.get_mut(interest) {
-            want.is_answered = true;
+    pub fn record_answer(&mut self, interest: &Interest) {
+        if let Some(record) = self.0.get_mut(interest) {
+            record.is_answered = true;
         }
     }
 
     /// Returns all interests.
-    pub fn all(&self) -> impl Iterator<Item = &Interest> {
+    pub fn iter(&self) -> impl Iterator<Item = &Interest> {
         self.0.keys()
     }
 
     /// Removes and returns the interests that have not been used for long.
     pub fn expire(&mut self, now: Moment) -> Vec<Interest> {
-        let is_over = |want: &Want| now.since(want.used_at) >= INTEREST_LIFETIME;
-        let over = self.0.iter().filter(|(_, want)| is_over(want));
-        let over: Vec<Interest> = over.map(|(interest, _)| interest.clone()).collect();
-        over.iter().for_each(|interest| {
+        let is_expired = |record: &InterestRecord| now.since(record.used_at) >= INTEREST_LIFETIME;
+        let expired = self.0.iter().filter(|(_, record)| is_expired(record));
+        let expired: Vec<Interest> = expired.map(|(interest, _)| interest.clone()).collect();
+        expired.iter().for_each(|interest| {
             self.0.remove(interest);
         });
-        over
+        expired
     }
 }
 
 /// Waits until this node knows the replicas that serve a request with these interests, for
 /// a limited time. Returns at once if the node knows all replicas.
-pub(crate) async fn know<P: Platform>(node: &Node<P>, interests: &[Interest]) {
+pub(crate) async fn wait_until_known<P: Platform>(node: &Node<P>, interests: &[Interest]) {
     let until = node.clock.now() + MAX_ANSWER_WAIT;
     let wait = async {
         loop {
             let changed = node.view_changed.notified();
-            if is_known(node, interests) {
+            if check_known(node, interests) {
                 return;
             }
             changed.await;
@@ -111,25 +111,25 @@
 
 /// Returns true if the node knows the replicas that serve these interests. Sends to the
 /// relay those interests for which a request is due.
-fn is_known<P: Platform>(node: &Node<P>, interests: &[Interest]) -> bool {
+fn check_known<P: Platform>(node: &Node<P>, interests: &[Interest]) -> bool {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
     if !tree.is_partial {
         return true;
     }
-    let states: Vec<WantState> = interests
+    let states: Vec<InterestState> = interests
         .iter()
-        .map(|interest| tree.wants.used(interest, now))
+        .map(|interest| tree.interests.record_use(interest, now))
         .collect();
     drop(state);
-    let asked = interests.iter().zip(&states);
-    let asked = asked.filter(|(_, state)| **state == WantState::ToBeAsked);
-    let asked: Vec<WireModel> = asked
+    let due = interests.iter().zip(&states);
+    let due = due.filter(|(_, state)| **state == InterestState::RequestDue);
+    let due: Vec<WireModel> = due
         .map(|(interest, _)| WireModel::from_interest(interest))
         .collect();
-    if !asked.is_empty() && follows_relay(node) {
-        node.tell_orderers(&ToOrderer::Want(asked.into()));
+    if !due.is_empty() && follows_relay(node) {
+        node.tell_orderers(&ToOrderer::Want(due.into()));
     }
-    states.iter().all(|state| *state == WantState::Answered)
+    states.iter().all(|state| *state == InterestState::Answered)
 }
