--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -33,13 +33,13 @@
         return false;
     }
     look_for_configuration(node).await;
-    if !tree::is_below_relays(node) {
+    if !tree::has_follower_role(node) {
         look_at(node, &zone_prefix(&node.settings.identity.zone)).await;
     }
     let share = rand::rng().random_range(1.0..2.0);
     let known = node.state.borrow().members.node_count();
     let until = node.clock.now() + (PATIENCE_PER_NODE * known as u32).mul_f64(share);
-    let may_wait = || tree::is_below_relays(node) && !must_ask_store(node) && node.clock.now() < until;
+    let may_wait = || tree::has_follower_role(node) && !must_ask_store(node) && node.clock.now() < until;
     while !relay::covers(node) && may_wait() {
         await_relay(node, LARGE_FLEET_POLL_INTERVAL).await;
     }
@@ -102,7 +102,7 @@
 /// Returns the pause before a waiting node reads the entries of its peers: none in a small
 /// fleet.
 fn look_pause<P: Platform>(node: &Node<P>) -> Duration {
-    if tree::is_below_relays(node) {
+    if tree::has_follower_role(node) {
         LARGE_FLEET_POLL_INTERVAL
     } else {
         Duration::ZERO
@@ -118,7 +118,7 @@
     if has_configuration && node.state.borrow().linked.contains(&true) {
         return;
     }
-    let is_below = tree::is_below_relays(node);
+    let is_below = tree::has_follower_role(node);
     if is_below && tree::follows_relay(node) && !relays_are_late {
         // The relay publishes all of this as soon as it can.
         return;
@@ -130,7 +130,7 @@
         return;
     }
     look_at(node, &zone_prefix(&node.settings.identity.zone)).await;
-    if !tree::is_below_relays(node) {
+    if !tree::has_follower_role(node) {
         look_at(node, ORDERER_PREFIX).await;
     }
 }
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -98,7 +98,7 @@
                     revision = snapshot.revision);
                 node.step_times
                     .time("read of everything", || view::apply_snapshot(node, snapshot));
-                tree::gap_closed(node);
+                tree::record_gap_closed(node);
                 return;
             }
             Err(error) => backoff.pause(&error, "range", longest_pause(node)).await,
@@ -172,7 +172,7 @@
 ) -> ViewGap {
     let mut at_once = true;
     await_relay(node, first_patience).await;
-    if !relay::covers(node) && tree::is_below_relays(node) {
+    if !relay::covers(node) && tree::has_follower_role(node) {
         hears_view_from_relay(node).await;
     }
     loop {
@@ -200,7 +200,7 @@
                 at_once = arrived_for > relay::PROMPT_ANSWER;
                 node.step_times.time("answer of a watch", || {
                     let changes = changes.without_replaced();
-                    relay::pass_on(node, &changes, asked_at);
+                    relay::publish_answer(node, &changes, asked_at);
                     let events = changes.events.into_iter().map(ViewChange::Store);
                     view::apply_changes(node, events, changes.revision);
                 });
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -37,7 +37,7 @@
 }
 
 /// Publishes the answer of an orderer's or a relay's watch to its listeners.
-pub(super) fn pass_on<P: Platform>(node: &Node<P>, changes: &Changes, asked_at: Moment) {
+pub(super) fn publish_answer<P: Platform>(node: &Node<P>, changes: &Changes, asked_at: Moment) {
     let gives_orders = node.gives_orders();
     if !gives_orders && !tree::is_relay(node) {
         return;
@@ -60,7 +60,7 @@
         // stopped, proves nothing about the time after its request.
         proven_at: if is_prompt(node, asked_at) { now } else { asked_at },
     };
-    tree::pass_on_news(node, span.news.clone(), span.proven_at);
+    tree::publish_span(node, span.news.clone(), span.proven_at);
     if gives_orders {
         node.inform_orderer_tasks(|| OrdererInput::Watched(span.clone()));
     }
@@ -200,7 +200,7 @@
     Metrics::count(&node.metrics.relayed, "directory", outcome_name(outcome));
     match outcome {
         RelayOutcome::Applied { is_regained } => {
-            tree::gap_closed(node);
+            tree::record_gap_closed(node);
             if tree::is_relay(node) {
                 relay_on(node, &news, span.proven_at);
             }
@@ -266,9 +266,9 @@
     }
     tracing::info!(target: "directory", event = "taking a peer's whole view", reached, has_replicas);
     if has_replicas {
-        tree::knows_all_replicas(node);
+        tree::record_all_replicas_known(node);
     }
-    tree::gap_closed(node);
+    tree::record_gap_closed(node);
     let changes: Vec<ViewChange> = whole
         .changes
         .into_iter()
@@ -295,7 +295,7 @@
         changes: newer.cloned().collect(),
         ..*news
     };
-    tree::pass_on_news(node, relayed, proven_at);
+    tree::publish_span(node, relayed, proven_at);
 }
 
 fn outcome_name(outcome: RelayOutcome) -> &'static str {
--- a/crates/croftrill-node/src/directory/unreachable.rs
+++ b/crates/croftrill-node/src/directory/unreachable.rs
@@ -73,7 +73,7 @@
     tracing::info!(target: "directory", event = "read what replicas of unheard orderers hold",
         replicas = read, changed = changed.len(), revision = snapshot.revision);
     if !changed.is_empty() {
-        tree::pass_on_read(node, &changed);
+        tree::publish_read_placements(node, &changed);
         relay::announce(node);
     }
 }
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -49,7 +49,7 @@
         apply_item(node, item);
     }
     node.state.borrow_mut().directory.advance(snapshot.revision);
-    tree::knows_all_replicas(node);
+    tree::record_all_replicas_known(node);
     announce(node);
 }
 
@@ -170,7 +170,7 @@
             let is_unknown = node.state.borrow().replicas.get(&listing.id).is_none();
             node.state.borrow_mut().replicas.apply_listing(listing);
             if is_unknown {
-                tree::learned_replicas(node);
+                tree::record_learned_replicas(node);
             }
         }
         Record::Malformed(reason) => {
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -562,7 +562,7 @@
         let wire = wire.map(|placement| WirePlacement::from_placement(placement, now));
         for part in WirePlacement::in_parts(wire.collect()) {
             let message = FromOrderer::Placements(part.clone().into()).encode();
-            tree::pass_on_placements(&self.node, &part, &message);
+            tree::publish_placements(&self.node, &part, &message);
             // Sending fails only while there are no subscribers.
             let _ = self.changes.send(message);
         }
@@ -587,7 +587,7 @@
             resignation: wire.clone(),
         };
         let to_followers = FromOrderer::RelayedResignation(relayed).serialize_bin();
-        tree::pass_on(&self.node, Bytes::from(to_followers));
+        tree::publish_message(&self.node, Bytes::from(to_followers));
         let message = FromOrderer::Resigned(wire);
         let _ = self.changes.send(Bytes::from(message.serialize_bin()));
         tracing::info!(target: "orderer", event = "resigned", fencing_token, record = record.revision,
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -234,7 +234,7 @@
     let any = state.linked.contains(&true);
     drop(state);
     if was_linked != is_linked {
-        tree::pass_on_linked(node);
+        tree::publish_linked(node);
     }
     if !any {
         relay::lost(node);
@@ -357,12 +357,12 @@
             resignation,
         };
         let message = FromOrderer::RelayedResignation(relayed.clone());
-        tree::pass_on(node, Bytes::from(message.serialize_bin()));
+        tree::publish_message(node, Bytes::from(message.serialize_bin()));
         hear_resignation(node, relayed);
         return None;
     }
     if let FromOrderer::Placements(placements) = &message {
-        tree::pass_on_placements(node, placements, &frame);
+        tree::publish_placements(node, placements, &frame);
     }
     take_common_message(node, message, delay, whole)
 }
@@ -379,7 +379,7 @@
         FromOrderer::Directory(news) => {
             let outcome = relay::take_news(node, news, delay);
             if outcome == Some(RelayOutcome::Gap) {
-                return tree::wanted_replay(node, REPLAY_PATIENCE).map(ToOrderer::Replay);
+                return tree::start_replay(node, REPLAY_PATIENCE).map(ToOrderer::Replay);
             }
         }
         FromOrderer::Whole(part) => relay::take_whole(node, part, whole, delay),
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 
-use super::{place_of, relays_above, Uplink};
+use super::{candidate_relays, role_of, Uplink};
 use crate::directory::relay::{self, WholeInParts};
 use crate::link::PeerLink;
 use crate::load_updates;
@@ -44,7 +44,7 @@
     let mut failed: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
         failed.retain(|_, at| at.elapsed() < FAILED_RELAY_COOLDOWN);
-        let relays = relays_above(&node);
+        let relays = candidate_relays(&node);
         let relay = relays.iter().find(|address| !failed.contains_key(address));
         let Some(address) = relay.copied() else {
             leave_relays(&node);
@@ -72,7 +72,7 @@
 /// Sets the uplink for a node that has no relay to follow, or whose relays are all
 /// unreachable.
 fn leave_relays<P: Platform>(node: &Node<P>) {
-    let uplink = uplink_without_relay(node);
+    let uplink = fallback_uplink(node);
     let former = std::mem::replace(&mut node.state.borrow_mut().tree.uplink, uplink);
     if former == uplink {
         return;
@@ -89,9 +89,9 @@
 /// direct links. Nodes that are not followers use these links, and in a fleet of few
 /// replicas all nodes may. In a large fleet the followers would saturate the orderers'
 /// links, so they continue with the replicas that they know.
-fn uplink_without_relay<P: Platform>(node: &Node<P>) -> Uplink {
+fn fallback_uplink<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
-    let is_below = matches!(place_of(node, &state.members), TreeRole::Follower(_));
+    let is_below = matches!(role_of(node, &state.members), TreeRole::Follower(_));
     let is_large = state.tree.is_partial || state.replicas.len() > node.settings.most_replicas_told;
     if is_below && is_large {
         Uplink::Nobody
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -132,13 +132,13 @@
     }
 
     /// Returns true while the relay publishes only replicas that match the node's interests.
-    fn is_told_by_interests(&self) -> bool {
+    fn is_published_by_interest(&self) -> bool {
         self.published_scope == Some(WireScope::ByInterest)
     }
 
     /// Returns true if the orderers should be reminded of this model now, and records the
     /// reminder.
-    fn takes_reminder(&mut self, model: &WireModel, now: Moment) -> bool {
+    fn should_remind(&mut self, model: &WireModel, now: Moment) -> bool {
         self.reminded_at
             .retain(|_, at| now.since(*at) < MIN_REMINDER_INTERVAL);
         if self.reminded_at.contains_key(model) {
@@ -156,9 +156,9 @@
 
 /// Returns the addresses of the relays that a node may follow, in order of preference,
 /// or none if the node should be linked to the orderers directly.
-fn relays_above<P: Platform>(node: &Node<P>) -> Vec<SocketAddr> {
+fn candidate_relays<P: Platform>(node: &Node<P>) -> Vec<SocketAddr> {
     let state = node.state.borrow();
-    let TreeRole::Follower(relays) = place_of(node, &state.members) else {
+    let TreeRole::Follower(relays) = role_of(node, &state.members) else {
         return Vec::new();
     };
     let address_of = |name: &&str| {
@@ -172,17 +172,17 @@
 /// of nodes, or it has followers whose lists differ.
 pub(crate) fn is_relay<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    let is_chosen = || place_of(node, &state.members) == TreeRole::Relay;
+    let is_chosen = || role_of(node, &state.members) == TreeRole::Relay;
     state.tree.uplink == Uplink::Orderers && (node.followers.receiver_count() > 0 || is_chosen())
 }
 
 /// Returns true if this node is a follower by its own list of nodes.
-pub(crate) fn is_below_relays<P: Platform>(node: &Node<P>) -> bool {
+pub(crate) fn has_follower_role<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    matches!(place_of(node, &state.members), TreeRole::Follower(_))
+    matches!(role_of(node, &state.members), TreeRole::Follower(_))
 }
 
-fn place_of<'a, P: Platform>(node: &'a Node<P>, members: &'a crate::membership::Members) -> TreeRole<'a> {
+fn role_of<'a, P: Platform>(node: &'a Node<P>, members: &'a crate::membership::Members) -> TreeRole<'a> {
     let is_orderer = |name: &str| members.orderers().any(|(_, orderer)| orderer.name == name);
     let identity = &node.settings.identity;
     let own = TreeNode {
@@ -213,28 +213,28 @@
 }
 
 /// Records that this node knows all replicas.
-pub(crate) fn knows_all_replicas<P: Platform>(node: &Node<P>) {
+pub(crate) fn record_all_replicas_known<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     state.tree.is_partial = false;
     state.replicas.clear_received_reload_times();
-    knows_untold_replicas(node, &mut state.tree);
+    record_unpublished_replicas(node, &mut state.tree);
 }
 
 /// Records that this node read new replicas from the store. If it follows a relay that
 /// publishes by interest, it must reconnect to the relay.
-pub(crate) fn learned_replicas<P: Platform>(node: &Node<P>) {
-    knows_untold_replicas(node, &mut node.state.borrow_mut().tree);
+pub(crate) fn record_learned_replicas<P: Platform>(node: &Node<P>) {
+    record_unpublished_replicas(node, &mut node.state.borrow_mut().tree);
 }
 
-fn knows_untold_replicas<P: Platform>(node: &Node<P>, tree: &mut TreeState) {
-    if tree.is_told_by_interests() && !tree.exceeds_published {
+fn record_unpublished_replicas<P: Platform>(node: &Node<P>, tree: &mut TreeState) {
+    if tree.is_published_by_interest() && !tree.exceeds_published {
         tree.exceeds_published = true;
         node.relay_changed.notify_waiters();
     }
 }
 
 /// Publishes an update to this node's followers, if it has any.
-fn pass_on_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> FollowerNews) {
+fn publish_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> FollowerNews) {
     if node.followers.receiver_count() > 0 {
         // Fails only after the last follower disconnected.
         let _ = node.followers.send(news());
@@ -242,13 +242,13 @@
 }
 
 /// Publishes the same message to all followers of this node.
-pub(crate) fn pass_on<P: Platform>(node: &Node<P>, message: Bytes) {
-    pass_on_to_followers(node, || FollowerNews::Common(message));
+pub(crate) fn publish_message<P: Platform>(node: &Node<P>, message: Bytes) {
+    publish_to_followers(node, || FollowerNews::Common(message));
 }
 
 /// Publishes placements to this node's followers. `message` is their encoded form.
-pub(crate) fn pass_on_placements<P: Platform>(node: &Node<P>, placements: &[WirePlacement], message: &Bytes) {
-    pass_on_to_followers(node, || {
+pub(crate) fn publish_placements<P: Platform>(node: &Node<P>, placements: &[WirePlacement], message: &Bytes) {
+    publish_to_followers(node, || {
         let now = node.clock.now();
         let read = placements.iter().map(|wire| ToldPlacement::read(wire, now));
         FollowerNews::Placements(Rc::new(read.collect()), message.clone())
@@ -257,20 +257,20 @@
 
 /// Publishes placements that this node read from the store, for followers that receive
 /// them from no other node.
-pub(crate) fn pass_on_read<P: Platform>(node: &Node<P>, placements: &[Placement]) {
+pub(crate) fn publish_read_placements<P: Platform>(node: &Node<P>, placements: &[Placement]) {
     let now = node.clock.now();
     let wire = placements
         .iter()
         .map(|placement| WirePlacement::from_placement(placement, now));
     for part in WirePlacement::in_parts(wire.collect()) {
         let message = FromOrderer::Placements(part.clone().into()).encode();
-        pass_on_placements(node, &part, &message);
+        publish_placements(node, &part, &message);
     }
 }
 
 /// Publishes a span of the store's changes to the followers and logs it for those that
 /// miss it.
-pub(crate) fn pass_on_news<P: Platform>(node: &Node<P>, mut news: DirectoryNews, proven_at: Moment) {
+pub(crate) fn publish_span<P: Platform>(node: &Node<P>, mut news: DirectoryNews, proven_at: Moment) {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
@@ -294,7 +294,7 @@
     for part in news.into_parts() {
         let part = Rc::new(part);
         let message = FromOrderer::Directory(part.as_ref().clone()).encode();
-        pass_on_to_followers(node, || FollowerNews::Directory(part, message));
+        publish_to_followers(node, || FollowerNews::Directory(part, message));
     }
 }
 
@@ -362,7 +362,7 @@
 /// Returns the revision after which a peer should replay the changes, if a replay should
 /// be requested now, and records the request. Only one replay is requested at a time, as
 /// every peer sends the same changes.
-pub(crate) fn wanted_replay<P: Platform>(node: &Node<P>, retry_after: Duration) -> Option<u64> {
+pub(crate) fn start_replay<P: Platform>(node: &Node<P>, retry_after: Duration) -> Option<u64> {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let reached = state.directory.reached();
@@ -387,7 +387,7 @@
 }
 
 /// Records that this node's view is complete again.
-pub(crate) fn gap_closed<P: Platform>(node: &Node<P>) {
+pub(crate) fn record_gap_closed<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
     state.tree.is_history_lost = false;
     state.tree.replay_requested_at = None;
@@ -400,6 +400,6 @@
 }
 
 /// Publishes to the followers the shards whose orderers this node is linked to.
-pub(crate) fn pass_on_linked<P: Platform>(node: &Node<P>) {
-    pass_on(node, linked_message(node));
+pub(crate) fn publish_linked<P: Platform>(node: &Node<P>) {
+    publish_message(node, linked_message(node));
 }
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use super::follower::{Follower, FollowerNews};
-use super::{is_direct, linked_message, place_of};
+use super::{is_direct, linked_message, role_of};
 use crate::crash_reports;
 use crate::link::PeerLink;
 use crate::load_updates::{self, LoadFollower};
@@ -109,7 +109,7 @@
 /// from then on. It does so only on request, as a relay reads the whole store.
 fn record_relay_request<P: Platform>(node: &Node<P>) {
     let mut state = node.state.borrow_mut();
-    if place_of(node, &state.members) != TreeRole::Relay {
+    if role_of(node, &state.members) != TreeRole::Relay {
         return;
     }
     tracing::info!(target: "peer", event = "leaving the relay to become a relay");
@@ -159,7 +159,7 @@
         ToOrderer::Waiting(model) => {
             node.holdings_wanted.notify_one();
             let now = node.clock.now();
-            let is_due = node.state.borrow_mut().tree.takes_reminder(&model, now);
+            let is_due = node.state.borrow_mut().tree.should_remind(&model, now);
             if is_due {
                 node.tell_orderers(&ToOrderer::Waiting(model));
             }
