--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -35,7 +35,7 @@
 use crate::quota::Quotas;
 use crate::settings::NodeSettings;
 use crate::step_times::StepTimes;
-use crate::tree::{FollowerNews, TreeState, Uplink, FOLLOWER_BACKLOG};
+use crate::tree::{RelayedUpdate, TreeState, Uplink, FOLLOWER_BACKLOG};
 
 /// Where a node is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -175,7 +175,7 @@
     /// that it sees what it holds already.
     pub acquiring: Mutex<()>,
     /// News for the nodes that follow this one.
-    pub followers: broadcast::Sender<FollowerNews>,
+    pub followers: broadcast::Sender<RelayedUpdate>,
     to_orderers: Vec<mpsc::Sender<ToOrderer>>,
     to_relay: mpsc::Sender<ToOrderer>,
     orderer_inboxes: Vec<mpsc::Sender<OrdererInput>>,
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -21,25 +21,25 @@
 /// An update for all followers of a relay. It is encoded once for those that know all
 /// replicas.
 #[derive(Debug, Clone)]
-pub enum FollowerNews {
+pub enum RelayedUpdate {
     /// A message that is the same for all followers.
     Common(Bytes),
     /// Changes of the store, and their encoded form.
     Directory(Rc<DirectoryNews>, Bytes),
     /// Placements, decoded once for all followers, and their encoded form.
-    Placements(Rc<Vec<ToldPlacement>>, Bytes),
+    Placements(Rc<Vec<PublishedPlacement>>, Bytes),
 }
 
 /// A placement and its message form.
 #[derive(Debug)]
-pub struct ToldPlacement {
+pub struct PublishedPlacement {
     wire: WirePlacement,
     placement: Placement,
 }
 
-impl ToldPlacement {
-    pub(super) fn read(wire: &WirePlacement, now: Moment) -> Self {
-        ToldPlacement {
+impl PublishedPlacement {
+    pub(super) fn from_wire(wire: &WirePlacement, now: Moment) -> Self {
+        PublishedPlacement {
             wire: wire.clone(),
             placement: wire.to_placement(now),
         }
@@ -55,7 +55,7 @@
     knows_all: bool,
     /// Revision of the view that was last published to the follower on connecting or as a
     /// replay. Queued updates up to this revision are skipped, as that view includes them.
-    told_up_to: u64,
+    published_up_to: u64,
 }
 
 impl Follower {
@@ -79,7 +79,7 @@
             interests,
             reached: follow.reached,
             knows_all: follow.knows_all,
-            told_up_to: 0,
+            published_up_to: 0,
         }
     }
 
@@ -96,23 +96,23 @@
 
     /// Returns true if this node has a full view that is no older than the follower's view,
     /// which must not move backwards.
-    pub(super) fn can_begin<P: Platform>(&self, node: &Node<P>) -> bool {
+    pub(super) fn can_start<P: Platform>(&self, node: &Node<P>) -> bool {
         let state = node.state.borrow();
         let reached = state.directory.reached();
         reached > 0 && reached >= self.reached && !state.tree.is_partial && state.configuration_item.is_some()
     }
 
     /// Returns the messages that the follower needs to continue from its own view.
-    pub(super) fn beginning<P: Platform>(&mut self, node: &Node<P>) -> Vec<Bytes> {
-        let lacks_replicas = self.scope == WireScope::All && !self.knows_all;
-        let after = if lacks_replicas { 0 } else { self.reached };
+    pub(super) fn initial_messages<P: Platform>(&mut self, node: &Node<P>) -> Vec<Bytes> {
+        let needs_replicas = self.scope == WireScope::All && !self.knows_all;
+        let after = if needs_replicas { 0 } else { self.reached };
         self.view_since(node, after)
     }
 
     /// Returns the messages with the changes after a revision, or with the full view, and
     /// with the replicas and their placements.
     pub(super) fn view_since<P: Platform>(&mut self, node: &Node<P>, after: u64) -> Vec<Bytes> {
-        self.told_up_to = node.state.borrow().directory.reached();
+        self.published_up_to = node.state.borrow().directory.reached();
         if self.scope == WireScope::All {
             let mut messages = view_since(node, after, true);
             messages.extend(known_placements(node));
@@ -122,13 +122,17 @@
         let answers: Vec<Interest> = self.interests.iter().cloned().collect();
         // The view advances the follower's revision without the changes of replicas. The
         // replicas are sent first, as the link may end in between.
-        let mut messages = self.replicas_messages(node, &ids, &answers, true);
+        let mut messages = self.replica_messages(node, &ids, &answers, true);
         messages.extend(view_since(node, after, false));
         messages
     }
 
     /// Adds interests of the follower and returns the messages with the matching replicas.
-    pub(super) fn want<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Vec<Bytes> {
+    pub(super) fn add_interests<P: Platform>(
+        &mut self,
+        node: &Node<P>,
+        interests: &[WireModel],
+    ) -> Vec<Bytes> {
         let interests: Vec<Interest> = interests.iter().map(WireModel::to_interest).collect();
         let mut ids = Vec::new();
         for interest in &interests {
@@ -137,74 +141,74 @@
         }
         ids.sort();
         ids.dedup();
-        self.replicas_messages(node, &ids, &interests, false)
+        self.replica_messages(node, &ids, &interests, false)
     }
 
     /// Removes interests that the follower no longer uses, and returns the message with the
     /// replicas that are no longer published to it.
-    pub(super) fn forget<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Bytes {
+    pub(super) fn remove_interests<P: Platform>(&mut self, node: &Node<P>, interests: &[WireModel]) -> Bytes {
         let interests: Vec<Interest> = interests.iter().map(WireModel::to_interest).collect();
-        let gone = self
+        let removed = self
             .interests
             .remove_interests(&node.state.borrow().replicas, &interests);
-        FromOrderer::Forgotten(gone.iter().map(ToString::to_string).collect()).encode()
+        FromOrderer::Forgotten(removed.iter().map(ToString::to_string).collect()).encode()
     }
 
     /// Returns the messages to the follower about an update.
-    pub(super) fn news<P: Platform>(&mut self, node: &Node<P>, news: &FollowerNews) -> Vec<Bytes> {
-        match news {
-            FollowerNews::Common(message) => vec![message.clone()],
-            FollowerNews::Directory(_, message) | FollowerNews::Placements(_, message)
+    pub(super) fn messages_for<P: Platform>(&mut self, node: &Node<P>, update: &RelayedUpdate) -> Vec<Bytes> {
+        match update {
+            RelayedUpdate::Common(message) => vec![message.clone()],
+            RelayedUpdate::Directory(_, message) | RelayedUpdate::Placements(_, message)
                 if self.scope == WireScope::All =>
             {
                 vec![message.clone()]
             }
-            FollowerNews::Directory(news, message) => self.directory_news(node, news, message),
-            FollowerNews::Placements(placements, _) => self.placement_news(node, placements),
+            RelayedUpdate::Directory(update, message) => self.directory_messages(node, update, message),
+            RelayedUpdate::Placements(placements, _) => self.placement_messages(node, placements),
         }
     }
 
     /// Returns the message to the follower about replicas' loads, if there is one.
-    pub(super) fn loads(&self, told: &FollowerLoads) -> Option<Bytes> {
+    pub(super) fn load_message(&self, loads: &FollowerLoads) -> Option<Bytes> {
         match self.scope {
-            WireScope::All => Some(told.message().clone()),
-            WireScope::ByInterest => told.filtered_message(|id| self.interests.knows(id)),
+            WireScope::All => Some(loads.message().clone()),
+            WireScope::ByInterest => loads.filtered_message(|id| self.interests.knows(id)),
         }
     }
 
-    fn directory_news<P: Platform>(
+    fn directory_messages<P: Platform>(
         &mut self,
         node: &Node<P>,
-        news: &DirectoryNews,
+        update: &DirectoryNews,
         message: &Bytes,
     ) -> Vec<Bytes> {
         let mut newly_known: Vec<ReplicaId> = Vec::new();
-        let mut changes: Vec<RevisedChange> = Vec::with_capacity(news.changes.len());
-        let told_up_to = self.told_up_to;
-        let newer = news.changes.iter();
-        for revised in newer.filter(|revised| revised.revision > told_up_to) {
-            match self.hears_change(node, &revised.change) {
+        let mut changes: Vec<RevisedChange> = Vec::with_capacity(update.changes.len());
+        let published_up_to = self.published_up_to;
+        let newer = update.changes.iter();
+        for revised in newer.filter(|revised| revised.revision > published_up_to) {
+            match self.update_for_change(node, &revised.change) {
                 FollowerUpdate::None => {}
                 FollowerUpdate::Change => changes.push(revised.clone()),
                 FollowerUpdate::Full => newly_known.extend(replica_of(node, &revised.change)),
             }
         }
-        let mut messages = if changes.len() == news.changes.len() {
+        let mut messages = if changes.len() == update.changes.len() {
             vec![message.clone()]
         } else {
             vec![FromOrderer::Directory(DirectoryNews {
                 changes: changes.into(),
-                ..*news
+                ..*update
             })
             .encode()]
         };
         if !newly_known.is_empty() {
-            messages.extend(self.replicas_messages(node, &newly_known, &[], false));
+            messages.extend(self.replica_messages(node, &newly_known, &[], false));
         }
         messages
     }
 
-    fn hears_change<P: Platform>(&mut self, node: &Node<P>, change: &WireChange) -> FollowerUpdate {
+    fn update_for_change<P: Platform>(&mut self, node: &Node<P>, change: &WireChange) -> FollowerUpdate {
         let Some(id) = replica_of(node, change) else {
             return FollowerUpdate::Change;
         };
@@ -217,18 +221,22 @@
         }
     }
 
-    fn placement_news<P: Platform>(&mut self, node: &Node<P>, placements: &[ToldPlacement]) -> Vec<Bytes> {
-        let mut told = Vec::new();
+    fn placement_messages<P: Platform>(
+        &mut self,
+        node: &Node<P>,
+        placements: &[PublishedPlacement],
+    ) -> Vec<Bytes> {
+        let mut changed = Vec::new();
         let mut newly_known = Vec::new();
         let mut with_copies = Vec::new();
-        for ToldPlacement { wire, placement } in placements {
-            let hears = {
+        for PublishedPlacement { wire, placement } in placements {
+            let update = {
                 let state = node.state.borrow();
                 self.interests.update_for_placement(&state.replicas, placement)
             };
-            match hears {
+            match update {
                 FollowerUpdate::None => {}
-                FollowerUpdate::Change => told.push(WirePlacement {
+                FollowerUpdate::Change => changed.push(WirePlacement {
                     copies: None,
                     ..wire.clone()
                 }),
@@ -240,11 +248,11 @@
             }
         }
         let mut messages = Vec::new();
-        if !told.is_empty() {
-            messages.push(FromOrderer::Placements(told.into()).encode());
+        if !changed.is_empty() {
+            messages.push(FromOrderer::Placements(changed.into()).encode());
         }
-        let wanted: Vec<Interest> = self.interests.of_models(&with_copies).cloned().collect();
-        let reloads = reloads(node, &wanted);
+        let affected: Vec<Interest> = self.interests.of_models(&with_copies).cloned().collect();
+        let reloads = reloads(node, &affected);
         if !newly_known.is_empty() || !reloads.is_empty() {
             let message = WireReplicas {
                 reached: node.state.borrow().directory.reached(),
@@ -258,7 +266,7 @@
     }
 
     /// Returns the messages with these replicas, which answer these interests.
-    fn replicas_messages<P: Platform>(
+    fn replica_messages<P: Platform>(
         &self,
         node: &Node<P>,
         ids: &[ReplicaId],
@@ -266,14 +274,14 @@
         replaces: bool,
     ) -> Vec<Bytes> {
         let reached = node.state.borrow().directory.reached();
-        let mut parts = in_parts(wire_replicas(node, ids), WireReplica::size_bytes, |_, _| true);
-        if parts.is_empty() {
-            parts.push(Vec::new());
+        let mut chunks = in_parts(wire_replicas(node, ids), WireReplica::size_bytes, |_, _| true);
+        if chunks.is_empty() {
+            chunks.push(Vec::new());
         }
-        let last = parts.len() - 1;
-        let messages = parts.into_iter().enumerate().map(|(index, replicas)| {
+        let last = chunks.len() - 1;
+        let messages = chunks.into_iter().enumerate().map(|(index, replicas)| {
             let is_last = index == last;
-            let told = WireReplicas {
+            let chunk = WireReplicas {
                 replaces: replaces && index == 0,
                 reached,
                 replicas: replicas.into(),
@@ -284,10 +292,10 @@
                 WireReplicas {
                     answers: answers.iter().map(WireModel::from_interest).collect(),
                     reloads: reloads(node, answers).into(),
-                    ..told
+                    ..chunk
                 }
             } else {
-                told
+                chunk
             })
         });
         messages.map(|message| message.encode()).collect()
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -29,8 +29,8 @@
 use nanoserde::SerBin;
 
 pub use self::follow::follow_relays;
-pub use self::follower::FollowerNews;
-use self::follower::ToldPlacement;
+use self::follower::PublishedPlacement;
+pub use self::follower::RelayedUpdate;
 pub(crate) use self::own_interests::wait_until_known;
 use self::own_interests::OwnInterests;
 pub(crate) use self::serve::serve_follower;
@@ -234,7 +234,7 @@
 }
 
 /// Publishes an update to this node's followers, if it has any.
-fn publish_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> FollowerNews) {
+fn publish_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> RelayedUpdate) {
     if node.followers.receiver_count() > 0 {
         // Fails only after the last follower disconnected.
         let _ = node.followers.send(news());
@@ -243,15 +243,17 @@
 
 /// Publishes the same message to all followers of this node.
 pub(crate) fn publish_message<P: Platform>(node: &Node<P>, message: Bytes) {
-    publish_to_followers(node, || FollowerNews::Common(message));
+    publish_to_followers(node, || RelayedUpdate::Common(message));
 }
 
 /// Publishes placements to this node's followers. `message` is their encoded form.
 pub(crate) fn publish_placements<P: Platform>(node: &Node<P>, placements: &[WirePlacement], message: &Bytes) {
     publish_to_followers(node, || {
         let now = node.clock.now();
-        let read = placements.iter().map(|wire| ToldPlacement::read(wire, now));
-        FollowerNews::Placements(Rc::new(read.collect()), message.clone())
+        let read = placements
+            .iter()
+            .map(|wire| PublishedPlacement::from_wire(wire, now));
+        RelayedUpdate::Placements(Rc::new(read.collect()), message.clone())
     });
 }
 
@@ -294,7 +296,7 @@
     for part in news.into_parts() {
         let part = Rc::new(part);
         let message = FromOrderer::Directory(part.as_ref().clone()).encode();
-        publish_to_followers(node, || FollowerNews::Directory(part, message));
+        publish_to_followers(node, || RelayedUpdate::Directory(part, message));
     }
 }
 
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -10,7 +10,7 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio::time::{sleep_until, Instant};
 
-use super::follower::{Follower, FollowerNews};
+use super::follower::{Follower, RelayedUpdate};
 use super::{is_direct, linked_message, role_of};
 use crate::crash_reports;
 use crate::link::PeerLink;
@@ -62,9 +62,9 @@
                 Ok(news) => {
                     let messages = match (&mut follower, news) {
                         (Some(follower), news) => {
-                            node.step_times.time("news for followers", || follower.news(&node, &news))
+                            node.step_times.time("news for followers", || follower.messages_for(&node, &news))
                         }
-                        (None, FollowerNews::Common(message)) => vec![message],
+                        (None, RelayedUpdate::Common(message)) => vec![message],
                         // The follower receives the current state when it is started.
                         (None, _) => Vec::new(),
                     };
@@ -77,7 +77,7 @@
                 Err(RecvError::Lagged(_) | RecvError::Closed) => return Ok(()),
             },
             told = loads.next() => {
-                if let Some(message) = follower.as_ref().and_then(|follower| follower.loads(&told)) {
+                if let Some(message) = follower.as_ref().and_then(|follower| follower.load_message(&told)) {
                     load_updates::count_sent_bytes(&node, &message);
                     link.send(message).await?;
                 }
@@ -126,14 +126,14 @@
     link: &mut PeerLink,
 ) -> io::Result<Option<Follower>> {
     let mut follower = Follower::new(node, follow);
-    if !follower.can_begin(node) {
+    if !follower.can_start(node) {
         return Ok(None);
     }
     link.send(FromOrderer::Scope(follower.scope()).encode()).await?;
-    let beginning = node
+    let messages = node
         .step_times
-        .time("view for a follower", || follower.beginning(node));
-    send_all(link, beginning).await?;
+        .time("view for a follower", || follower.initial_messages(node));
+    send_all(link, messages).await?;
     Ok(Some(follower))
 }
 
@@ -169,10 +169,12 @@
             return follower.map_or_else(Vec::new, |follower| follower.view_since(node, after));
         }
         ToOrderer::Want(interests) => {
-            return follower.map_or_else(Vec::new, |follower| follower.want(node, &interests));
+            return follower.map_or_else(Vec::new, |follower| follower.add_interests(node, &interests));
         }
         ToOrderer::Forget(interests) => {
-            return follower.map_or_else(Vec::new, |follower| vec![follower.forget(node, &interests)]);
+            return follower.map_or_else(Vec::new, |follower| {
+                vec![follower.remove_interests(node, &interests)]
+            });
         }
         // Valid only as the first message of a link.
         ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::AskQuotas(_) => {}
