--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -50,9 +50,9 @@
             leave_relays(&node);
             // The messages are meant only for a peer that the node is linked to.
             while outgoing.try_recv().is_ok() {}
-            let looked = sleep(RELAY_CHECK_INTERVAL);
+            let pause = sleep(RELAY_CHECK_INTERVAL);
             tokio::select! {
-                () = looked => {}
+                () = pause => {}
                 () = node.relay_changed.notified() => {}
                 () = node.view_changed.notified(), if relays.is_empty() => {}
             }
@@ -62,7 +62,7 @@
             }
             continue;
         };
-        let ended = listen_to(&node, address, &mut outgoing).await;
+        let ended = follow_relay(&node, address, &mut outgoing).await;
         let error = ended.err().map(|error| error.to_string());
         tracing::info!(target: "peer", event = "link to the relay ended", %address, error);
         failed.insert(address, Instant::now());
@@ -108,18 +108,18 @@
 }
 
 /// The state of a link to a relay.
-struct Followed {
+struct RelayLinkState {
     delay: LinkDelay,
-    whole: WholeInParts,
+    full_view: WholeInParts,
     /// True once the relay has had a view to publish.
-    has_begun: bool,
+    has_started: bool,
     /// True once the relay published replicas of an older view than this node's.
     lags_behind: bool,
 }
 
 /// Follows a relay until the link ends, the relay receives no updates itself, or this node
 /// must not follow it any more.
-async fn listen_to<P: Platform>(
+async fn follow_relay<P: Platform>(
     node: &Node<P>,
     address: SocketAddr,
     outgoing: &mut mpsc::Receiver<ToOrderer>,
@@ -128,10 +128,10 @@
     node.state.borrow_mut().tree.reset_link();
     link.send(Bytes::from(follow_message(node).serialize_bin()))
         .await?;
-    let mut followed = Followed {
+    let mut link_state = RelayLinkState {
         delay: LinkDelay::default(),
-        whole: WholeInParts::default(),
-        has_begun: false,
+        full_view: WholeInParts::default(),
+        has_started: false,
         lags_behind: false,
     };
     let linked_at = Instant::now();
@@ -146,7 +146,7 @@
                 "the node knows replicas that the relay does not tell of",
             ));
         }
-        let is_preparing = !followed.has_begun && linked_at.elapsed() < MAX_RELAY_PREPARATION;
+        let is_preparing = !link_state.has_started && linked_at.elapsed() < MAX_RELAY_PREPARATION;
         if is_useful(node) || is_preparing {
             useful_at = Instant::now();
         } else if useful_at.elapsed() > MAX_USELESS_RELAY_TIME {
@@ -154,7 +154,7 @@
         }
         if Instant::now() >= next_expiry {
             next_expiry = Instant::now() + EXPIRY_INTERVAL;
-            forget_unused(node, &mut link).await?;
+            expire_interests(node, &mut link).await?;
         }
         tokio::select! {
             frame = link.hear() => {
@@ -165,11 +165,11 @@
                 let message = decode::<FromOrderer>(&frame)?;
                 let reply = node
                     .step_times
-                    .time("message of a relay", || take_message(node, address, message, &mut followed));
+                    .time("message of a relay", || handle_message(node, address, message, &mut link_state));
                 if let Some(reply) = reply {
                     link.send(Bytes::from(reply.serialize_bin())).await?;
                 }
-                if followed.lags_behind {
+                if link_state.lags_behind {
                     // The changes that this node rejected would not be sent again. On a new
                     // link, the relay waits until it has caught up, and then publishes all
                     // replicas that this node must know.
@@ -207,7 +207,7 @@
 }
 
 /// Drops the interests that requests have not used for long, and sends them to the relay.
-async fn forget_unused<P: Platform>(node: &Node<P>, link: &mut PeerLink) -> io::Result<()> {
+async fn expire_interests<P: Platform>(node: &Node<P>, link: &mut PeerLink) -> io::Result<()> {
     let now = node.clock.now();
     let unused = node.state.borrow_mut().tree.interests.expire(now);
     if unused.is_empty() {
@@ -219,25 +219,30 @@
 }
 
 /// Handles a message of a relay and returns the reply to it, if any.
-fn take_message<P: Platform>(
+fn handle_message<P: Platform>(
     node: &Node<P>,
     relay: SocketAddr,
     message: FromOrderer,
-    followed: &mut Followed,
+    link_state: &mut RelayLinkState,
 ) -> Option<ToOrderer> {
     match message {
-        FromOrderer::Linked(linked) => take_linked(node, relay, &linked),
+        FromOrderer::Linked(linked) => apply_linked(node, relay, &linked),
         FromOrderer::Scope(scope) => {
-            followed.has_begun = true;
-            take_scope(node, scope);
+            link_state.has_started = true;
+            apply_scope(node, scope);
         }
-        FromOrderer::Replicas(replicas) => followed.lags_behind |= !take_replicas(node, replicas),
+        FromOrderer::Replicas(replicas) => link_state.lags_behind |= !apply_replicas(node, replicas),
         FromOrderer::Forgotten(ids) => {
             let mut state = node.state.borrow_mut();
             ids.iter().for_each(|id| state.replicas.forget(id));
         }
         message => {
-            return peer_link::take_common_message(node, message, &mut followed.delay, &mut followed.whole);
+            return peer_link::take_common_message(
+                node,
+                message,
+                &mut link_state.delay,
+                &mut link_state.full_view,
+            );
         }
     }
     None
@@ -245,20 +250,20 @@
 
 /// Records the shards whose orderers the relay is linked to. From now on the node does not
 /// need its own links to the orderers.
-fn take_linked<P: Platform>(node: &Node<P>, relay: SocketAddr, linked: &[bool]) {
-    let hears = |shard: Shard| linked.get(shard.index()).copied().unwrap_or(false);
+fn apply_linked<P: Platform>(node: &Node<P>, relay: SocketAddr, linked: &[bool]) {
+    let is_linked = |shard: Shard| linked.get(shard.index()).copied().unwrap_or(false);
     let uplink = Uplink::Relay(relay);
     let is_new = std::mem::replace(&mut node.state.borrow_mut().tree.uplink, uplink) != uplink;
     if is_new {
         tracing::info!(target: "peer", event = "following a relay", %relay, ?linked);
     }
     for shard in Shard::all() {
-        peer_link::set_linked(node, shard, hears(shard));
+        peer_link::set_linked(node, shard, is_linked(shard));
     }
 }
 
 /// Records which replicas the relay publishes.
-fn take_scope<P: Platform>(node: &Node<P>, scope: WireScope) {
+fn apply_scope<P: Platform>(node: &Node<P>, scope: WireScope) {
     let mut state = node.state.borrow_mut();
     let is_partial = scope == WireScope::ByInterest;
     if is_partial && !state.tree.is_partial {
@@ -271,20 +276,23 @@
 
 /// Applies replicas that match this node's interests. Returns false if the relay's view is
 /// older than this node's own, as the relay would not publish the changes in between.
-fn take_replicas<P: Platform>(node: &Node<P>, told: WireReplicas) -> bool {
+fn apply_replicas<P: Platform>(node: &Node<P>, received: WireReplicas) -> bool {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
-    if told.reached < state.directory.reached() {
-        tracing::info!(target: "peer", event = "the relay lags behind", told = told.reached,
-            reached = state.directory.reached(), replaces = told.replaces);
+    if received.reached < state.directory.reached() {
+        tracing::info!(target: "peer", event = "the relay lags behind", told = received.reached,
+            reached = state.directory.reached(), replaces = received.replaces);
         return false;
     }
-    if told.replaces {
-        let named = told.replicas.iter().map(|replica| replica.listing.id.as_str());
+    if received.replaces {
+        let named = received
+            .replicas
+            .iter()
+            .map(|replica| replica.listing.id.as_str());
         let named: HashSet<&str> = named.collect();
         state.replicas.retain(|id| named.contains(&**id));
     }
-    for replica in told.replicas {
+    for replica in received.replicas {
         let placement = replica.placement.map(|placement| placement.to_placement(now));
         let holdings = placement.as_ref().map(|placement| placement.usable.clone());
         let listing = replica.listing.into_listing(holdings.unwrap_or_default());
@@ -293,12 +301,12 @@
             state.replicas.apply_placement(placement);
         }
     }
-    for reload in told.reloads {
+    for reload in received.reloads {
         let key = reload.model.to_key();
         let time = Duration::from_millis(u64::from(reload.reload_ms));
         state.replicas.record_reload_time(key.service, key.model, time);
     }
-    for interest in &told.answers {
+    for interest in &received.answers {
         state.tree.interests.record_answer(&interest.to_interest());
     }
     drop(state);
--- a/crates/croftrill-node/src/tree/full_view.rs
+++ b/crates/croftrill-node/src/tree/full_view.rs
@@ -33,7 +33,7 @@
         .chain(replicas(&state).filter(|_| with_replicas))
         .chain(own_items(&state.members))
         .chain(crash_reports(&state));
-    let mut news = DirectoryNews {
+    let mut view = DirectoryNews {
         after: 0,
         reached,
         proof_age_ms: 0,
@@ -45,8 +45,8 @@
             })
             .collect(),
     };
-    news.stamp(proven_at, node.clock.now());
-    Some(news)
+    view.stamp(proven_at, node.clock.now());
+    Some(view)
 }
 
 fn replicas(state: &NodeState) -> impl Iterator<Item = WireChange> + '_ {
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -172,8 +172,8 @@
 /// of nodes, or it has followers whose lists differ.
 pub(crate) fn is_relay<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    let is_chosen = || role_of(node, &state.members) == TreeRole::Relay;
-    state.tree.uplink == Uplink::Orderers && (node.followers.receiver_count() > 0 || is_chosen())
+    let has_relay_role = || role_of(node, &state.members) == TreeRole::Relay;
+    state.tree.uplink == Uplink::Orderers && (node.followers.receiver_count() > 0 || has_relay_role())
 }
 
 /// Returns true if this node is a follower by its own list of nodes.
@@ -234,10 +234,10 @@
 }
 
 /// Publishes an update to this node's followers, if it has any.
-fn publish_to_followers<P: Platform>(node: &Node<P>, news: impl FnOnce() -> RelayedUpdate) {
+fn publish_to_followers<P: Platform>(node: &Node<P>, update: impl FnOnce() -> RelayedUpdate) {
     if node.followers.receiver_count() > 0 {
         // Fails only after the last follower disconnected.
-        let _ = node.followers.send(news());
+        let _ = node.followers.send(update());
     }
 }
 
@@ -250,10 +250,10 @@
 pub(crate) fn publish_placements<P: Platform>(node: &Node<P>, placements: &[WirePlacement], message: &Bytes) {
     publish_to_followers(node, || {
         let now = node.clock.now();
-        let read = placements
+        let decoded = placements
             .iter()
             .map(|wire| PublishedPlacement::from_wire(wire, now));
-        RelayedUpdate::Placements(Rc::new(read.collect()), message.clone())
+        RelayedUpdate::Placements(Rc::new(decoded.collect()), message.clone())
     });
 }
 
@@ -264,27 +264,27 @@
     let wire = placements
         .iter()
         .map(|placement| WirePlacement::from_placement(placement, now));
-    for part in WirePlacement::in_parts(wire.collect()) {
-        let message = FromOrderer::Placements(part.clone().into()).encode();
-        publish_placements(node, &part, &message);
+    for chunk in WirePlacement::in_parts(wire.collect()) {
+        let message = FromOrderer::Placements(chunk.clone().into()).encode();
+        publish_placements(node, &chunk, &message);
     }
 }
 
 /// Publishes a span of the store's changes to the followers and logs it for those that
 /// miss it.
-pub(crate) fn publish_span<P: Platform>(node: &Node<P>, mut news: DirectoryNews, proven_at: Moment) {
+pub(crate) fn publish_span<P: Platform>(node: &Node<P>, mut span: DirectoryNews, proven_at: Moment) {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
     tree.proven_at = tree.proven_at.max(proven_at);
-    let changes = news.changes.iter().map(|revised| LoggedChange {
+    let changes = span.changes.iter().map(|revised| LoggedChange {
         revision: revised.revision,
         change: revised.change.clone(),
         size_bytes: revised.change.size_bytes(),
     });
-    tree.log.push(news.after, news.reached, changes);
-    let says_nothing_new = news.after == news.reached;
-    if says_nothing_new && now.since(tree.proof_published_at) < MIN_PROOF_INTERVAL {
+    tree.log.push(span.after, span.reached, changes);
+    let is_proof_only = span.after == span.reached;
+    if is_proof_only && now.since(tree.proof_published_at) < MIN_PROOF_INTERVAL {
         return;
     }
     tree.proof_published_at = now;
@@ -292,11 +292,11 @@
     if node.followers.receiver_count() == 0 {
         return;
     }
-    news.stamp(proven_at, now);
-    for part in news.into_parts() {
-        let part = Rc::new(part);
-        let message = FromOrderer::Directory(part.as_ref().clone()).encode();
-        publish_to_followers(node, || RelayedUpdate::Directory(part, message));
+    span.stamp(proven_at, now);
+    for chunk in span.into_parts() {
+        let chunk = Rc::new(chunk);
+        let message = FromOrderer::Directory(chunk.as_ref().clone()).encode();
+        publish_to_followers(node, || RelayedUpdate::Directory(chunk, message));
     }
 }
 
@@ -306,24 +306,24 @@
 pub(crate) fn view_since<P: Platform>(node: &Node<P>, after: u64, with_replicas: bool) -> Vec<Bytes> {
     // A listener without a view needs the full view, however far back the log reaches.
     let logged = (after > 0).then(|| logged_since(node, after)).flatten();
-    if let Some(mut news) = logged {
+    if let Some(mut span) = logged {
         if !with_replicas {
             let records = node.platform.records();
-            news.changes.retain(|revised| match &revised.change {
+            span.changes.retain(|revised| match &revised.change {
                 WireChange::Replica(_) => false,
                 WireChange::Removed { key } => records.replica_of(key).is_none(),
                 WireChange::Written { .. } => true,
             });
         }
-        let parts = news.into_parts().into_iter().map(FromOrderer::Directory);
-        return parts.map(|message| message.encode()).collect();
+        let chunks = span.into_parts().into_iter().map(FromOrderer::Directory);
+        return chunks.map(|message| message.encode()).collect();
     }
     let proven_at = node.state.borrow().tree.proven_at;
-    let whole = full_view::full_view(node, proven_at, with_replicas);
-    match whole.and_then(|whole| WholePart::parts_of(whole, with_replicas)) {
-        Some(parts) => parts
+    let view = full_view::full_view(node, proven_at, with_replicas);
+    match view.and_then(|view| WholePart::parts_of(view, with_replicas)) {
+        Some(chunks) => chunks
             .into_iter()
-            .map(|part| FromOrderer::Whole(part).encode())
+            .map(|chunk| FromOrderer::Whole(chunk).encode())
             .collect(),
         None => vec![FromOrderer::HistoryGone.encode()],
     }
@@ -350,15 +350,15 @@
         WireChange::Written { key, .. } => Some(key),
         WireChange::Replica(_) | WireChange::Removed { .. } => None,
     });
-    let mut news = DirectoryNews {
+    let mut span = DirectoryNews {
         after,
         reached,
         proof_age_ms: 0,
         sent_at_ms: 0,
         changes: changes.into(),
     };
-    news.stamp(state.tree.proven_at, node.clock.now());
-    Some(news)
+    span.stamp(state.tree.proven_at, node.clock.now());
+    Some(span)
 }
 
 /// Returns the revision after which a peer should replay the changes, if a replay should
@@ -368,8 +368,8 @@
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let reached = state.directory.reached();
-    let asked = state.tree.replay_requested_at;
-    let is_waiting = asked.is_some_and(|asked| now.since(asked) < retry_after);
+    let requested = state.tree.replay_requested_at;
+    let is_waiting = requested.is_some_and(|requested| now.since(requested) < retry_after);
     if reached == 0 || is_waiting || state.tree.is_history_lost {
         return None;
     }
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -37,7 +37,7 @@
         record_relay_request(&node);
         return Ok(());
     }
-    let mut news = node.followers.subscribe();
+    let mut updates = node.followers.subscribe();
     link.send(linked_message(&node)).await?;
     let mut follower: Option<Follower> = None;
     let mut loads = LoadFollower::default();
@@ -45,7 +45,7 @@
     let mut next_heartbeat = Instant::now() + heartbeat;
     while is_direct(&node) {
         if follower.is_none() {
-            follower = begin(&node, &follow, &mut link).await?;
+            follower = start_follower(&node, &follow, &mut link).await?;
         }
         if follower
             .as_ref()
@@ -53,16 +53,16 @@
         {
             return Ok(());
         }
-        let next_look = match follower {
+        let next_wakeup = match follower {
             Some(_) => next_heartbeat,
             None => next_heartbeat.min(Instant::now() + VIEW_CHECK_INTERVAL),
         };
         tokio::select! {
-            news = news.recv() => match news {
-                Ok(news) => {
-                    let messages = match (&mut follower, news) {
-                        (Some(follower), news) => {
-                            node.step_times.time("news for followers", || follower.messages_for(&node, &news))
+            update = updates.recv() => match update {
+                Ok(update) => {
+                    let messages = match (&mut follower, update) {
+                        (Some(follower), update) => {
+                            node.step_times.time("news for followers", || follower.messages_for(&node, &update))
                         }
                         (None, RelayedUpdate::Common(message)) => vec![message],
                         // The follower receives the current state when it is started.
@@ -76,8 +76,8 @@
                 // The follower fell behind: it reconnects and receives everything again.
                 Err(RecvError::Lagged(_) | RecvError::Closed) => return Ok(()),
             },
-            told = loads.next() => {
-                if let Some(message) = follower.as_ref().and_then(|follower| follower.load_message(&told)) {
+            load_update = loads.next() => {
+                if let Some(message) = follower.as_ref().and_then(|follower| follower.load_message(&load_update)) {
                     load_updates::count_sent_bytes(&node, &message);
                     link.send(message).await?;
                 }
@@ -85,15 +85,15 @@
             frame = link.next() => {
                 let Some(frame) = frame? else { return Ok(()) };
                 let message = decode::<ToOrderer>(&frame)?;
-                if let ToOrderer::Loads(told) = &message {
-                    loads.receive(&node, told);
+                if let ToOrderer::Loads(load_update) = &message {
+                    loads.receive(&node, load_update);
                 }
                 let replies = node
                     .step_times
-                    .time("message of a follower", || take_message(&node, follower.as_mut(), message));
+                    .time("message of a follower", || handle_message(&node, follower.as_mut(), message));
                 send_all(&mut link, replies).await?;
             }
-            () = sleep_until(next_look) => {
+            () = sleep_until(next_wakeup) => {
                 if Instant::now() >= next_heartbeat {
                     link.send(Bytes::from(FromOrderer::Alive.serialize_bin())).await?;
                     next_heartbeat = Instant::now() + heartbeat;
@@ -120,7 +120,7 @@
 
 /// Sends a new follower all that it needs, and returns its state; `None` if this node has
 /// no suitable view yet.
-async fn begin<P: Platform>(
+async fn start_follower<P: Platform>(
     node: &Node<P>,
     follow: &WireFollow,
     link: &mut PeerLink,
@@ -146,7 +146,7 @@
 
 /// Handles a message of a follower and returns the replies. The follower's demand is added
 /// to this node's own.
-fn take_message<P: Platform>(
+fn handle_message<P: Platform>(
     node: &Node<P>,
     follower: Option<&mut Follower>,
     message: ToOrderer,
