--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -191,16 +191,16 @@
             }
         }
         let after = node.state.borrow().directory.reached();
-        let asked_at = node.clock.now();
+        let requested_at = node.clock.now();
         match watch(node, after, most_history_bytes(node)).await {
             WatchEnd::Answered { changes, arrived_for } => {
                 backoff.succeeded();
                 // An answer that took long to arrive is outdated, so the next watch starts
                 // at once.
-                at_once = arrived_for > relay::PROMPT_ANSWER;
+                at_once = arrived_for > relay::MAX_ANSWER_DELAY;
                 node.step_times.time("answer of a watch", || {
                     let changes = changes.without_replaced();
-                    relay::publish_answer(node, &changes, asked_at);
+                    relay::publish_answer(node, &changes, requested_at);
                     let events = changes.events.into_iter().map(ViewChange::Store);
                     view::apply_changes(node, events, changes.revision);
                 });
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -25,19 +25,19 @@
 use crate::tree;
 
 /// Time by which an answer may exceed the wait of its watch and still count as current.
-pub(super) const PROMPT_ANSWER: Duration = Duration::from_millis(150);
+pub(super) const MAX_ANSWER_DELAY: Duration = Duration::from_millis(150);
 
 /// The span of changes in an answer of a watch, for the other nodes.
 #[derive(Debug, Clone)]
 pub struct WatchedSpan {
     /// The changes, and the revisions that bound the span.
-    pub news: DirectoryNews,
+    pub update: DirectoryNews,
     /// When the store proved that the changes are complete.
     pub proven_at: Moment,
 }
 
 /// Publishes the answer of an orderer's or a relay's watch to its listeners.
-pub(super) fn publish_answer<P: Platform>(node: &Node<P>, changes: &Changes, asked_at: Moment) {
+pub(super) fn publish_answer<P: Platform>(node: &Node<P>, changes: &Changes, requested_at: Moment) {
     let gives_orders = node.gives_orders();
     if !gives_orders && !tree::is_relay(node) {
         return;
@@ -49,40 +49,44 @@
         return;
     }
     let span = WatchedSpan {
-        news: DirectoryNews {
+        update: DirectoryNews {
             after,
             reached: changes.revision,
             proof_age_ms: 0,
             sent_at_ms: 0,
-            changes: told_changes(node, &changes.events, after).into(),
+            changes: relayed_changes(node, &changes.events, after).into(),
         },
         // An answer that was not read at once, for example because this process was
         // stopped, proves nothing about the time after its request.
-        proven_at: if is_prompt(node, asked_at) { now } else { asked_at },
+        proven_at: if is_current(node, requested_at) {
+            now
+        } else {
+            requested_at
+        },
     };
-    tree::publish_span(node, span.news.clone(), span.proven_at);
+    tree::publish_span(node, span.update.clone(), span.proven_at);
     if gives_orders {
         node.inform_orderer_tasks(|| OrdererInput::Watched(span.clone()));
     }
 }
 
 /// Returns true if the answer to an orderer's or a relay's watch that was sent at
-/// `asked_at` is current.
-fn is_prompt<P: Platform>(node: &Node<P>, asked_at: Moment) -> bool {
-    let longest = node.settings.pace.relay_watch_wait + PROMPT_ANSWER;
-    node.clock.now().since(asked_at) <= longest
+/// `requested_at` is current.
+fn is_current<P: Platform>(node: &Node<P>, requested_at: Moment) -> bool {
+    let max_age = node.settings.pace.relay_watch_wait + MAX_ANSWER_DELAY;
+    node.clock.now().since(requested_at) <= max_age
 }
 
 /// Returns those changes of one answer after a revision that the other nodes must know.
-fn told_changes<P: Platform>(node: &Node<P>, events: &[StoreEvent], after: u64) -> Vec<RevisedChange> {
-    let mut told_keys: HashSet<&str> = HashSet::new();
+fn relayed_changes<P: Platform>(node: &Node<P>, events: &[StoreEvent], after: u64) -> Vec<RevisedChange> {
+    let mut relayed_keys: HashSet<&str> = HashSet::new();
     let mut changes = Vec::new();
     for event in events.iter().filter(|event| event.revision() > after) {
         // If the key changed earlier in the same answer, this node's previous state of it
         // is outdated.
-        let changed_before = told_keys.contains(event.key());
-        if let Some(change) = told(node, event, changed_before) {
-            told_keys.insert(event.key());
+        let changed_before = relayed_keys.contains(event.key());
+        if let Some(change) = relayed_change(node, event, changed_before) {
+            relayed_keys.insert(event.key());
             changes.push(change);
         }
     }
@@ -90,16 +94,22 @@
 }
 
 /// Returns the message form of a change, or `None` if the other nodes need not know it.
-fn told<P: Platform>(node: &Node<P>, event: &StoreEvent, changed_before: bool) -> Option<RevisedChange> {
+fn relayed_change<P: Platform>(
+    node: &Node<P>,
+    event: &StoreEvent,
+    changed_before: bool,
+) -> Option<RevisedChange> {
     let change = match event {
-        StoreEvent::Written(item) => match listing_of(node, item) {
-            Listed::Replica(listing) if !changed_before && is_known(node, &listing) => return None,
-            Listed::Replica(listing) => WireChange::Replica(WireListing::from_listing(&listing)),
+        StoreEvent::Written(item) => match item_content(node, item) {
+            ItemContent::Replica(listing) if !changed_before && is_known_except_holdings(node, &listing) => {
+                return None
+            }
+            ItemContent::Replica(listing) => WireChange::Replica(WireListing::from_listing(&listing)),
             // The value, however large, lists no replica, so it is not sent.
-            Listed::Nothing => WireChange::Removed {
+            ItemContent::Unreadable => WireChange::Removed {
                 key: item.key.clone(),
             },
-            Listed::OtherItem => WireChange::Written {
+            ItemContent::Other => WireChange::Written {
                 key: item.key.clone(),
                 value: item.value.to_vec().into(),
             },
@@ -111,28 +121,28 @@
 }
 
 /// The content of an item with regard to replicas.
-enum Listed {
+enum ItemContent {
     Replica(ReplicaListing),
     /// The key is one of a replica, but the value is unreadable.
-    Nothing,
+    Unreadable,
     /// The key is not one of a replica.
-    OtherItem,
+    Other,
 }
 
-fn listing_of<P: Platform>(node: &Node<P>, item: &Item) -> Listed {
+fn item_content<P: Platform>(node: &Node<P>, item: &Item) -> ItemContent {
     let records = node.platform.records();
     if records.replica_of(&item.key).is_none() {
-        return Listed::OtherItem;
+        return ItemContent::Other;
     }
     match records.read(item) {
-        Record::Replica(listing) => Listed::Replica(listing),
-        _ => Listed::Nothing,
+        Record::Replica(listing) => ItemContent::Replica(listing),
+        _ => ItemContent::Unreadable,
     }
 }
 
 /// Returns true if a listing differs from the known one at most in its holdings, which the
 /// orderer publishes according to its orders.
-fn is_known<P: Platform>(node: &Node<P>, listing: &ReplicaListing) -> bool {
+fn is_known_except_holdings<P: Platform>(node: &Node<P>, listing: &ReplicaListing) -> bool {
     let state = node.state.borrow();
     let Some(entry) = state.replicas.get(&listing.id) else {
         return false;
@@ -146,7 +156,7 @@
 }
 
 /// Converts a relayed change to a change of the view.
-fn heard<P: Platform>(node: &Node<P>, revised: RevisedChange) -> ViewChange {
+fn to_view_change<P: Platform>(node: &Node<P>, revised: RevisedChange) -> ViewChange {
     let revision = revised.revision;
     match revised.change {
         WireChange::Replica(listing) => {
@@ -170,10 +180,10 @@
 
 impl WatchedSpan {
     /// Returns the messages to each listening node.
-    pub fn into_news(self, now: Moment) -> Vec<DirectoryNews> {
-        let mut news = self.news;
-        news.stamp(self.proven_at, now);
-        news.into_parts()
+    pub fn into_messages(self, now: Moment) -> Vec<DirectoryNews> {
+        let mut update = self.update;
+        update.stamp(self.proven_at, now);
+        update.into_parts()
     }
 }
 
@@ -183,18 +193,18 @@
 /// An orderer applies only the answers of its own watch. It does not relay listings that
 /// it knows already, so its listeners would never receive those that it knows from another
 /// orderer.
-pub fn take_news<P: Platform>(
+pub fn apply_update<P: Platform>(
     node: &Node<P>,
-    news: DirectoryNews,
+    update: DirectoryNews,
     delay: &mut LinkDelay,
 ) -> Option<RelayOutcome> {
     if node.gives_orders() {
         return None;
     }
     let span = RelayedSpan {
-        after: news.after,
-        reached: news.reached,
-        proven_at: proof_of(&news, delay, node.clock.now()),
+        after: update.after,
+        reached: update.reached,
+        proven_at: proof_time(&update, delay, node.clock.now()),
     };
     let outcome = node.state.borrow_mut().directory.accept_span(span);
     Metrics::count(&node.metrics.relayed, "directory", outcome_name(outcome));
@@ -202,17 +212,20 @@
         RelayOutcome::Applied { is_regained } => {
             tree::record_gap_closed(node);
             if tree::is_relay(node) {
-                relay_on(node, &news, span.proven_at);
+                publish_newer(node, &update, span.proven_at);
             }
-            let changes = news.changes.into_iter().map(|change| heard(node, change));
-            view::apply_changes(node, changes, news.reached);
+            let changes = update
+                .changes
+                .into_iter()
+                .map(|change| to_view_change(node, change));
+            view::apply_changes(node, changes, update.reached);
             if is_regained {
-                tracing::info!(target: "directory", event = "relay in use", revision = news.reached);
+                tracing::info!(target: "directory", event = "relay in use", revision = update.reached);
             }
         }
         RelayOutcome::Gap => {
-            tracing::info!(target: "directory", event = "relay has a gap", after = news.after,
-                reached = news.reached);
+            tracing::info!(target: "directory", event = "relay has a gap", after = update.after,
+                reached = update.reached);
         }
         RelayOutcome::Behind => {}
     }
@@ -222,46 +235,46 @@
 
 /// The chunks received so far of a full view.
 #[derive(Debug, Default)]
-pub struct WholeInParts(Vec<RevisedChange>);
+pub struct FullViewChunks(Vec<RevisedChange>);
 
-impl WholeInParts {
+impl FullViewChunks {
     /// Adds a chunk and returns the full view if the chunk is the last one.
-    fn take(&mut self, part: WholePart) -> Option<DirectoryNews> {
-        if part.is_first {
+    fn push(&mut self, chunk: WholePart) -> Option<DirectoryNews> {
+        if chunk.is_first {
             self.0.clear();
         }
-        let mut news = part.news;
-        self.0.append(&mut news.changes);
-        part.is_last.then(|| DirectoryNews {
+        let mut update = chunk.news;
+        self.0.append(&mut update.changes);
+        chunk.is_last.then(|| DirectoryNews {
             changes: std::mem::take(&mut self.0).into(),
-            ..news
+            ..update
         })
     }
 }
 
 /// Handles a chunk of the full view of an orderer or a relay, which sends it if this node
 /// missed too many changes. Applies the view once it is complete.
-pub fn take_whole<P: Platform>(
+pub fn apply_full_view_chunk<P: Platform>(
     node: &Node<P>,
-    part: WholePart,
-    parts: &mut WholeInParts,
+    chunk: WholePart,
+    chunks: &mut FullViewChunks,
     delay: &mut LinkDelay,
 ) {
-    let has_replicas = part.has_replicas;
-    let Some(whole) = parts.take(part) else {
+    let has_replicas = chunk.has_replicas;
+    let Some(full_view) = chunks.push(chunk) else {
         return;
     };
     if node.gives_orders() {
         return;
     }
-    let proven_at = proof_of(&whole, delay, node.clock.now());
-    let reached = whole.reached;
-    let is_taken = node
+    let proven_at = proof_time(&full_view, delay, node.clock.now());
+    let reached = full_view.reached;
+    let is_accepted = node
         .state
         .borrow_mut()
         .directory
         .accept_full_view(reached, proven_at);
-    if !is_taken {
+    if !is_accepted {
         return;
     }
     tracing::info!(target: "directory", event = "taking a peer's whole view", reached, has_replicas);
@@ -269,31 +282,31 @@
         tree::record_all_replicas_known(node);
     }
     tree::record_gap_closed(node);
-    let changes: Vec<ViewChange> = whole
+    let changes: Vec<ViewChange> = full_view
         .changes
         .into_iter()
-        .map(|change| heard(node, change))
+        .map(|change| to_view_change(node, change))
         .collect();
-    view::apply_whole(node, changes, reached, has_replicas);
+    view::apply_full_view(node, changes, reached, has_replicas);
     node.relay_changed.notify_waiters();
 }
 
 /// Returns when the view after an update was proven complete, by this node's clock.
-fn proof_of(news: &DirectoryNews, delay: &mut LinkDelay, now: Moment) -> Moment {
-    let age = Duration::from_millis(u64::from(news.proof_age_ms));
-    let late = delay.excess(Duration::from_millis(news.sent_at_ms), now);
+fn proof_time(update: &DirectoryNews, delay: &mut LinkDelay, now: Moment) -> Moment {
+    let age = Duration::from_millis(u64::from(update.proof_age_ms));
+    let late = delay.excess(Duration::from_millis(update.sent_at_ms), now);
     now - age - late
 }
 
 /// Publishes the changes of a span that are new to this node, so that followers receive
 /// each change once when several orderers send it.
-fn relay_on<P: Platform>(node: &Node<P>, news: &DirectoryNews, proven_at: Moment) {
+fn publish_newer<P: Platform>(node: &Node<P>, update: &DirectoryNews, proven_at: Moment) {
     let after = node.state.borrow().directory.reached();
-    let newer = news.changes.iter().filter(|revised| revised.revision > after);
+    let newer = update.changes.iter().filter(|revised| revised.revision > after);
     let relayed = DirectoryNews {
         after,
         changes: newer.cloned().collect(),
-        ..*news
+        ..*update
     };
     tree::publish_span(node, relayed, proven_at);
 }
@@ -307,7 +320,7 @@
 }
 
 /// Records that this node receives updates from no orderer any more.
-pub fn lost<P: Platform>(node: &Node<P>) {
+pub fn record_relay_lost<P: Platform>(node: &Node<P>) {
     node.state.borrow_mut().directory.relay_lost();
     node.relay_changed.notify_waiters();
 }
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -62,7 +62,7 @@
 
 /// Applies a peer's full view and removes what it does not contain. `has_replicas` is
 /// false if the peer publishes replicas separately.
-pub(super) fn apply_whole<P: Platform>(
+pub(super) fn apply_full_view<P: Platform>(
     node: &Node<P>,
     changes: Vec<ViewChange>,
     reached: u64,
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -490,7 +490,7 @@
 
     /// Publishes changes of the store to all nodes.
     pub(super) fn publish_changes(&mut self, span: WatchedSpan, now: Moment) {
-        for part in span.into_news(now) {
+        for part in span.into_messages(now) {
             // Sending fails only while there are no subscribers.
             let _ = self.changes.send(FromOrderer::Directory(part).encode());
         }
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::crash_reports;
-use crate::directory::relay::{self, WholeInParts};
+use crate::directory::relay::{self, FullViewChunks};
 use crate::link::PeerLink;
 use crate::load_updates::LoadSubscriber;
 use crate::metrics::Metrics;
@@ -237,7 +237,7 @@
         tree::publish_linked(node);
     }
     if !any {
-        relay::lost(node);
+        relay::record_relay_lost(node);
     }
 }
 
@@ -278,7 +278,7 @@
     let hello = ToOrderer::Listen(shard.index() as u8).serialize_bin();
     link.send(Bytes::from(hello)).await?;
     let mut delay = LinkDelay::default();
-    let mut whole = WholeInParts::default();
+    let mut whole = FullViewChunks::default();
     let mut unread = UnreadMessages::default();
     while orderer_address(node, shard) == Some(address) && tree::is_direct(node) {
         tokio::select! {
@@ -348,7 +348,7 @@
     shard: Shard,
     address: SocketAddr,
     (message, frame): (FromOrderer, Bytes),
-    (delay, whole): (&mut LinkDelay, &mut WholeInParts),
+    (delay, whole): (&mut LinkDelay, &mut FullViewChunks),
 ) -> Option<ToOrderer> {
     if let FromOrderer::Resigned(resignation) = message {
         let relayed = RelayedResignation {
@@ -372,17 +372,17 @@
     node: &Node<P>,
     message: FromOrderer,
     delay: &mut LinkDelay,
-    whole: &mut WholeInParts,
+    whole: &mut FullViewChunks,
 ) -> Option<ToOrderer> {
     match message {
         FromOrderer::Placements(placements) => apply_placements(node, placements.into()),
         FromOrderer::Directory(news) => {
-            let outcome = relay::take_news(node, news, delay);
+            let outcome = relay::apply_update(node, news, delay);
             if outcome == Some(RelayOutcome::Gap) {
                 return tree::start_replay(node, REPLAY_PATIENCE).map(ToOrderer::Replay);
             }
         }
-        FromOrderer::Whole(part) => relay::take_whole(node, part, whole, delay),
+        FromOrderer::Whole(part) => relay::apply_full_view_chunk(node, part, whole, delay),
         FromOrderer::HistoryGone => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
         FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 use super::{candidate_relays, role_of, Uplink};
-use crate::directory::relay::{self, WholeInParts};
+use crate::directory::relay::{self, FullViewChunks};
 use crate::link::PeerLink;
 use crate::load_updates;
 use crate::node::Node;
@@ -110,7 +110,7 @@
 /// The state of a link to a relay.
 struct RelayLinkState {
     delay: LinkDelay,
-    full_view: WholeInParts,
+    full_view: FullViewChunks,
     /// True once the relay has had a view to publish.
     has_started: bool,
     /// True once the relay published replicas of an older view than this node's.
@@ -130,7 +130,7 @@
         .await?;
     let mut link_state = RelayLinkState {
         delay: LinkDelay::default(),
-        full_view: WholeInParts::default(),
+        full_view: FullViewChunks::default(),
         has_started: false,
         lags_behind: false,
     };
