--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -28,18 +28,18 @@
 const CONFIGURATION_PATIENCE: Duration = Duration::from_millis(4000);
 
 /// In a large fleet, waits for a relay to publish its full view. Returns true if one did.
-pub(super) async fn hears_view_from_relay<P: Platform>(node: &Node<P>) -> bool {
-    if must_ask_store(node) || misses_little(node) {
+pub(super) async fn receives_view_from_relay<P: Platform>(node: &Node<P>) -> bool {
+    if must_read_store(node) || is_full_read_cheap(node) {
         return false;
     }
-    look_for_configuration(node).await;
+    poll_configuration(node).await;
     if !tree::has_follower_role(node) {
-        look_at(node, &zone_prefix(&node.settings.identity.zone)).await;
+        poll_prefix(node, &zone_prefix(&node.settings.identity.zone)).await;
     }
     let share = rand::rng().random_range(1.0..2.0);
-    let known = node.state.borrow().members.node_count();
-    let until = node.clock.now() + (PATIENCE_PER_NODE * known as u32).mul_f64(share);
-    let may_wait = || tree::has_follower_role(node) && !must_ask_store(node) && node.clock.now() < until;
+    let node_count = node.state.borrow().members.node_count();
+    let until = node.clock.now() + (PATIENCE_PER_NODE * node_count as u32).mul_f64(share);
+    let may_wait = || tree::has_follower_role(node) && !must_read_store(node) && node.clock.now() < until;
     while !relay::covers(node) && may_wait() {
         await_relay(node, LARGE_FLEET_POLL_INTERVAL).await;
     }
@@ -48,7 +48,7 @@
 
 /// Returns true if this node has had a view and a read of everything is no larger than a
 /// message. Then the node does not wait for a relay that may have missed the same changes.
-fn misses_little<P: Platform>(node: &Node<P>) -> bool {
+fn is_full_read_cheap<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
     let is_small = state.replicas.len() <= node.settings.most_replicas_told && !state.tree.is_partial();
     state.directory.reached() > 0 && is_small
@@ -56,7 +56,7 @@
 
 /// Reads the configuration if this node has had a view and waits for a relay to publish the
 /// changes that it missed, as a new configuration must arrive within a deadline.
-async fn look_for_configuration<P: Platform>(node: &Node<P>) {
+async fn poll_configuration<P: Platform>(node: &Node<P>) {
     if node.state.borrow().directory.reached() == 0 {
         return;
     }
@@ -69,29 +69,29 @@
 
 /// Returns true if this node must not wait for a relay: others depend on it, or no relay
 /// can publish what it lacks.
-pub(super) fn must_ask_store<P: Platform>(node: &Node<P>) -> bool {
+pub(super) fn must_read_store<P: Platform>(node: &Node<P>) -> bool {
     is_depended_on(node) || tree::is_history_lost(node) || tree::lacks_replicas(node)
 }
 
 /// Waits until the relay is trusted, for up to `patience`, and meanwhile reads the entries
 /// of nodes that may be relays. Orderers and relays do not wait, as others depend on them.
 pub(super) async fn await_relay<P: Platform>(node: &Node<P>, patience: Duration) {
-    let begun = node.clock.now();
-    let until = begun + patience;
-    let mut next_look = begun + look_pause(node);
+    let started_at = node.clock.now();
+    let until = started_at + patience;
+    let mut next_poll = started_at + poll_delay(node);
     loop {
         let now = node.clock.now();
-        if relay::covers(node) || must_ask_store(node) || now >= until {
+        if relay::covers(node) || must_read_store(node) || now >= until {
             return;
         }
-        if now >= next_look {
-            look_for_peers(node, now.since(begun) >= CONFIGURATION_PATIENCE).await;
-            next_look = node.clock.now()
+        if now >= next_poll {
+            poll_peers(node, now.since(started_at) >= CONFIGURATION_PATIENCE).await;
+            next_poll = node.clock.now()
                 + POLL_INTERVAL
-                    .max(look_pause(node))
+                    .max(poll_delay(node))
                     .mul_f64(rand::rng().random_range(0.75..1.25));
         }
-        let pause = next_look.min(until).since(node.clock.now());
+        let pause = next_poll.min(until).since(node.clock.now());
         tokio::select! {
             () = sleep(pause) => {}
             () = node.relay_changed.notified() => {}
@@ -101,7 +101,7 @@
 
 /// Returns the pause before a waiting node reads the entries of its peers: none in a small
 /// fleet.
-fn look_pause<P: Platform>(node: &Node<P>) -> Duration {
+fn poll_delay<P: Platform>(node: &Node<P>) -> Duration {
     if tree::has_follower_role(node) {
         LARGE_FLEET_POLL_INTERVAL
     } else {
@@ -113,30 +113,30 @@
 /// has none, as no node is listed without one; then the nodes of its zone, and in a fleet
 /// without relays the orderers. In a large fleet the relays publish the configuration,
 /// unless they are late. A node with a configuration and a link to an orderer reads nothing.
-async fn look_for_peers<P: Platform>(node: &Node<P>, relays_are_late: bool) {
+async fn poll_peers<P: Platform>(node: &Node<P>, relays_are_late: bool) {
     let has_configuration = node.configuration().is_some();
     if has_configuration && node.state.borrow().linked.contains(&true) {
         return;
     }
-    let is_below = tree::has_follower_role(node);
-    if is_below && tree::follows_relay(node) && !relays_are_late {
+    let is_follower = tree::has_follower_role(node);
+    if is_follower && tree::follows_relay(node) && !relays_are_late {
         // The relay publishes all of this as soon as it can.
         return;
     }
-    if !has_configuration && (relays_are_late || !is_below) {
-        look_at(node, node.platform.records().configuration_key()).await;
+    if !has_configuration && (relays_are_late || !is_follower) {
+        poll_prefix(node, node.platform.records().configuration_key()).await;
     }
-    if node.configuration().is_none() && !is_below {
+    if node.configuration().is_none() && !is_follower {
         return;
     }
-    look_at(node, &zone_prefix(&node.settings.identity.zone)).await;
+    poll_prefix(node, &zone_prefix(&node.settings.identity.zone)).await;
     if !tree::has_follower_role(node) {
-        look_at(node, ORDERER_PREFIX).await;
+        poll_prefix(node, ORDERER_PREFIX).await;
     }
 }
 
 /// Reads a prefix and applies the items that are new.
-async fn look_at<P: Platform>(node: &Node<P>, prefix: &str) {
+async fn poll_prefix<P: Platform>(node: &Node<P>, prefix: &str) {
     let read = node.store().range(prefix, Freshness::MayLag, POLL_TIMEOUT).await;
     match read {
         Ok(snapshot) => view::apply_newer(node, snapshot),
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -17,7 +17,7 @@
 
 use tokio::time::sleep;
 
-use self::await_relay::{await_relay, hears_view_from_relay, must_ask_store};
+use self::await_relay::{await_relay, must_read_store, receives_view_from_relay};
 use self::backoff::Backoff;
 pub use self::unreachable::read_holdings;
 use self::view::ViewChange;
@@ -64,7 +64,7 @@
     let mut freshness = Freshness::MayLag;
     let mut patience = INITIAL_PATIENCE;
     loop {
-        if !hears_view_from_relay(&node).await {
+        if !receives_view_from_relay(&node).await {
             read_everything(&node, &mut backoff, freshness).await;
         }
         let reason = follow_changes(&node, &mut backoff, patience).await;
@@ -103,7 +103,7 @@
             }
             Err(error) => backoff.pause(&error, "range", longest_pause(node)).await,
         }
-        if relay::covers(node) && !must_ask_store(node) {
+        if relay::covers(node) && !must_read_store(node) {
             return;
         }
     }
@@ -173,7 +173,7 @@
     let mut at_once = true;
     await_relay(node, first_patience).await;
     if !relay::covers(node) && tree::has_follower_role(node) {
-        hears_view_from_relay(node).await;
+        receives_view_from_relay(node).await;
     }
     loop {
         while relay::covers(node) {
--- a/crates/croftrill-node/src/directory/unreachable.rs
+++ b/crates/croftrill-node/src/directory/unreachable.rs
@@ -27,7 +27,7 @@
 pub async fn read_holdings<P: Platform>(node: Rc<Node<P>>) {
     loop {
         node.holdings_wanted.notified().await;
-        if !Shard::all().any(|shard| is_unheard(&node, shard)) {
+        if !Shard::all().any(|shard| is_orderer_unreachable(&node, shard)) {
             continue;
         }
         let prefix = node.platform.records().replica_prefix();
@@ -45,7 +45,7 @@
 /// Returns true if a shard has an orderer, and this node has not been linked to it for
 /// longer than a takeover takes. Without an orderer, replicas load nothing. If the node
 /// follows a relay, the relay is responsible for this check.
-fn is_unheard<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
+fn is_orderer_unreachable<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
     let now = node.clock.now();
     let state = node.state.borrow();
     let has_orderer = state.members.orderer(shard).is_some();
@@ -62,16 +62,16 @@
         Record::Replica(listing) => Some(listing),
         _ => None,
     });
-    let of_unheard = |listing: &ReplicaListing| is_unheard(node, Shard::of_replica(&listing.id));
-    let listings: Vec<ReplicaListing> = listings.filter(of_unheard).collect();
-    let read = listings.len();
+    let is_affected = |listing: &ReplicaListing| is_orderer_unreachable(node, Shard::of_replica(&listing.id));
+    let listings: Vec<ReplicaListing> = listings.filter(is_affected).collect();
+    let read_count = listings.len();
     let mut changed = Vec::new();
     for listing in listings {
         let replicas = &mut node.state.borrow_mut().replicas;
         changed.extend(replicas.apply_listed_holdings(listing));
     }
     tracing::info!(target: "directory", event = "read what replicas of unheard orderers hold",
-        replicas = read, changed = changed.len(), revision = snapshot.revision);
+        replicas = read_count, changed = changed.len(), revision = snapshot.revision);
     if !changed.is_empty() {
         tree::publish_read_placements(node, &changed);
         relay::announce(node);
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -91,9 +91,9 @@
 /// links, so they continue with the replicas that they know.
 fn fallback_uplink<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
-    let is_below = matches!(role_of(node, &state.members), TreeRole::Follower(_));
+    let is_follower = matches!(role_of(node, &state.members), TreeRole::Follower(_));
     let is_large = state.tree.is_partial || state.replicas.len() > node.settings.most_replicas_told;
-    if is_below && is_large {
+    if is_follower && is_large {
         Uplink::Nobody
     } else {
         Uplink::Orderers
