--- a/crates/croftrill-node/src/directory/backoff.rs
+++ b/crates/croftrill-node/src/directory/backoff.rs
@@ -24,26 +24,26 @@
 impl Backoff {
     /// Returns the timeout for a page of a read of everything. It is short at first, as the
     /// store may not respond, and grows with each failure, as many nodes may read at once.
-    pub(super) fn read_limit(&self) -> Duration {
+    pub(super) fn read_timeout(&self) -> Duration {
         (INITIAL_READ_TIMEOUT * 2u32.pow(self.failures.min(4))).min(MAX_READ_TIMEOUT)
     }
 
     /// Records a successful call.
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn record_success(&mut self) {
         if self.failures > 0 {
             tracing::info!(target: "directory", event = "store is back", failures = self.failures);
         }
         self.failures = 0;
     }
 
-    /// Records a failed call and waits before the next one, up to `longest`.
-    pub(super) async fn pause(&mut self, error: &StoreError, call: &'static str, longest: Duration) {
+    /// Records a failed call and waits before the next one, up to `max_pause`.
+    pub(super) async fn pause(&mut self, error: &StoreError, call: &'static str, max_pause: Duration) {
         if self.failures == 0 {
             tracing::warn!(target: "directory", event = "store call failed", call, %error);
         }
         self.failures = (self.failures + 1).min(8);
-        let longest = (INITIAL_BACKOFF * 2u32.pow(self.failures - 1)).min(longest);
+        let max_pause = (INITIAL_BACKOFF * 2u32.pow(self.failures - 1)).min(max_pause);
         let share = rand::rng().random_range(0.5..1.0);
-        sleep(longest.mul_f64(share)).await;
+        sleep(max_pause.mul_f64(share)).await;
     }
 }
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -82,10 +82,10 @@
         // The pages of a read come from different revisions, so changes that are relayed
         // in between must not count as known.
         node.state.borrow_mut().directory.reset();
-        let limit = backoff.read_limit();
-        match node.store().range(ALL_KEYS, freshness, limit).await {
+        let timeout = backoff.read_timeout();
+        match node.store().range(ALL_KEYS, freshness, timeout).await {
             Ok(snapshot) if snapshot.revision < node.state.borrow().directory.reached() => {
-                backoff.succeeded();
+                backoff.record_success();
                 // A peer published a newer full view meanwhile. If the older items were
                 // applied now, they would count as complete up to the newer revision.
                 tracing::info!(target: "directory", event = "read is older than a peer's full view",
@@ -93,7 +93,7 @@
                 return;
             }
             Ok(snapshot) => {
-                backoff.succeeded();
+                backoff.record_success();
                 tracing::info!(target: "directory", event = "read everything", items = snapshot.items.len(),
                     revision = snapshot.revision);
                 node.step_times
@@ -101,7 +101,7 @@
                 tree::record_gap_closed(node);
                 return;
             }
-            Err(error) => backoff.pause(&error, "range", longest_pause(node)).await,
+            Err(error) => backoff.pause(&error, "range", max_pause(node)).await,
         }
         if relay::covers(node) && !must_read_store(node) {
             return;
@@ -126,21 +126,21 @@
 }
 
 /// Returns the maximum amount of history that is worth reading at once, in bytes.
-fn most_history_bytes<P: Platform>(node: &Node<P>) -> u64 {
+fn max_history_bytes<P: Platform>(node: &Node<P>) -> u64 {
     let state = node.state.borrow();
     let entries = state.replicas.len() + state.members.node_count();
     let configuration = state
         .configuration_item
         .as_ref()
         .map_or(0, |item| item.value.len());
-    let holds_bytes = entries as u64 * ENTRY_BYTES + configuration as u64;
+    let state_bytes = entries as u64 * ENTRY_BYTES + configuration as u64;
     drop(state);
-    let most = MIN_HISTORY_LIMIT_BYTES.max(MAX_HISTORY_TO_STATE_RATIO * holds_bytes);
+    let max_bytes = MIN_HISTORY_LIMIT_BYTES.max(MAX_HISTORY_TO_STATE_RATIO * state_bytes);
     if !is_depended_on(node) {
-        return most;
+        return max_bytes;
     }
     let link = node.settings.identity.link_bytes_per_s as f64;
-    most.max((link * MAX_HISTORY_READ_TIME.as_secs_f64()) as u64)
+    max_bytes.max((link * MAX_HISTORY_READ_TIME.as_secs_f64()) as u64)
 }
 
 /// The result of a node's own watch.
@@ -192,9 +192,9 @@
         }
         let after = node.state.borrow().directory.reached();
         let requested_at = node.clock.now();
-        match watch(node, after, most_history_bytes(node)).await {
+        match watch(node, after, max_history_bytes(node)).await {
             WatchEnd::Answered { changes, arrived_for } => {
-                backoff.succeeded();
+                backoff.record_success();
                 // An answer that took long to arrive is outdated, so the next watch starts
                 // at once.
                 at_once = arrived_for > relay::MAX_ANSWER_DELAY;
@@ -216,7 +216,7 @@
 
 /// Returns the maximum pause of this node after failed calls. All nodes together retry at
 /// a bounded rate, but nodes that others depend on retry often.
-fn longest_pause<P: Platform>(node: &Node<P>) -> Duration {
+fn max_pause<P: Platform>(node: &Node<P>) -> Duration {
     if is_depended_on(node) {
         return SMALL_FLEET_MAX_PAUSE;
     }
@@ -233,7 +233,7 @@
         }
     };
     tokio::select! {
-        () = backoff.pause(error, "watch", longest_pause(node)) => {}
+        () = backoff.pause(error, "watch", max_pause(node)) => {}
         () = covered => {}
     }
 }
@@ -275,7 +275,7 @@
     let end = tokio::select! {
         () = node.store_path.changed() => WatchEnd::Failed(StoreError::NoAnswer),
         () = node.platform.store().era().risen() => WatchEnd::Failed(StoreError::HistoryGone),
-        reached = overtaken(node, after) => WatchEnd::Overtaken { reached },
+        reached = until_overtaken(node, after) => WatchEnd::Overtaken { reached },
         () = relay::until_role_changes(node) => WatchEnd::RoleChanged,
     };
     if arrival.bytes() > 0 {
@@ -295,7 +295,7 @@
         return pace.relay_watch_every;
     }
     // Many nodes may have no relay at the same time.
-    let shared = longest_pause(node).min(node.settings.relay_patience());
+    let shared = max_pause(node).min(node.settings.relay_patience());
     shared.max(pace.watch_every)
 }
 
@@ -314,12 +314,12 @@
 /// return the change: its answer was lost, its connection is dead, or the store's watches
 /// do not work. Returns the store's revision. The relay may announce a higher revision
 /// while stale reads still lag.
-async fn overtaken<P: Platform>(node: &Node<P>, after: u64) -> u64 {
+async fn until_overtaken<P: Platform>(node: &Node<P>, after: u64) -> u64 {
     loop {
         sleep(AUDIT_INTERVAL).await;
-        let told = node.state.borrow().directory.announced();
-        if told > after {
-            return told;
+        let announced = node.state.borrow().directory.announced();
+        if announced > after {
+            return announced;
         }
         match node.store().reached_revision().await {
             Ok(reached) if reached > after => {
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -15,7 +15,7 @@
 use croftrill_scheduler::time::Moment;
 use tokio::time::sleep;
 
-pub(crate) use super::view::announce;
+pub(crate) use super::view::notify_view_changed;
 use super::view::{self, ViewChange};
 use crate::metrics::Metrics;
 use crate::node::Node;
--- a/crates/croftrill-node/src/directory/unreachable.rs
+++ b/crates/croftrill-node/src/directory/unreachable.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 use tokio::time::sleep;
 
-use super::{longest_pause, relay};
+use super::{max_pause, relay};
 use crate::node::Node;
 use crate::ports::{Freshness, KeyValueStore, Platform, Record, RecordReader, Snapshot};
 use crate::tree;
@@ -38,7 +38,7 @@
             }
         }
         let share = rand::rng().random_range(0.75..1.25);
-        sleep(longest_pause(&node).mul_f64(share)).await;
+        sleep(max_pause(&node).mul_f64(share)).await;
     }
 }
 
@@ -74,6 +74,6 @@
         replicas = read_count, changed = changed.len(), revision = snapshot.revision);
     if !changed.is_empty() {
         tree::publish_read_placements(node, &changed);
-        relay::announce(node);
+        relay::notify_view_changed(node);
     }
 }
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -44,17 +44,17 @@
         .filter_map(|item| records.replica_of(&item.key))
         .collect();
     let keys: HashSet<&str> = snapshot.items.iter().map(|item| item.key.as_str()).collect();
-    forget_all_but(node, &listed, &keys);
+    retain_only(node, &listed, &keys);
     for item in &snapshot.items {
         apply_item(node, item);
     }
     node.state.borrow_mut().directory.advance(snapshot.revision);
     tree::record_all_replicas_known(node);
-    announce(node);
+    notify_view_changed(node);
 }
 
 /// Removes replicas that are not `listed`, and nodes without one of these keys.
-fn forget_all_but<P: Platform>(node: &Node<P>, listed: &HashSet<ReplicaId>, keys: &HashSet<&str>) {
+fn retain_only<P: Platform>(node: &Node<P>, listed: &HashSet<ReplicaId>, keys: &HashSet<&str>) {
     let mut state = node.state.borrow_mut();
     state.replicas.retain(|id| listed.contains(id));
     state.members.retain(|key| keys.contains(key));
@@ -89,12 +89,12 @@
                 .map(|entry| entry.listing.id.clone()),
         );
     }
-    forget_all_but(node, &listed, &keys);
+    retain_only(node, &listed, &keys);
     for change in changes {
         apply_change(node, change);
     }
     node.state.borrow_mut().directory.advance(reached);
-    announce(node);
+    notify_view_changed(node);
 }
 
 fn apply_change<P: Platform>(node: &Node<P>, change: ViewChange) {
@@ -119,7 +119,7 @@
         }
     }
     if any {
-        announce(node);
+        notify_view_changed(node);
     }
 }
 
@@ -141,7 +141,7 @@
     }
     node.state.borrow_mut().directory.advance(reached);
     if any {
-        announce(node);
+        notify_view_changed(node);
     }
 }
 
@@ -198,8 +198,8 @@
 
 fn apply_configuration<P: Platform>(node: &Node<P>, configuration: Arc<Configuration>, item: &Item) {
     let mut state = node.state.borrow_mut();
-    let present = state.configuration.as_ref().map(|present| present.version);
-    if present.is_some_and(|version| version >= configuration.version) {
+    let current = state.configuration.as_ref().map(|current| current.version);
+    if current.is_some_and(|version| version >= configuration.version) {
         return;
     }
     tracing::info!(target: "directory", event = "configuration in force", version = configuration.version,
@@ -216,7 +216,7 @@
 }
 
 /// Notifies the tasks of this node that its view has changed.
-pub(crate) fn announce<P: Platform>(node: &Node<P>) {
+pub(crate) fn notify_view_changed<P: Platform>(node: &Node<P>) {
     node.metrics
         .replicas
         .set(node.state.borrow().replicas.len() as i64);
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -310,6 +310,6 @@
         state.tree.interests.record_answer(&interest.to_interest());
     }
     drop(state);
-    relay::announce(node);
+    relay::notify_view_changed(node);
     true
 }
