--- a/crates/croftrill-node/src/peer/loads.rs
+++ b/crates/croftrill-node/src/peer/loads.rs
@@ -1,4 +1,4 @@
-//! News of replicas' loads on the wire: small, as they are many.
+//! Wire form of load samples, compact because nodes exchange many of them.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 
 use crate::wire::WireList;
 
-/// Unit of an account's age.
+/// Unit of a sample's age.
 const AGE_UNIT_MS: u128 = 10;
-/// Bits of a number in each of its bytes; the highest one says that another byte follows.
+/// Payload bits in each byte of a count; the highest bit says that another byte follows.
 const BITS: u32 = 7;
 const MORE: u8 = 1 << BITS;
-/// Most bytes of a number.
+/// Maximum encoded length of a count.
 const MOST_BYTES: usize = 3;
 
-/// A small number, which takes a byte below 128 and three at most. Larger ones are told as
-/// the largest.
+/// A number of variable length: one byte below 128, three bytes at most. Larger numbers
+/// saturate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WireCount(pub u16);
 
@@ -54,25 +54,25 @@
     }
 }
 
-/// What a replica told of its load, on the wire.
+/// The load that a replica reported, on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub struct WireLoad {
-    /// The replica's incarnation.
+    /// Key of the replica's incarnation.
     pub key: u32,
-    /// How old the account is, in units of ten milliseconds, rounded up.
+    /// Age of the sample, in units of ten milliseconds, rounded up.
     pub age: WireCount,
-    /// Requests running there.
+    /// Number of requests running at the replica.
     pub running: WireCount,
-    /// Requests waiting there.
+    /// Number of requests waiting at the replica.
     pub waiting: WireCount,
-    /// One more than the requests that it runs at the same time; 0: not told.
+    /// One more than the number of requests that it runs at the same time; 0 if not reported.
     pub slots: WireCount,
-    /// One more than the time that work takes there, in hundredths of the usual; 0: not
-    /// told.
+    /// One more than the time that work takes there, as a percentage of the usual time; 0 if
+    /// not reported.
     pub work_time_pct: WireCount,
 }
 
-/// Bytes of an account: a key, an age below 1.28 s, numbers below 128 and a work time.
+/// Size of a sample: a key, an age below 1.28 s, numbers below 128 and a work time.
 pub(crate) const WIRE_LOAD_BYTES: u32 = 10;
 
 impl WireLoad {
@@ -90,7 +90,8 @@
         }
     }
 
-    /// The account; `sent_at`: when it was as old as it says, by the reader's clock.
+    /// Returns the sample. `sent_at` is the time on the reader's clock at which the sample had
+    /// the age that it states.
     fn to_account(self, sent_at: Moment) -> LoadSample {
         let option = |told: WireCount| u32::from(told.0).checked_sub(1);
         let age = Duration::from_millis(u64::from(self.age.0) * AGE_UNIT_MS as u64);
@@ -107,18 +108,18 @@
     }
 }
 
-/// Accounts of replicas' loads, on the wire.
+/// Samples of replicas' loads, on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Default, SerBin, DeBin)]
 pub struct WireLoads {
-    /// When they were sent, in milliseconds of the sender's steady clock: how late they
-    /// come counts as age.
+    /// When the message was sent, in milliseconds of the sender's steady clock. The reader adds
+    /// the delay of a late message to the age of its samples.
     pub sent_at_ms: u64,
-    /// The accounts.
+    /// The samples.
     pub loads: WireList<WireLoad>,
 }
 
 impl WireLoads {
-    /// The message form of accounts that are sent now.
+    /// Converts samples into a message that is sent now.
     pub fn from_accounts<'a>(accounts: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Self {
         let loads = accounts.into_iter();
         WireLoads {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The accounts as they are when they come in over a link of `delay`.
+    /// Returns the samples of a message received now over a link with this delay.
     pub fn to_accounts(&self, delay: &mut LinkDelay, now: Moment) -> Vec<LoadSample> {
         let late = delay.excess(Duration::from_millis(self.sent_at_ms), now);
         let accounts = self.loads.iter().map(|load| load.to_account(now - late));
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: binary, in frames with a length.
+//! Messages between nodes: binary, in length-delimited frames.
 
 mod loads;
 mod news;
@@ -27,16 +27,16 @@
 /// A service, a model or an adapter, on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct WireModel {
-    /// Service.
+    /// The service.
     pub service: String,
-    /// Model; empty for none.
+    /// The model; empty for none.
     pub model: String,
-    /// Adapter; empty for none.
+    /// The adapter; empty for none.
     pub adapter: String,
 }
 
 impl WireModel {
-    /// The message form of a key.
+    /// Converts a key into its wire form.
     pub fn from_key(key: &ModelKey) -> Self {
         WireModel {
             service: key.service.to_string(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The message form of an interest.
+    /// Converts an interest into its wire form.
     pub fn from_interest(interest: &Interest) -> Self {
         WireModel {
             service: interest.service.to_string(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The interest.
+    /// Returns the interest.
     pub fn to_interest(&self) -> Interest {
         Interest {
             service: self.service.as_str().into(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The key.
+    /// Returns the key.
     pub fn to_key(&self) -> ModelKey {
         ModelKey {
             service: self.service.as_str().into(),
@@ -73,23 +73,23 @@
     }
 }
 
-/// Requests for one model since the last message.
+/// Demand for one model since the last message.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct DemandItem {
-    /// What was asked for.
+    /// The requested model.
     pub model: WireModel,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Their cost, in tokens.
+    /// Cost of the requests, in tokens.
     pub tokens: u64,
-    /// Sum of their objectives, in milliseconds.
+    /// Sum of the requests' objectives, in milliseconds.
     pub objectives_ms: u64,
-    /// Requests that a holder served too late: of these, or of earlier ones.
+    /// Number of requests, of this or earlier messages, that a holder served too late.
     pub late: u32,
 }
 
 impl DemandItem {
-    /// What was asked for, as the orderer counts it.
+    /// Returns the demand as the orderer counts it.
     pub fn asked(&self) -> DemandSample {
         DemandSample {
             requests: f64::from(self.requests),
@@ -100,48 +100,48 @@
     }
 }
 
-/// A message to the orderer.
+/// A message to an orderer, a relay or, as the first one of a link, a keeper.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum ToOrderer {
-    /// First of all: the shard, by its number, to whose orderer this link goes.
+    /// First message on a link to an orderer: the index of its shard.
     Listen(u8),
-    /// Requests that arrived at a node.
+    /// Demand of the requests that arrived at a node.
     Demand(WireList<DemandItem>),
-    /// Requests wait for something that is not held.
+    /// Requests wait for a model that no replica holds.
     Waiting(WireModel),
-    /// First of all, on a link to a relay: the node follows all shards there.
+    /// First message on a link to a relay, through which the node follows all shards.
     Follow(WireFollow),
-    /// To a relay that tells by interests: what the node's requests ask for, too.
+    /// To a relay that publishes by interest: interests that the node's requests add.
     Want(WireList<WireModel>),
-    /// The same: what they have not asked for for long.
+    /// To a relay that publishes by interest: interests that the requests no longer need.
     Forget(WireList<WireModel>),
-    /// Wanted: the store's changes after this revision.
+    /// Requests the store's changes after this revision.
     Replay(u64),
-    /// A report that the sender cannot write to the store itself.
+    /// A crash report that the sender cannot write to the store itself.
     Crashes(WireCrashReport),
-    /// First of all, on a link to a keeper of quotas: the number of their part.
+    /// First message on a link to a keeper of quotas or limits: the index of the partition.
     AskQuotas(u8),
-    /// What replicas told of their loads; empty: whoever sends it listens to such news.
-    /// Only to nodes whose entries say that they understand it.
+    /// Loads that replicas reported. An empty message only subscribes the sender to load
+    /// updates. Sent only to nodes whose entries say that they understand it.
     Loads(WireLoads),
 }
 
-/// Who begins to follow a relay, and what it knows and wants.
+/// A node that starts to follow a relay, with the state of its view and its interests.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireFollow {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Revision of the store that its view reaches; 0: it has none.
+    /// Revision of the store that its view reaches; 0 if it has no view.
     pub reached: u64,
     /// True if it knows all replicas.
     pub knows_all: bool,
-    /// What its requests asked for lately.
+    /// Interests of its recent requests.
     pub interests: WireList<WireModel>,
 }
 
-/// A model on its way, on the wire.
+/// A model that a replica is loading, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireArrival {
     /// The model.
@@ -155,72 +155,73 @@
 pub struct WireHeldModel {
     /// The model.
     pub model: String,
-    /// Its adapters that are present.
+    /// The loaded adapters.
     pub adapters: WireList<String>,
 }
 
-/// What the orderer tells of one replica, on the wire.
+/// The state of one replica that the orderer publishes, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WirePlacement {
     /// The replica.
     pub replica: String,
-    /// When the incarnation that is meant started, in Unix milliseconds.
+    /// When the incarnation started, in Unix milliseconds.
     pub started_ms: Option<u64>,
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// What requests may rely on.
+    /// Models that requests may use.
     pub models: WireList<WireHeldModel>,
-    /// What is on its way.
+    /// Models that are being loaded.
     pub arriving: WireList<WireArrival>,
-    /// Copies of weights, where they changed. A model that makes way leaves one, which
-    /// decides how long whoever asks for it has to wait.
+    /// Copies of weights, if they changed. An evicted model leaves one, which determines how
+    /// long requests for it wait.
     pub copies: Option<WireCopies>,
 }
 
 /// Copies of weights that a replica does not hold, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireCopies {
-    /// In its main memory.
+    /// Models with a copy in main memory.
     pub in_memory: WireList<String>,
-    /// On its disk.
+    /// Models with a copy on disk.
     pub on_disk: WireList<String>,
 }
 
-/// A replica at which a successor must not order yet, on the wire.
+/// A replica to which a successor must not send orders yet, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireHold {
     /// The replica.
     pub replica: String,
-    /// Time for which no other machine may order there, in milliseconds.
+    /// Time for which no other node may send orders to it, in milliseconds.
     pub remaining_ms: u32,
 }
 
-/// A load from the weight store that counts still, on the wire.
+/// A load from the weight store that still counts against the ceiling, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WirePastLoad {
     /// The service.
     pub service: String,
-    /// How long ago it began, in milliseconds.
+    /// How long ago the load started, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an orderer leaves to its successor, on the wire.
+/// The state that an orderer hands over to its successor, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireResignation {
     /// Fencing token of the term.
     pub fencing_token: u64,
-    /// Store revision of the record under which the term could order.
+    /// Store revision of the record that authorized the term's orders.
     pub record_revision: u64,
-    /// Time for which no other machine may order anywhere, in milliseconds.
+    /// Time for which no other node may send orders to any replica, in milliseconds.
     pub everywhere_ms: u32,
-    /// Replicas at which others must not order yet.
+    /// Replicas to which others must not send orders yet.
     pub holds: WireList<WireHold>,
-    /// Loads that count still.
+    /// Loads that still count.
     pub loads: WireList<WirePastLoad>,
 }
 
 impl WireResignation {
-    /// The message form. Times are rounded to the safe side.
+    /// Converts a resignation into its wire form. Remaining times are rounded up and ages down,
+    /// so that a successor waits long enough.
     pub fn from_resignation(resignation: &Resignation) -> Self {
         let hand_over = &resignation.hand_over;
         let holds = hand_over.holds.iter().map(|hold| WireHold {
@@ -240,7 +241,7 @@
         }
     }
 
-    /// The resignation.
+    /// Returns the resignation.
     pub fn into_resignation(self) -> Resignation {
         let holds = self.holds.into_iter().map(|hold| Hold {
             replica: hold.replica.into(),
@@ -262,95 +263,95 @@
     }
 }
 
-/// A message from the orderer.
+/// A message from an orderer or a relay.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum FromOrderer {
-    /// What it knows of some replicas.
+    /// State of some replicas.
     Placements(WireList<WirePlacement>),
-    /// What it learned of the store.
+    /// Changes of the store.
     Directory(DirectoryNews),
-    /// It is alive and holds the lease.
+    /// The orderer is alive and holds the lease.
     Alive,
-    /// Its term is over.
+    /// The orderer's term ended.
     Resigned(WireResignation),
-    /// From a relay: which shards' orderers it hears.
+    /// From a relay: for each shard, whether the orderer is reachable.
     Linked(WireList<bool>),
-    /// From a relay, first of all: how much of the replicas it tells.
+    /// First message from a relay: which replicas it publishes.
     Scope(WireScope),
-    /// From a relay that tells by interests: replicas that the node must know.
+    /// From a relay that publishes by interest: replicas that the node must know.
     Replicas(WireReplicas),
-    /// The same: replicas that it is not told of any more.
+    /// From a relay that publishes by interest: replicas that it no longer publishes.
     Forgotten(WireList<String>),
-    /// From a relay: the term of an orderer is over.
+    /// From a relay: the term of an orderer ended.
     RelayedResignation(RelayedResignation),
-    /// All that the sender knows of the store, as changes from nothing.
+    /// The sender's full view of the store, as changes from an empty view.
     Whole(WholePart),
-    /// The changes that were asked for are not known, nor is the whole.
+    /// The sender has neither the requested changes nor a full view.
     HistoryGone,
-    /// What replicas told of their loads. Only on links on which such news came.
+    /// Loads that replicas reported. Sent only on links that received such a message.
     Loads(WireLoads),
 }
 
-/// How much of the replicas a relay tells its followers.
+/// Which replicas a relay publishes to a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub enum WireScope {
-    /// All of them.
+    /// All replicas.
     All,
-    /// Those that they ask for.
+    /// Replicas that fit the follower's interests.
     ByInterest,
 }
 
-/// A replica with what it holds, on the wire.
+/// A replica with its placement, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireReplica {
-    /// As listed.
+    /// Listing of the replica.
     pub listing: WireListing,
-    /// What it holds, if that is known.
+    /// Placement of the replica, if known.
     pub placement: Option<WirePlacement>,
 }
 
-/// Least time in which some replica could load a model, on the wire.
+/// Minimum time in which any replica could load a model, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireReload {
     /// The model.
     pub model: WireModel,
-    /// That time, in milliseconds.
+    /// The time, in milliseconds.
     pub reload_ms: u32,
 }
 
-/// Replicas that a follower must know, and what they answer.
+/// Replicas that a follower must know, and the interests that they answer.
 #[derive(Debug, Clone, PartialEq, Default, SerBin, DeBin)]
 pub struct WireReplicas {
-    /// True if it knows no others from now on.
+    /// True if the follower must drop all other replicas.
     pub replaces: bool,
-    /// Revision of the store that the sender's view reached.
+    /// Revision of the store that the sender's view reaches.
     pub reached: u64,
     /// The replicas.
     pub replicas: WireList<WireReplica>,
-    /// Interests that are answered by these and what was told before.
+    /// Interests that are answered by these and previously sent replicas.
     pub answers: WireList<WireModel>,
-    /// Load times of models that changed.
+    /// Load times of models, where they changed.
     pub reloads: WireList<WireReload>,
 }
 
 /// A resignation that a relay passes on, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct RelayedResignation {
-    /// Number of the orderer's shard.
+    /// Index of the orderer's shard.
     pub shard: u8,
-    /// Address of the orderer for other nodes.
+    /// Peer address of the orderer.
     pub orderer: String,
-    /// What it left.
+    /// The resignation.
     pub resignation: WireResignation,
 }
 
 impl FromOrderer {
-    /// The message, encoded.
+    /// Encodes the message.
     pub fn encode(&self) -> Bytes {
         Bytes::from(self.serialize_bin())
     }
 
-    /// Messages with these placements, encoded.
+    /// Encodes messages with these placements.
     pub fn encode_placements(placements: &[Placement], now: Moment) -> Vec<Bytes> {
         let wire = placements
             .iter()
@@ -362,7 +363,7 @@
 }
 
 impl WireReplica {
-    /// Bytes that it takes in a message, about.
+    /// Returns the approximate size in a message.
     pub fn size_bytes(&self) -> usize {
         let placement = self.placement.as_ref().map_or(0, WirePlacement::size_bytes);
         self.listing.name_bytes() + ROW_BYTES + placement
@@ -378,12 +379,12 @@
 }
 
 impl WirePlacement {
-    /// Placements in parts that fit into messages.
+    /// Splits placements into chunks that fit into messages.
     pub fn in_parts(placements: Vec<WirePlacement>) -> Vec<Vec<WirePlacement>> {
         in_parts(placements, WirePlacement::size_bytes, |_, _| true)
     }
 
-    /// Bytes that it takes in a message, about.
+    /// Returns the approximate size in a message.
     pub fn size_bytes(&self) -> usize {
         let held = self.models.iter().map(|held| {
             let adapters = held.adapters.iter().map(|adapter| adapter.len() + NAME_BYTES);
@@ -402,7 +403,7 @@
         self.replica.len() + names + ROW_BYTES
     }
 
-    /// The message form of a placement.
+    /// Converts a placement into its wire form.
     pub fn from_placement(placement: &Placement, now: Moment) -> Self {
         let models = placement.usable.models.iter().map(|held| WireHeldModel {
             model: held.model.to_string(),
@@ -425,7 +426,7 @@
         }
     }
 
-    /// The placement.
+    /// Returns the placement.
     pub fn to_placement(&self, now: Moment) -> Placement {
         let models = self.models.iter().map(|held| HeldModel {
             model: held.model.as_str().into(),
@@ -459,7 +460,7 @@
     }
 }
 
-/// Requests for one model that were not told yet.
+/// Demand for one model that has not been sent yet.
 #[derive(Debug, Default)]
 struct Counted {
     requests: u32,
@@ -468,14 +469,14 @@
     late: u32,
 }
 
-/// Demand that has not been told yet.
+/// Demand that has not been sent yet.
 #[derive(Debug, Default)]
 pub struct DemandBatch {
     items: BTreeMap<ModelKey, Counted>,
 }
 
 impl DemandBatch {
-    /// Counts a request, its cost, and the time within which it earns full credit.
+    /// Counts a request, its cost, and its objective, within which it earns full credit.
     pub fn add(&mut self, key: ModelKey, tokens: u64, objective: Duration) {
         let counted = self.items.entry(key).or_default();
         counted.requests += 1;
@@ -483,12 +484,12 @@
         counted.objectives_ms += objective.as_millis() as u64;
     }
 
-    /// A request was served too late by a replica that held its model.
+    /// Counts a request that a replica holding its model served too late.
     pub fn add_late(&mut self, key: ModelKey) {
         self.items.entry(key).or_default().late += 1;
     }
 
-    /// Adds what another node counted.
+    /// Adds the demand that another node counted.
     pub fn merge(&mut self, item: &DemandItem) {
         let counted = self.items.entry(item.model.to_key()).or_default();
         counted.requests += item.requests;
@@ -497,7 +498,7 @@
         counted.late += item.late;
     }
 
-    /// Takes what was counted, as a message; `None` if there is nothing.
+    /// Takes the counted demand as a message, or `None` if there is none.
     pub fn take(&mut self) -> Option<ToOrderer> {
         if self.items.is_empty() {
             return None;
--- a/crates/croftrill-node/src/peer/news.rs
+++ b/crates/croftrill-node/src/peer/news.rs
@@ -1,4 +1,4 @@
-//! What is relayed of the store, and how what is longer than a message goes in parts.
+//! Wire form of the store's changes, and the split of long updates into messages.
 
 use std::time::Duration;
 
@@ -9,39 +9,38 @@
 use crate::tree::MAX_CHANGE_BYTES;
 use crate::wire::WireList;
 
-/// Bytes of one message of those in which more is told, about: 50 ms over 20 Mbit/s, so
-/// that signs of life and what is urgent get between them.
+/// Approximate size of a message in a sequence of several. It takes 50 ms over 20 Mbit/s, so
+/// that heartbeats and urgent messages get between them.
 const PART_BYTES: usize = 128 * 1024;
-/// Bytes that a change, a listing or a placement takes besides its names, at most.
+/// Maximum size of a change, a listing or a placement without its names.
 pub(super) const ROW_BYTES: usize = 96;
-/// Bytes that a name takes besides its letters.
+/// Size of a name's length prefix.
 pub(super) const NAME_BYTES: usize = 8;
-/// Age of a proof that proves nothing, in milliseconds: 49 days.
+/// Age of a proof that is not valid, in milliseconds: 49 days.
 const UNPROVEN_MS: u32 = u32::MAX;
 
-/// A replica as the directory lists it, without what it holds: of that the
-/// orderer tells by itself.
+/// A replica's listing without its holdings, which the orderer publishes separately.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireListing {
-    /// Identity of the incarnation.
+    /// Id of the incarnation.
     pub id: String,
-    /// Its service.
+    /// Service of the replica.
     pub service: String,
     /// `IP:PORT`.
     pub address: String,
-    /// Zone it runs in.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
     /// True if it is about to leave.
     pub is_draining: bool,
-    /// Time it has left, if it is taken away at short notice, in milliseconds.
+    /// Remaining time in milliseconds, if it is withdrawn at short notice.
     pub leaves_in_ms: Option<u64>,
     /// When it started, in Unix milliseconds.
     pub started_ms: Option<u64>,
 }
 
-/// What became of one key of the store, on the wire.
+/// The change of one key of the store, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum WireChange {
     /// A replica was listed, or its listing changed.
@@ -60,46 +59,46 @@
     },
 }
 
-/// A change of the store, on the wire.
+/// A change of the store with its revision, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct RevisedChange {
     /// Store revision of the change.
     pub revision: u64,
-    /// What it is.
+    /// The change.
     pub change: WireChange,
 }
 
-/// What the orderer relays of the store: the changes of a span of revisions, but
-/// for those that tell the other nodes nothing.
+/// The changes of a span of store revisions, without those that other nodes do not need.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct DirectoryNews {
     /// Revision after which the span begins.
     pub after: u64,
     /// Last revision that it covers.
     pub reached: u64,
-    /// How long ago the store showed that this is everything, in milliseconds.
+    /// How long ago the store proved that the changes are complete, in milliseconds.
     pub proof_age_ms: u32,
-    /// When it was sent, by the sender's steady clock, in milliseconds.
+    /// When it was sent, in milliseconds of the sender's steady clock.
     pub sent_at_ms: u64,
     /// The changes, in order.
     pub changes: WireList<RevisedChange>,
 }
 
-/// A part of a view that is told whole: one message has a limit, a fleet has none.
+/// A chunk of a full view, which may exceed the size limit of a message.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WholePart {
-    /// True for the first one: what came of an earlier view is void.
+    /// True for the first chunk; the reader discards the chunks of an earlier view.
     pub is_first: bool,
-    /// True for the last one: now the view is complete.
+    /// True for the last chunk, which completes the view.
     pub is_last: bool,
-    /// True if replicas that are not in it are gone; else it says nothing of replicas.
+    /// True if replicas that are not in the view are removed; otherwise the view does not cover
+    /// replicas.
     pub has_replicas: bool,
-    /// Its changes, from nothing.
+    /// Its changes, starting from an empty view.
     pub news: DirectoryNews,
 }
 
-/// Splits what one message would tell into parts of about `PART_BYTES` each, between two
-/// rows where `may_split` allows it.
+/// Splits rows into chunks of about `PART_BYTES` each, only between rows where `may_split`
+/// allows it.
 pub(crate) fn in_parts<T>(
     rows: Vec<T>,
     size_bytes: impl Fn(&T) -> usize,
@@ -124,22 +123,21 @@
 }
 
 impl DirectoryNews {
-    /// Sets when the view that the changes lead to was proven complete, and when
-    /// the message leaves.
+    /// Sets the time at which the resulting view was proven complete, and the time of sending.
     pub fn stamp(&mut self, proven_at: Moment, now: Moment) {
         self.proof_age_ms = now.since(proven_at).as_millis() as u32;
         self.sent_at_ms = now.since(Moment::default()).as_millis() as u64;
     }
 
-    /// Bytes that the changes take in a message, about.
+    /// Returns the approximate size of the changes in a message.
     pub fn size_bytes(&self) -> usize {
         let changes = self.changes.iter();
         changes.map(|revised| revised.change.size_bytes()).sum()
     }
 
-    /// The span in parts that fit into messages. Only the last one proves that the view
-    /// is complete. A change that is too large for any message leaves a span that begins
-    /// where it ends: a gap to whoever has not got so far.
+    /// Splits the span into chunks that fit into messages. Only the last one proves that the
+    /// view is complete. If a change is too large for any message, returns an empty span at the
+    /// last revision, which is a gap to nodes that have not reached it.
     pub fn into_parts(mut self) -> Vec<DirectoryNews> {
         let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
         if self.changes.iter().any(is_too_large) {
@@ -151,7 +149,7 @@
             return vec![self];
         }
         let rows = std::mem::take(&mut self.changes);
-        // What one write of the store changed stays together: a view takes a revision once.
+        // The changes of one revision stay together, as a view applies a revision once.
         let may_split = |left: &RevisedChange, right: &RevisedChange| left.revision != right.revision;
         let parts = in_parts(
             rows.into(),
@@ -185,7 +183,8 @@
 }
 
 impl WholePart {
-    /// A view in parts that fit into messages; `None` if some item fits into none.
+    /// Splits a view into chunks that fit into messages. Returns `None` if an item is too large
+    /// for any message.
     pub fn parts_of(whole: DirectoryNews, has_replicas: bool) -> Option<Vec<WholePart>> {
         let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
         if whole.changes.iter().any(is_too_large) {
@@ -221,7 +220,7 @@
 }
 
 impl WireListing {
-    /// The message form of a listing.
+    /// Converts a listing into its wire form.
     pub fn from_listing(listing: &ReplicaListing) -> Self {
         WireListing {
             id: listing.id.to_string(),
@@ -239,7 +238,7 @@
         self.id.len() + self.service.len() + self.address.len() + self.zone.len()
     }
 
-    /// The listing, with these holdings.
+    /// Returns the listing with these holdings.
     pub fn into_listing(self, holdings: Holdings) -> ReplicaListing {
         let state = if self.is_draining {
             ReplicaState::Draining
@@ -261,7 +260,7 @@
 }
 
 impl WireChange {
-    /// Bytes that it takes in a message, about.
+    /// Returns the approximate size of the change in a message.
     pub fn size_bytes(&self) -> usize {
         let names = match self {
             WireChange::Replica(listing) => listing.name_bytes(),
