--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -119,7 +119,7 @@
 }
 
 fn encode<'a>(samples: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Bytes {
-    FromOrderer::Loads(WireLoads::from_accounts(samples, now)).encode()
+    FromOrderer::Loads(WireLoads::from_samples(samples, now)).encode()
 }
 
 /// Returns whether this node forwards load samples, which applies to all services alike.
@@ -226,7 +226,7 @@
 /// them for the followers.
 pub(crate) fn apply_published<P: Platform>(node: &Node<P>, loads: &WireLoads, delay: &mut LinkDelay) {
     let now = node.clock.now();
-    let samples = loads.to_accounts(delay, now);
+    let samples = loads.to_samples(delay, now);
     record_arrivals(node, &samples, now);
     let known = apply_samples(node, &samples, "orderer");
     queue_for_followers(node, known.iter().map(|(_, sample)| sample), now);
@@ -255,7 +255,7 @@
     let mut delay = LinkDelay::default();
     // The queue between them acts as a link whose minimum delay is zero.
     delay.excess(now.since(Moment::default()), now);
-    loads.to_accounts(&mut delay, now)
+    loads.to_samples(&mut delay, now)
 }
 
 /// Encodes a message for the node at an address. Returns `None` for load samples unless the
@@ -334,7 +334,7 @@
 }
 
 fn loads_message(samples: &[LoadSample], now: Moment) -> ToOrderer {
-    ToOrderer::Loads(WireLoads::from_accounts(samples, now))
+    ToOrderer::Loads(WireLoads::from_samples(samples, now))
 }
 
 fn send_to_followers<P: Platform>(node: &Node<P>) {
@@ -371,7 +371,7 @@
         now: Moment,
     ) -> Vec<LoadSample> {
         self.updates.get_or_insert_with(|| source.subscribe());
-        loads.to_accounts(&mut self.delay, now)
+        loads.to_samples(&mut self.delay, now)
     }
 
     /// Returns the next message for the node; never completes if the node is not subscribed.
@@ -393,7 +393,7 @@
     pub(crate) fn receive<P: Platform>(&mut self, node: &Node<P>, loads: &WireLoads) {
         self.updates
             .get_or_insert_with(|| node.load_news.followers.subscribe());
-        let samples = loads.to_accounts(&mut self.delay, node.clock.now());
+        let samples = loads.to_samples(&mut self.delay, node.clock.now());
         for (_, sample) in apply_samples(node, &samples, "follower") {
             queue_for_orderers(node, sample, "relay");
         }
--- a/crates/croftrill-node/src/orderer_task/loads.rs
+++ b/crates/croftrill-node/src/orderer_task/loads.rs
@@ -97,7 +97,7 @@
             return;
         }
         load_updates::queue_for_followers(node, &due.samples, now);
-        let message = FromOrderer::Loads(WireLoads::from_accounts(&due.samples, now)).encode();
+        let message = FromOrderer::Loads(WireLoads::from_samples(&due.samples, now)).encode();
         // Sending fails only while there are no subscribers.
         let _ = self.subscribers.send(message);
     }
--- a/crates/croftrill-node/src/peer/loads.rs
+++ b/crates/croftrill-node/src/peer/loads.rs
@@ -13,10 +13,10 @@
 /// Unit of a sample's age.
 const AGE_UNIT_MS: u128 = 10;
 /// Payload bits in each byte of a count; the highest bit says that another byte follows.
-const BITS: u32 = 7;
-const MORE: u8 = 1 << BITS;
+const PAYLOAD_BITS: u32 = 7;
+const CONTINUATION_BIT: u8 = 1 << PAYLOAD_BITS;
 /// Maximum encoded length of a count.
-const MOST_BYTES: usize = 3;
+const MAX_COUNT_BYTES: usize = 3;
 
 /// A number of variable length: one byte below 128, three bytes at most. Larger numbers
 /// saturate.
@@ -24,33 +24,33 @@
 pub struct WireCount(pub u16);
 
 impl WireCount {
-    fn of(number: u128) -> Self {
+    fn saturating_from(number: u128) -> Self {
         WireCount(u16::try_from(number).unwrap_or(u16::MAX))
     }
 }
 
 impl SerBin for WireCount {
     fn ser_bin(&self, bytes: &mut Vec<u8>) {
-        let mut rest = self.0;
-        while rest >= u16::from(MORE) {
-            bytes.push(rest as u8 | MORE);
-            rest >>= BITS;
+        let mut remaining = self.0;
+        while remaining >= u16::from(CONTINUATION_BIT) {
+            bytes.push(remaining as u8 | CONTINUATION_BIT);
+            remaining >>= PAYLOAD_BITS;
         }
-        bytes.push(rest as u8);
+        bytes.push(remaining as u8);
     }
 }
 
 impl DeBin for WireCount {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
         let mut number = 0u32;
-        for shift in (0..u16::BITS).step_by(BITS as usize) {
+        for shift in (0..u16::BITS).step_by(PAYLOAD_BITS as usize) {
             let byte = u8::de_bin(offset, bytes)?;
-            number |= u32::from(byte & !MORE) << shift;
-            if byte & MORE == 0 {
-                return Ok(WireCount::of(u128::from(number)));
+            number |= u32::from(byte & !CONTINUATION_BIT) << shift;
+            if byte & CONTINUATION_BIT == 0 {
+                return Ok(WireCount::saturating_from(u128::from(number)));
             }
         }
-        Err(DeBinErr::new(*offset, MOST_BYTES, MOST_BYTES + 1))
+        Err(DeBinErr::new(*offset, MAX_COUNT_BYTES, MAX_COUNT_BYTES + 1))
     }
 }
 
@@ -76,24 +76,24 @@
 pub(crate) const WIRE_LOAD_BYTES: u32 = 10;
 
 impl WireLoad {
-    fn from_account(account: &LoadSample, now: Moment) -> Self {
-        let count = |number: u32| WireCount::of(u128::from(number));
+    fn from_sample(sample: &LoadSample, now: Moment) -> Self {
+        let count = |number: u32| WireCount::saturating_from(u128::from(number));
         let option = |number: Option<u32>| count(number.map_or(0, |number| number.saturating_add(1)));
-        let age_ms = now.since(account.at).as_millis();
+        let age_ms = now.since(sample.at).as_millis();
         WireLoad {
-            key: account.key.0,
-            age: WireCount::of(age_ms.div_ceil(AGE_UNIT_MS)),
-            running: count(account.load.running),
-            waiting: count(account.load.waiting),
-            slots: option(account.load.slots),
-            work_time_pct: option(account.load.work_time_pct),
+            key: sample.key.0,
+            age: WireCount::saturating_from(age_ms.div_ceil(AGE_UNIT_MS)),
+            running: count(sample.load.running),
+            waiting: count(sample.load.waiting),
+            slots: option(sample.load.slots),
+            work_time_pct: option(sample.load.work_time_pct),
         }
     }
 
     /// Returns the sample. `sent_at` is the time on the reader's clock at which the sample had
     /// the age that it states.
-    fn to_account(self, sent_at: Moment) -> LoadSample {
-        let option = |told: WireCount| u32::from(told.0).checked_sub(1);
+    fn to_sample(self, sent_at: Moment) -> LoadSample {
+        let option = |encoded: WireCount| u32::from(encoded.0).checked_sub(1);
         let age = Duration::from_millis(u64::from(self.age.0) * AGE_UNIT_MS as u64);
         LoadSample {
             key: LoadKey(self.key),
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, SerBin, DeBin)]
 pub struct WireLoads {
     /// When the message was sent, in milliseconds of the sender's steady clock. The reader adds
-    /// the delay of a late message to the age of its samples.
+    /// the delay of a excess_delay message to the age of its samples.
     pub sent_at_ms: u64,
     /// The samples.
     pub loads: WireList<WireLoad>,
@@ -120,20 +120,18 @@
 
 impl WireLoads {
     /// Converts samples into a message that is sent now.
-    pub fn from_accounts<'a>(accounts: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Self {
-        let loads = accounts.into_iter();
+    pub fn from_samples<'a>(samples: impl IntoIterator<Item = &'a LoadSample>, now: Moment) -> Self {
+        let loads = samples.into_iter();
         WireLoads {
             sent_at_ms: now.since(Moment::default()).as_millis() as u64,
-            loads: loads
-                .map(|account| WireLoad::from_account(account, now))
-                .collect(),
+            loads: loads.map(|sample| WireLoad::from_sample(sample, now)).collect(),
         }
     }
 
     /// Returns the samples of a message received now over a link with this delay.
-    pub fn to_accounts(&self, delay: &mut LinkDelay, now: Moment) -> Vec<LoadSample> {
-        let late = delay.excess(Duration::from_millis(self.sent_at_ms), now);
-        let accounts = self.loads.iter().map(|load| load.to_account(now - late));
-        accounts.collect()
+    pub fn to_samples(&self, delay: &mut LinkDelay, now: Moment) -> Vec<LoadSample> {
+        let excess_delay = delay.excess(Duration::from_millis(self.sent_at_ms), now);
+        let samples = self.loads.iter().map(|load| load.to_sample(now - excess_delay));
+        samples.collect()
     }
 }
--- a/crates/croftrill-node/tests/load_news.rs
+++ b/crates/croftrill-node/tests/load_news.rs
@@ -30,8 +30,8 @@
 #[test]
 fn to_accounts_of_a_prompt_message_is_what_was_sent() {
     let mut delay = LinkDelay::default();
-    let told = WireLoads::from_accounts(&[account(at(900))], at(1000));
-    assert_eq!(told.to_accounts(&mut delay, at(77_000)), [account(at(76_900))]);
+    let told = WireLoads::from_samples(&[account(at(900))], at(1000));
+    assert_eq!(told.to_samples(&mut delay, at(77_000)), [account(at(76_900))]);
     let untold = LoadSample {
         load: ReplicaLoad {
             slots: None,
@@ -40,8 +40,8 @@
         },
         ..account(at(995))
     };
-    let told = WireLoads::from_accounts(&[untold], at(1000));
-    let accounts = told.to_accounts(&mut delay, at(77_000));
+    let told = WireLoads::from_samples(&[untold], at(1000));
+    let accounts = told.to_samples(&mut delay, at(77_000));
     assert_eq!(accounts[0].load, untold.load);
     assert_eq!(accounts[0].at, at(76_990), "its age is rounded up");
 }
@@ -50,10 +50,10 @@
 #[test]
 fn to_accounts_of_a_late_message_counts_the_time_on_the_way() {
     let mut delay = LinkDelay::default();
-    let told = WireLoads::from_accounts(&[account(at(900))], at(1000));
-    told.to_accounts(&mut delay, at(5000));
-    let told = WireLoads::from_accounts(&[account(at(1900))], at(2000));
-    let accounts = told.to_accounts(&mut delay, at(9000));
+    let told = WireLoads::from_samples(&[account(at(900))], at(1000));
+    told.to_samples(&mut delay, at(5000));
+    let told = WireLoads::from_samples(&[account(at(1900))], at(2000));
+    let accounts = told.to_samples(&mut delay, at(9000));
     assert_eq!(accounts[0].at, at(5900), "it came three seconds late");
 }
 
@@ -70,9 +70,9 @@
         load: most,
         ..account(at(0))
     };
-    let told = WireLoads::from_accounts(&[account], at(u64::from(u32::MAX)));
+    let told = WireLoads::from_samples(&[account], at(u64::from(u32::MAX)));
     let told = decode::<WireLoads>(&told.serialize_bin()).expect("its own form");
-    let read = told.to_accounts(&mut delay, at(u64::from(u32::MAX)))[0];
+    let read = told.to_samples(&mut delay, at(u64::from(u32::MAX)))[0];
     assert_eq!(read.load.running, u32::from(u16::MAX));
     assert_eq!(read.load.slots, Some(u32::from(u16::MAX) - 1));
 }
@@ -81,7 +81,7 @@
 fn account_takes_ten_bytes() {
     let accounts = |count: usize| vec![account(at(0)); count];
     let size = |count: usize| {
-        let told = WireLoads::from_accounts(&accounts(count), at(1270));
+        let told = WireLoads::from_samples(&accounts(count), at(1270));
         FromOrderer::Loads(told).serialize_bin().len()
     };
     assert_eq!(size(3) - size(2), 10);
@@ -103,7 +103,7 @@
 /// Bytes as the first build with such news wrote them.
 #[test]
 fn recorded_loads_are_read_as_they_were_meant() {
-    let told = WireLoads::from_accounts(&[account(at(900))], at(1000));
+    let told = WireLoads::from_samples(&[account(at(900))], at(1000));
     for (recorded, is) in [
         (
             include_str!("recorded/loads_heard.hex"),
