--- a/crates/croftrill-node/src/peer/loads.rs
+++ b/crates/croftrill-node/src/peer/loads.rs
@@ -112,7 +112,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, SerBin, DeBin)]
 pub struct WireLoads {
     /// When the message was sent, in milliseconds of the sender's steady clock. The reader adds
-    /// the delay of a excess_delay message to the age of its samples.
+    /// the delay of a late message to the age of its samples.
     pub sent_at_ms: u64,
     /// The samples.
     pub loads: WireList<WireLoad>,
