--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use croftrill_node::membership::MemberEntry;
 use croftrill_node::peer::{
-    DirectoryNews, FromOrderer, RevisedChange, WholePart, WireChange, WireListing, WirePlacement,
+    DirectoryUpdate, FromOrderer, FullViewChunk, RevisedChange, WireChange, WireListing, WirePlacement,
 };
 use croftrill_scheduler::interest::{FollowerInterests, Interest};
 use croftrill_scheduler::relay_tree::{role, TreeNode, TreeRole};
@@ -234,17 +234,17 @@
     let changes = nodes
         .chain(replicas)
         .map(|change| RevisedChange { revision: 1, change });
-    let whole = DirectoryNews {
+    let whole = DirectoryUpdate {
         after: 0,
         reached: 1,
         proof_age_ms: 0,
         sent_at_ms: 0,
         changes: changes.collect(),
     };
-    let parts = WholePart::parts_of(whole, true).expect("every entry fits into a message");
+    let parts = FullViewChunk::chunks_of(whole, true).expect("every entry fits into a message");
     parts
         .into_iter()
-        .map(|part| FromOrderer::Whole(part).encode().len())
+        .map(|part| FromOrderer::FullView(part).encode().len())
         .collect()
 }
 
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -1,7 +1,7 @@
 //! Relays the store's changes from the orderer to the other nodes.
 //!
 //! One watch of the store serves all nodes, as watches of their own would be the largest
-//! cost of most nodes. Each answer of the orderer's watch is sent as [`DirectoryNews`];
+//! cost of most nodes. Each answer of the orderer's watch is sent as [`DirectoryUpdate`];
 //! [`FollowedView`] decides whether a node may rely on these messages.
 //!
 //! [`FollowedView`]: croftrill_scheduler::followed_view::FollowedView
@@ -20,7 +20,7 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::orderer_task::OrdererInput;
-use crate::peer::{DirectoryNews, RevisedChange, WholePart, WireChange, WireListing};
+use crate::peer::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
 use crate::ports::{Changes, Item, Platform, Record, RecordReader, StoreEvent};
 use crate::tree;
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct WatchedSpan {
     /// The changes, and the revisions that bound the span.
-    pub update: DirectoryNews,
+    pub update: DirectoryUpdate,
     /// When the store proved that the changes are complete.
     pub proven_at: Moment,
 }
@@ -49,7 +49,7 @@
         return;
     }
     let span = WatchedSpan {
-        update: DirectoryNews {
+        update: DirectoryUpdate {
             after,
             reached: changes.revision,
             proof_age_ms: 0,
@@ -180,10 +180,10 @@
 
 impl WatchedSpan {
     /// Returns the messages to each listening node.
-    pub fn into_messages(self, now: Moment) -> Vec<DirectoryNews> {
+    pub fn into_messages(self, now: Moment) -> Vec<DirectoryUpdate> {
         let mut update = self.update;
         update.stamp(self.proven_at, now);
-        update.into_parts()
+        update.into_chunks()
     }
 }
 
@@ -195,7 +195,7 @@
 /// orderer.
 pub fn apply_update<P: Platform>(
     node: &Node<P>,
-    update: DirectoryNews,
+    update: DirectoryUpdate,
     delay: &mut LinkDelay,
 ) -> Option<RelayOutcome> {
     if node.gives_orders() {
@@ -239,13 +239,13 @@
 
 impl FullViewChunks {
     /// Adds a chunk and returns the full view if the chunk is the last one.
-    fn push(&mut self, chunk: WholePart) -> Option<DirectoryNews> {
+    fn push(&mut self, chunk: FullViewChunk) -> Option<DirectoryUpdate> {
         if chunk.is_first {
             self.0.clear();
         }
-        let mut update = chunk.news;
+        let mut update = chunk.update;
         self.0.append(&mut update.changes);
-        chunk.is_last.then(|| DirectoryNews {
+        chunk.is_last.then(|| DirectoryUpdate {
             changes: std::mem::take(&mut self.0).into(),
             ..update
         })
@@ -256,7 +256,7 @@
 /// missed too many changes. Applies the view once it is complete.
 pub fn apply_full_view_chunk<P: Platform>(
     node: &Node<P>,
-    chunk: WholePart,
+    chunk: FullViewChunk,
     chunks: &mut FullViewChunks,
     delay: &mut LinkDelay,
 ) {
@@ -292,7 +292,7 @@
 }
 
 /// Returns when the view after an update was proven complete, by this node's clock.
-fn proof_time(update: &DirectoryNews, delay: &mut LinkDelay, now: Moment) -> Moment {
+fn proof_time(update: &DirectoryUpdate, delay: &mut LinkDelay, now: Moment) -> Moment {
     let age = Duration::from_millis(u64::from(update.proof_age_ms));
     let late = delay.excess(Duration::from_millis(update.sent_at_ms), now);
     now - age - late
@@ -300,10 +300,10 @@
 
 /// Publishes the changes of a span that are new to this node, so that followers receive
 /// each change once when several orderers send it.
-fn publish_newer<P: Platform>(node: &Node<P>, update: &DirectoryNews, proven_at: Moment) {
+fn publish_newer<P: Platform>(node: &Node<P>, update: &DirectoryUpdate, proven_at: Moment) {
     let after = node.state.borrow().directory.reached();
     let newer = update.changes.iter().filter(|revised| revised.revision > after);
-    let relayed = DirectoryNews {
+    let relayed = DirectoryUpdate {
         after,
         changes: newer.cloned().collect(),
         ..*update
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -560,7 +560,7 @@
     fn publish_placements(&self, placements: &[Placement], now: Moment) {
         let wire = placements.iter();
         let wire = wire.map(|placement| WirePlacement::from_placement(placement, now));
-        for part in WirePlacement::in_parts(wire.collect()) {
+        for part in WirePlacement::in_chunks(wire.collect()) {
             let message = FromOrderer::Placements(part.clone().into()).encode();
             tree::publish_placements(&self.node, &part, &message);
             // Sending fails only while there are no subscribers.
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -18,9 +18,9 @@
 
 pub(crate) use self::loads::WIRE_LOAD_BYTES;
 pub use self::loads::{WireCount, WireLoad, WireLoads};
-pub(crate) use self::news::in_parts;
-pub use self::news::{DirectoryNews, RevisedChange, WholePart, WireChange, WireListing};
-use self::news::{NAME_BYTES, ROW_BYTES};
+pub(crate) use self::news::in_chunks;
+pub use self::news::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
+use self::news::{MAX_ROW_BYTES, NAME_PREFIX_BYTES};
 use crate::crash_wire::WireCrashReport;
 use crate::wire::WireList;
 
@@ -269,7 +269,7 @@
     /// State of some replicas.
     Placements(WireList<WirePlacement>),
     /// Changes of the store.
-    Directory(DirectoryNews),
+    Directory(DirectoryUpdate),
     /// The orderer is alive and holds the lease.
     Alive,
     /// The orderer's term ended.
@@ -285,7 +285,7 @@
     /// From a relay: the term of an orderer ended.
     RelayedResignation(RelayedResignation),
     /// The sender's full view of the store, as changes from an empty view.
-    Whole(WholePart),
+    FullView(FullViewChunk),
     /// The sender has neither the requested changes nor a full view.
     HistoryGone,
     /// Loads that replicas reported. Sent only on links that received such a message.
@@ -356,8 +356,10 @@
         let wire = placements
             .iter()
             .map(|placement| WirePlacement::from_placement(placement, now));
-        let parts = WirePlacement::in_parts(wire.collect());
-        let messages = parts.into_iter().map(|part| FromOrderer::Placements(part.into()));
+        let chunks = WirePlacement::in_chunks(wire.collect());
+        let messages = chunks
+            .into_iter()
+            .map(|chunk| FromOrderer::Placements(chunk.into()));
         messages.map(|message| message.encode()).collect()
     }
 }
@@ -366,7 +368,7 @@
     /// Returns the approximate size in a message.
     pub fn size_bytes(&self) -> usize {
         let placement = self.placement.as_ref().map_or(0, WirePlacement::size_bytes);
-        self.listing.name_bytes() + ROW_BYTES + placement
+        self.listing.name_bytes() + MAX_ROW_BYTES + placement
     }
 }
 
@@ -380,27 +382,30 @@
 
 impl WirePlacement {
     /// Splits placements into chunks that fit into messages.
-    pub fn in_parts(placements: Vec<WirePlacement>) -> Vec<Vec<WirePlacement>> {
-        in_parts(placements, WirePlacement::size_bytes, |_, _| true)
+    pub fn in_chunks(placements: Vec<WirePlacement>) -> Vec<Vec<WirePlacement>> {
+        in_chunks(placements, WirePlacement::size_bytes, |_, _| true)
     }
 
     /// Returns the approximate size in a message.
     pub fn size_bytes(&self) -> usize {
         let held = self.models.iter().map(|held| {
-            let adapters = held.adapters.iter().map(|adapter| adapter.len() + NAME_BYTES);
-            held.model.len() + 2 * NAME_BYTES + adapters.sum::<usize>()
+            let adapters = held
+                .adapters
+                .iter()
+                .map(|adapter| adapter.len() + NAME_PREFIX_BYTES);
+            held.model.len() + 2 * NAME_PREFIX_BYTES + adapters.sum::<usize>()
         });
         let arriving = self
             .arriving
             .iter()
-            .map(|arrival| arrival.model.len() + 2 * NAME_BYTES);
+            .map(|arrival| arrival.model.len() + 2 * NAME_PREFIX_BYTES);
         let copies = self
             .copies
             .iter()
             .flat_map(|copies| copies.in_memory.iter().chain(&copies.on_disk));
-        let copies = copies.map(|model| model.len() + NAME_BYTES);
+        let copies = copies.map(|model| model.len() + NAME_PREFIX_BYTES);
         let names: usize = held.chain(arriving).chain(copies).sum();
-        self.replica.len() + names + ROW_BYTES
+        self.replica.len() + names + MAX_ROW_BYTES
     }
 
     /// Converts a placement into its wire form.
--- a/crates/croftrill-node/src/peer/news.rs
+++ b/crates/croftrill-node/src/peer/news.rs
@@ -11,13 +11,13 @@
 
 /// Approximate size of a message in a sequence of several. It takes 50 ms over 20 Mbit/s, so
 /// that heartbeats and urgent messages get between them.
-const PART_BYTES: usize = 128 * 1024;
+const TARGET_CHUNK_BYTES: usize = 128 * 1024;
 /// Maximum size of a change, a listing or a placement without its names.
-pub(super) const ROW_BYTES: usize = 96;
+pub(super) const MAX_ROW_BYTES: usize = 96;
 /// Size of a name's length prefix.
-pub(super) const NAME_BYTES: usize = 8;
+pub(super) const NAME_PREFIX_BYTES: usize = 8;
 /// Age of a proof that is not valid, in milliseconds: 49 days.
-const UNPROVEN_MS: u32 = u32::MAX;
+const UNPROVEN_AGE_MS: u32 = u32::MAX;
 
 /// A replica's listing without its holdings, which the orderer publishes separately.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
@@ -70,7 +70,7 @@
 
 /// The changes of a span of store revisions, without those that other nodes do not need.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct DirectoryNews {
+pub struct DirectoryUpdate {
     /// Revision after which the span begins.
     pub after: u64,
     /// Last revision that it covers.
@@ -85,7 +85,7 @@
 
 /// A chunk of a full view, which may exceed the size limit of a message.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct WholePart {
+pub struct FullViewChunk {
     /// True for the first chunk; the reader discards the chunks of an earlier view.
     pub is_first: bool,
     /// True for the last chunk, which completes the view.
@@ -94,35 +94,35 @@
     /// replicas.
     pub has_replicas: bool,
     /// Its changes, starting from an empty view.
-    pub news: DirectoryNews,
+    pub update: DirectoryUpdate,
 }
 
-/// Splits rows into chunks of about `PART_BYTES` each, only between rows where `may_split`
+/// Splits rows into chunks of about `TARGET_CHUNK_BYTES` each, only between rows where `may_split`
 /// allows it.
-pub(crate) fn in_parts<T>(
+pub(crate) fn in_chunks<T>(
     rows: Vec<T>,
     size_bytes: impl Fn(&T) -> usize,
     may_split: impl Fn(&T, &T) -> bool,
 ) -> Vec<Vec<T>> {
-    let mut parts = Vec::new();
-    let (mut part, mut part_bytes): (Vec<T>, usize) = (Vec::new(), 0);
+    let mut chunks = Vec::new();
+    let (mut chunk, mut chunk_bytes): (Vec<T>, usize) = (Vec::new(), 0);
     for row in rows {
         let row_bytes = size_bytes(&row);
-        let is_full = part_bytes + row_bytes > PART_BYTES;
-        if is_full && part.last().is_some_and(|last| may_split(last, &row)) {
-            parts.push(std::mem::take(&mut part));
-            part_bytes = 0;
+        let is_full = chunk_bytes + row_bytes > TARGET_CHUNK_BYTES;
+        if is_full && chunk.last().is_some_and(|last| may_split(last, &row)) {
+            chunks.push(std::mem::take(&mut chunk));
+            chunk_bytes = 0;
         }
-        part_bytes += row_bytes;
-        part.push(row);
+        chunk_bytes += row_bytes;
+        chunk.push(row);
     }
-    if !part.is_empty() {
-        parts.push(part);
+    if !chunk.is_empty() {
+        chunks.push(chunk);
     }
-    parts
+    chunks
 }
 
-impl DirectoryNews {
+impl DirectoryUpdate {
     /// Sets the time at which the resulting view was proven complete, and the time of sending.
     pub fn stamp(&mut self, proven_at: Moment, now: Moment) {
         self.proof_age_ms = now.since(proven_at).as_millis() as u32;
@@ -138,84 +138,87 @@
     /// Splits the span into chunks that fit into messages. Only the last one proves that the
     /// view is complete. If a change is too large for any message, returns an empty span at the
     /// last revision, which is a gap to nodes that have not reached it.
-    pub fn into_parts(mut self) -> Vec<DirectoryNews> {
+    pub fn into_chunks(mut self) -> Vec<DirectoryUpdate> {
         let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
         if self.changes.iter().any(is_too_large) {
             self.after = self.reached;
             self.changes.clear();
             return vec![self];
         }
-        if self.size_bytes() <= PART_BYTES {
+        if self.size_bytes() <= TARGET_CHUNK_BYTES {
             return vec![self];
         }
         let rows = std::mem::take(&mut self.changes);
         // The changes of one revision stay together, as a view applies a revision once.
         let may_split = |left: &RevisedChange, right: &RevisedChange| left.revision != right.revision;
-        let parts = in_parts(
+        let chunks = in_chunks(
             rows.into(),
             |revised: &RevisedChange| revised.change.size_bytes(),
             may_split,
         );
-        let last = parts.len() - 1;
+        let last = chunks.len() - 1;
         let mut after = self.after;
-        let parts = parts.into_iter().enumerate().map(|(index, changes)| {
+        let chunks = chunks.into_iter().enumerate().map(|(index, changes)| {
             let ends_at = changes.last().map_or(after, |revised| revised.revision);
-            let part = if index == last {
-                DirectoryNews {
+            let chunk = if index == last {
+                DirectoryUpdate {
                     after,
                     changes: changes.into(),
                     ..self
                 }
             } else {
-                DirectoryNews {
+                DirectoryUpdate {
                     after,
                     reached: ends_at,
-                    proof_age_ms: UNPROVEN_MS,
+                    proof_age_ms: UNPROVEN_AGE_MS,
                     sent_at_ms: self.sent_at_ms,
                     changes: changes.into(),
                 }
             };
             after = ends_at;
-            part
+            chunk
         });
-        parts.collect()
+        chunks.collect()
     }
 }
 
-impl WholePart {
+impl FullViewChunk {
     /// Splits a view into chunks that fit into messages. Returns `None` if an item is too large
     /// for any message.
-    pub fn parts_of(whole: DirectoryNews, has_replicas: bool) -> Option<Vec<WholePart>> {
+    pub fn chunks_of(view: DirectoryUpdate, has_replicas: bool) -> Option<Vec<FullViewChunk>> {
         let is_too_large = |revised: &RevisedChange| revised.change.size_bytes() > MAX_CHANGE_BYTES;
-        if whole.changes.iter().any(is_too_large) {
+        if view.changes.iter().any(is_too_large) {
             return None;
         }
-        let DirectoryNews {
+        let DirectoryUpdate {
             after,
             reached,
             proof_age_ms,
             sent_at_ms,
             changes,
-        } = whole;
-        let parts = in_parts(
+        } = view;
+        let chunks = in_chunks(
             changes.into(),
             |revised: &RevisedChange| revised.change.size_bytes(),
             |_, _| true,
         );
-        let last = parts.len().saturating_sub(1);
-        let parts = parts.into_iter().enumerate().map(|(index, changes)| WholePart {
-            is_first: index == 0,
-            is_last: index == last,
-            has_replicas,
-            news: DirectoryNews {
-                after,
-                reached,
-                proof_age_ms,
-                sent_at_ms,
-                changes: changes.into(),
-            },
-        });
-        Some(parts.collect())
+        let last = chunks.len().saturating_sub(1);
+        let chunks = chunks
+            .into_iter()
+            .enumerate()
+            .map(|(index, changes)| FullViewChunk {
+                is_first: index == 0,
+                is_last: index == last,
+                has_replicas,
+                update: DirectoryUpdate {
+                    after,
+                    reached,
+                    proof_age_ms,
+                    sent_at_ms,
+                    changes: changes.into(),
+                },
+            });
+        Some(chunks.collect())
     }
 }
 
@@ -267,6 +270,6 @@
             WireChange::Written { key, value } => key.len() + value.len(),
             WireChange::Removed { key } => key.len(),
         };
-        names + ROW_BYTES
+        names + MAX_ROW_BYTES
     }
 }
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -382,7 +382,7 @@
                 return tree::start_replay(node, REPLAY_PATIENCE).map(ToOrderer::Replay);
             }
         }
-        FromOrderer::Whole(part) => relay::apply_full_view_chunk(node, part, whole, delay),
+        FromOrderer::FullView(part) => relay::apply_full_view_chunk(node, part, whole, delay),
         FromOrderer::HistoryGone => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
         FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -12,7 +12,7 @@
 use crate::load_updates::FollowerLoads;
 use crate::node::Node;
 use crate::peer::{
-    in_parts, DirectoryNews, FromOrderer, RevisedChange, WireChange, WireFollow, WireModel, WirePlacement,
+    in_chunks, DirectoryUpdate, FromOrderer, RevisedChange, WireChange, WireFollow, WireModel, WirePlacement,
     WireReload, WireReplica, WireReplicas, WireScope,
 };
 use crate::ports::{Platform, RecordReader};
@@ -25,7 +25,7 @@
     /// A message that is the same for all followers.
     Common(Bytes),
     /// Changes of the store, and their encoded form.
-    Directory(Rc<DirectoryNews>, Bytes),
+    Directory(Rc<DirectoryUpdate>, Bytes),
     /// Placements, decoded once for all followers, and their encoded form.
     Placements(Rc<Vec<PublishedPlacement>>, Bytes),
 }
@@ -179,7 +179,7 @@
     fn directory_messages<P: Platform>(
         &mut self,
         node: &Node<P>,
-        update: &DirectoryNews,
+        update: &DirectoryUpdate,
         message: &Bytes,
     ) -> Vec<Bytes> {
         let mut newly_known: Vec<ReplicaId> = Vec::new();
@@ -196,7 +196,7 @@
         let mut messages = if changes.len() == update.changes.len() {
             vec![message.clone()]
         } else {
-            vec![FromOrderer::Directory(DirectoryNews {
+            vec![FromOrderer::Directory(DirectoryUpdate {
                 changes: changes.into(),
                 ..*update
             })
@@ -274,7 +274,7 @@
         replaces: bool,
     ) -> Vec<Bytes> {
         let reached = node.state.borrow().directory.reached();
-        let mut chunks = in_parts(wire_replicas(node, ids), WireReplica::size_bytes, |_, _| true);
+        let mut chunks = in_chunks(wire_replicas(node, ids), WireReplica::size_bytes, |_, _| true);
         if chunks.is_empty() {
             chunks.push(Vec::new());
         }
--- a/crates/croftrill-node/src/tree/full_view.rs
+++ b/crates/croftrill-node/src/tree/full_view.rs
@@ -9,7 +9,7 @@
 use crate::crash_reports;
 use crate::membership::{Members, OwnItem};
 use crate::node::{Node, NodeState};
-use crate::peer::{DirectoryNews, RevisedChange, WireChange, WireListing};
+use crate::peer::{DirectoryUpdate, RevisedChange, WireChange, WireListing};
 use crate::ports::Platform;
 
 /// Returns this node's view as changes to an empty view, with or without the replicas, or
@@ -18,7 +18,7 @@
     node: &Node<P>,
     proven_at: Moment,
     with_replicas: bool,
-) -> Option<DirectoryNews> {
+) -> Option<DirectoryUpdate> {
     let state = node.state.borrow();
     let reached = state.directory.reached();
     let configuration = state.configuration_item.as_ref()?;
@@ -33,7 +33,7 @@
         .chain(replicas(&state).filter(|_| with_replicas))
         .chain(own_items(&state.members))
         .chain(crash_reports(&state));
-    let mut view = DirectoryNews {
+    let mut view = DirectoryUpdate {
         after: 0,
         reached,
         proof_age_ms: 0,
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -36,7 +36,8 @@
 pub(crate) use self::serve::serve_follower;
 use crate::node::Node;
 use crate::peer::{
-    DirectoryNews, FromOrderer, RevisedChange, WholePart, WireChange, WireModel, WirePlacement, WireScope,
+    DirectoryUpdate, FromOrderer, FullViewChunk, RevisedChange, WireChange, WireModel, WirePlacement,
+    WireScope,
 };
 use crate::ports::{Platform, RecordReader};
 
@@ -264,7 +265,7 @@
     let wire = placements
         .iter()
         .map(|placement| WirePlacement::from_placement(placement, now));
-    for chunk in WirePlacement::in_parts(wire.collect()) {
+    for chunk in WirePlacement::in_chunks(wire.collect()) {
         let message = FromOrderer::Placements(chunk.clone().into()).encode();
         publish_placements(node, &chunk, &message);
     }
@@ -272,7 +273,7 @@
 
 /// Publishes a span of the store's changes to the followers and logs it for those that
 /// miss it.
-pub(crate) fn publish_span<P: Platform>(node: &Node<P>, mut span: DirectoryNews, proven_at: Moment) {
+pub(crate) fn publish_span<P: Platform>(node: &Node<P>, mut span: DirectoryUpdate, proven_at: Moment) {
     let now = node.clock.now();
     let mut state = node.state.borrow_mut();
     let tree = &mut state.tree;
@@ -293,7 +294,7 @@
         return;
     }
     span.stamp(proven_at, now);
-    for chunk in span.into_parts() {
+    for chunk in span.into_chunks() {
         let chunk = Rc::new(chunk);
         let message = FromOrderer::Directory(chunk.as_ref().clone()).encode();
         publish_to_followers(node, || RelayedUpdate::Directory(chunk, message));
@@ -315,15 +316,15 @@
                 WireChange::Written { .. } => true,
             });
         }
-        let chunks = span.into_parts().into_iter().map(FromOrderer::Directory);
+        let chunks = span.into_chunks().into_iter().map(FromOrderer::Directory);
         return chunks.map(|message| message.encode()).collect();
     }
     let proven_at = node.state.borrow().tree.proven_at;
     let view = full_view::full_view(node, proven_at, with_replicas);
-    match view.and_then(|view| WholePart::parts_of(view, with_replicas)) {
+    match view.and_then(|view| FullViewChunk::chunks_of(view, with_replicas)) {
         Some(chunks) => chunks
             .into_iter()
-            .map(|chunk| FromOrderer::Whole(chunk).encode())
+            .map(|chunk| FromOrderer::FullView(chunk).encode())
             .collect(),
         None => vec![FromOrderer::HistoryGone.encode()],
     }
@@ -338,7 +339,7 @@
 }
 
 /// Returns the changes after a revision, or `None` if the log does not cover it.
-fn logged_since<P: Platform>(node: &Node<P>, after: u64) -> Option<DirectoryNews> {
+fn logged_since<P: Platform>(node: &Node<P>, after: u64) -> Option<DirectoryUpdate> {
     let state = node.state.borrow();
     let (reached, changes) = state.tree.log.since(after)?;
     let changes = changes.into_iter().map(|revised| RevisedChange {
@@ -350,7 +351,7 @@
         WireChange::Written { key, .. } => Some(key),
         WireChange::Replica(_) | WireChange::Removed { .. } => None,
     });
-    let mut span = DirectoryNews {
+    let mut span = DirectoryUpdate {
         after,
         reached,
         proof_age_ms: 0,
--- a/crates/croftrill-node/tests/news_parts.rs
+++ b/crates/croftrill-node/tests/news_parts.rs
@@ -1,6 +1,6 @@
 //! News and views that are longer than a message go in parts.
 
-use croftrill_node::peer::{DirectoryNews, RevisedChange, WholePart, WireChange, WireListing};
+use croftrill_node::peer::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
 use croftrill_scheduler::followed_view::{FollowConfig, FollowedView, RelayOutcome, RelayedSpan};
 use croftrill_scheduler::time::Moment;
 use nanoserde::SerBin;
@@ -23,8 +23,8 @@
     })
 }
 
-fn news(after: u64, changes: Vec<RevisedChange>) -> DirectoryNews {
-    DirectoryNews {
+fn news(after: u64, changes: Vec<RevisedChange>) -> DirectoryUpdate {
+    DirectoryUpdate {
         after,
         reached: changes.last().map_or(after, |last| last.revision) + 3,
         proof_age_ms: 5,
@@ -41,8 +41,8 @@
         revision: 7,
         change: listing(index),
     });
-    let parts = WholePart::parts_of(news(0, changes.collect()), true).expect("each item fits");
-    let total: usize = parts.iter().map(|part| part.news.changes.len()).sum();
+    let parts = FullViewChunk::chunks_of(news(0, changes.collect()), true).expect("each item fits");
+    let total: usize = parts.iter().map(|part| part.update.changes.len()).sum();
     assert_eq!(total, 20_000);
     assert!(parts
         .iter()
@@ -61,7 +61,7 @@
         value: vec![0; FRAME_BYTES].into(),
     };
     let changes = vec![RevisedChange { revision: 7, change }];
-    assert!(WholePart::parts_of(news(0, changes), true).is_none());
+    assert!(FullViewChunk::chunks_of(news(0, changes), true).is_none());
 }
 
 proptest! {
@@ -78,7 +78,7 @@
         }
         let whole = news(10, changes.clone());
         let reached = whole.reached;
-        let parts = whole.into_parts();
+        let parts = whole.into_chunks();
         let mut view = FollowedView::new(FollowConfig { proof_lifetime: Duration::from_secs(1) });
         view.advance(10);
         let now = Moment::from_start(Duration::from_secs(3600));
