--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -462,13 +462,13 @@
             ToOrderer::Demand(items) => {
                 for item in items {
                     let key = item.model.to_key();
-                    self.orderer.count_demand(&key, &item.asked(), now);
+                    self.orderer.count_demand(&key, &item.sample(), now);
                 }
             }
             // These only occur as a link's first message.
-            ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::AskQuotas(_) => {}
+            ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::ListenToKeeper(_) => {}
             // These are for relays.
-            ToOrderer::Want(_) | ToOrderer::Forget(_) => {}
+            ToOrderer::AddInterests(_) | ToOrderer::RemoveInterests(_) => {}
             // These are handled by the link.
             ToOrderer::Replay(_) | ToOrderer::Crashes(_) | ToOrderer::Loads(_) => {}
             ToOrderer::Waiting(model) => self.orderer.mark_waiting(&model.to_key(), now),
--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -90,7 +90,7 @@
 
 impl DemandItem {
     /// Returns the demand as the orderer counts it.
-    pub fn asked(&self) -> DemandSample {
+    pub fn sample(&self) -> DemandSample {
         DemandSample {
             requests: f64::from(self.requests),
             tokens: self.tokens as f64,
@@ -112,15 +112,15 @@
     /// First message on a link to a relay, through which the node follows all shards.
     Follow(WireFollow),
     /// To a relay that publishes by interest: interests that the node's requests add.
-    Want(WireList<WireModel>),
+    AddInterests(WireList<WireModel>),
     /// To a relay that publishes by interest: interests that the requests no longer need.
-    Forget(WireList<WireModel>),
+    RemoveInterests(WireList<WireModel>),
     /// Requests the store's changes after this revision.
     Replay(u64),
     /// A crash report that the sender cannot write to the store itself.
     Crashes(WireCrashReport),
     /// First message on a link to a keeper of quotas or limits: the index of the partition.
-    AskQuotas(u8),
+    ListenToKeeper(u8),
     /// Loads that replicas reported. An empty message only subscribes the sender to load
     /// updates. Sent only to nodes whose entries say that they understand it.
     Loads(WireLoads),
@@ -212,7 +212,7 @@
     /// Store revision of the record that authorized the term's orders.
     pub record_revision: u64,
     /// Time for which no other node may send orders to any replica, in milliseconds.
-    pub everywhere_ms: u32,
+    pub hold_all_ms: u32,
     /// Replicas to which others must not send orders yet.
     pub holds: WireList<WireHold>,
     /// Loads that still count.
@@ -235,7 +235,7 @@
         WireResignation {
             fencing_token: resignation.fencing_token,
             record_revision: resignation.record_revision,
-            everywhere_ms: hand_over.hold_all.as_millis() as u32 + 1,
+            hold_all_ms: hand_over.hold_all.as_millis() as u32 + 1,
             holds: holds.collect(),
             loads: loads.collect(),
         }
@@ -255,7 +255,7 @@
             fencing_token: self.fencing_token,
             record_revision: self.record_revision,
             hand_over: HandOver {
-                hold_all: Duration::from_millis(u64::from(self.everywhere_ms)),
+                hold_all: Duration::from_millis(u64::from(self.hold_all_ms)),
                 holds: holds.collect(),
                 loads: loads.collect(),
             },
@@ -287,7 +287,7 @@
     /// The sender's full view of the store, as changes from an empty view.
     FullView(FullViewChunk),
     /// The sender has neither the requested changes nor a full view.
-    HistoryGone,
+    HistoryUnavailable,
     /// Loads that replicas reported. Sent only on links that received such a message.
     Loads(WireLoads),
 }
@@ -467,7 +467,7 @@
 
 /// Demand for one model that has not been sent yet.
 #[derive(Debug, Default)]
-struct Counted {
+struct DemandCounts {
     requests: u32,
     tokens: u64,
     objectives_ms: u64,
@@ -477,16 +477,16 @@
 /// Demand that has not been sent yet.
 #[derive(Debug, Default)]
 pub struct DemandBatch {
-    items: BTreeMap<ModelKey, Counted>,
+    items: BTreeMap<ModelKey, DemandCounts>,
 }
 
 impl DemandBatch {
     /// Counts a request, its cost, and its objective, within which it earns full credit.
     pub fn add(&mut self, key: ModelKey, tokens: u64, objective: Duration) {
-        let counted = self.items.entry(key).or_default();
-        counted.requests += 1;
-        counted.tokens += tokens;
-        counted.objectives_ms += objective.as_millis() as u64;
+        let counts = self.items.entry(key).or_default();
+        counts.requests += 1;
+        counts.tokens += tokens;
+        counts.objectives_ms += objective.as_millis() as u64;
     }
 
     /// Counts a request that a replica holding its model served too late.
@@ -496,11 +496,11 @@
 
     /// Adds the demand that another node counted.
     pub fn merge(&mut self, item: &DemandItem) {
-        let counted = self.items.entry(item.model.to_key()).or_default();
-        counted.requests += item.requests;
-        counted.tokens += item.tokens;
-        counted.objectives_ms += item.objectives_ms;
-        counted.late += item.late;
+        let counts = self.items.entry(item.model.to_key()).or_default();
+        counts.requests += item.requests;
+        counts.tokens += item.tokens;
+        counts.objectives_ms += item.objectives_ms;
+        counts.late += item.late;
     }
 
     /// Takes the counted demand as a message, or `None` if there is none.
@@ -510,12 +510,12 @@
         }
         let items = std::mem::take(&mut self.items)
             .into_iter()
-            .map(|(key, counted)| DemandItem {
+            .map(|(key, counts)| DemandItem {
                 model: WireModel::from_key(&key),
-                requests: counted.requests,
-                tokens: counted.tokens,
-                objectives_ms: counted.objectives_ms,
-                late: counted.late,
+                requests: counts.requests,
+                tokens: counts.tokens,
+                objectives_ms: counts.objectives_ms,
+                late: counts.late,
             });
         Some(ToOrderer::Demand(items.collect()))
     }
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -85,7 +85,7 @@
                 serve_listener(node, link, peer, shard).await;
             }
         }
-        ToOrderer::AskQuotas(index) => {
+        ToOrderer::ListenToKeeper(index) => {
             if let Some(part) = QuotaPartition::from_index(usize::from(index)) {
                 let ended = quota::serve_listener(node.quotas.clone(), link, part).await;
                 tracing::debug!(target: "quota", event = "a listener left", part = part.index(), ?ended);
@@ -383,7 +383,7 @@
             }
         }
         FromOrderer::FullView(part) => relay::apply_full_view_chunk(node, part, whole, delay),
-        FromOrderer::HistoryGone => tree::record_history_lost(node),
+        FromOrderer::HistoryUnavailable => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
         FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
         // Taken by the link itself, or not for it.
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -156,7 +156,7 @@
 async fn connect(address: SocketAddr, part: QuotaPartition) -> io::Result<PeerLink> {
     let connecting = async {
         let mut link = PeerLink::connect(address, SILENCE_LIMIT).await?;
-        let hello = ToOrderer::AskQuotas(part.index() as u8).serialize_bin();
+        let hello = ToOrderer::ListenToKeeper(part.index() as u8).serialize_bin();
         link.send(Bytes::from(hello)).await?;
         // A machine that stands still takes connections, and says nothing.
         link.hear().await?.ok_or(io::ErrorKind::ConnectionReset)?;
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -214,7 +214,7 @@
         return Ok(());
     }
     let unused = unused.iter().map(WireModel::from_interest).collect();
-    let message = ToOrderer::Forget(unused).serialize_bin();
+    let message = ToOrderer::RemoveInterests(unused).serialize_bin();
     link.send(Bytes::from(message)).await
 }
 
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -326,7 +326,7 @@
             .into_iter()
             .map(|chunk| FromOrderer::FullView(chunk).encode())
             .collect(),
-        None => vec![FromOrderer::HistoryGone.encode()],
+        None => vec![FromOrderer::HistoryUnavailable.encode()],
     }
 }
 
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -168,16 +168,16 @@
         ToOrderer::Replay(after) => {
             return follower.map_or_else(Vec::new, |follower| follower.view_since(node, after));
         }
-        ToOrderer::Want(interests) => {
+        ToOrderer::AddInterests(interests) => {
             return follower.map_or_else(Vec::new, |follower| follower.add_interests(node, &interests));
         }
-        ToOrderer::Forget(interests) => {
+        ToOrderer::RemoveInterests(interests) => {
             return follower.map_or_else(Vec::new, |follower| {
                 vec![follower.remove_interests(node, &interests)]
             });
         }
         // Valid only as the first message of a link.
-        ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::AskQuotas(_) => {}
+        ToOrderer::Listen(_) | ToOrderer::Follow(_) | ToOrderer::ListenToKeeper(_) => {}
         // Handled by the caller.
         ToOrderer::Loads(_) => {}
     }
--- a/crates/croftrill-node/tests/parts.rs
+++ b/crates/croftrill-node/tests/parts.rs
@@ -94,7 +94,7 @@
         (items[0].requests, items[0].tokens, items[0].model.to_key()),
         (2, 100, key)
     );
-    assert_eq!(items[0].asked().objective, Duration::from_millis(1000));
+    assert_eq!(items[0].sample().objective, Duration::from_millis(1000));
     assert!(batch.take().is_none());
     let placement = Placement {
         replica: "r".into(),
