--- a/crates/croftrill-node/src/peer/mod.rs
+++ b/crates/croftrill-node/src/peer/mod.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes: binary, in length-delimited frames.
 
+mod directory_update;
 mod loads;
-mod news;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use croftrill_scheduler::time::Moment;
 use nanoserde::{DeBin, SerBin};
 
+pub(crate) use self::directory_update::in_chunks;
+pub use self::directory_update::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
+use self::directory_update::{MAX_ROW_BYTES, NAME_PREFIX_BYTES};
 pub(crate) use self::loads::WIRE_LOAD_BYTES;
 pub use self::loads::{WireCount, WireLoad, WireLoads};
-pub(crate) use self::news::in_chunks;
-pub use self::news::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
-use self::news::{MAX_ROW_BYTES, NAME_PREFIX_BYTES};
 use crate::crash_wire::WireCrashReport;
 use crate::wire::WireList;
 
