--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -1,4 +1,4 @@
-//! Questions about limits that replicas named.
+//! Queries about limits that replicas report.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 use super::wire::{ToKeeper, WireLimitAsk};
 use super::{Credit, Question, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
 
-/// Time after its last question for which a node keeps its link to a keeper of limits: a
-/// link costs a message a second, and a new one a few milliseconds of the next request.
+/// Time after its last query for which a node keeps its link to a keeper of limits. A link
+/// costs a message per second; a new one delays the next request by a few milliseconds.
 const WANTED_FOR: Duration = Duration::from_secs(10);
 
-/// A call that wants to go to a replica that named a limit.
+/// A query whether a call may go to a replica that reported a limit.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitAsk<'a> {
     /// The replica.
     pub replica: &'a Arc<str>,
-    /// When the incarnation started that named it.
+    /// When the incarnation that reported the limit started.
     pub started_ms: Option<StartedMs>,
-    /// The limit as this node heard it.
+    /// The limit as this node received it.
     pub limit: ReportedLimit,
-    /// What the call wants.
+    /// The requested reservation.
     pub want: LimitRequest,
     /// Number of nodes that are listed.
     pub nodes: usize,
 }
 
-/// Whether the call may go.
+/// Whether a call may go to a replica that reported a limit.
 #[derive(Debug)]
 pub enum LimitVerdict {
-    /// It may, after this time. The place goes back unless the credit is spent; a turn of
-    /// this node alone has none.
+    /// The call may go after this time. Its reservation is refunded unless the credit is
+    /// spent; a standalone reservation has no credit.
     Granted(Option<Credit>, Duration),
-    /// The replica takes no more now.
+    /// The replica accepts no more calls now.
     Refused {
-        /// Time until it would be this call's turn, of all nodes' calls.
+        /// Time until the call could be sent, given the calls of all nodes.
         retry_after: Duration,
     },
 }
@@ -77,8 +77,8 @@
 }
 
 impl Quotas {
-    /// Asks whether a call may go to a replica that named a limit. Where no keeper is
-    /// reached in the time that the call has, this node's own turns decide.
+    /// Returns whether a call may go to a replica that reported a limit. If no keeper answers
+    /// in the time that the call has, this node's standalone reservations decide.
     pub async fn ask_limit(self: &Rc<Self>, ask: LimitAsk<'_>) -> LimitVerdict {
         let part = QuotaPartition::of_replica(ask.replica);
         let now = self.clock.now();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// True if this node reaches no keeper of the part, and is none.
+    /// Returns true if this node reaches no keeper of the partition and is not its keeper.
     fn is_alone(&self, part: QuotaPartition) -> bool {
         let state = &self.parts[part.index()];
         matches!(*state.uplink.borrow(), Uplink::Own) && !state.is_keeper.get()
@@ -125,7 +125,7 @@
         }
     }
 
-    /// True if calls lately asked for a limit of the part.
+    /// Returns true if a recent call needed a limit of the partition.
     pub(super) fn is_limit_wanted(&self, part: QuotaPartition) -> bool {
         let asked_at = self.parts[part.index()].limit_asked_at.get();
         asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < WANTED_FOR)
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -25,27 +25,28 @@
 use crate::peer::ToOrderer;
 use crate::wire::decode;
 
-/// Time between two looks at the fleet: two wake-ups a second for each part.
+/// Interval at which the fleet is polled: two wake-ups per second for each partition.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// Time between two looks of a node that knows no other node yet.
+/// Polling interval of a node that knows no other node yet.
 const FIRST_LOOK_EVERY: Duration = Duration::from_millis(50);
-/// A node that had nothing to ask for so long says that it still listens.
+/// Time without a query after which a node sends a heartbeat.
 const ALIVE_EVERY: Duration = Duration::from_millis(1000);
-/// Time without a byte after which a link counts as dead: so long a node that fell
-/// silent may count at two keepers.
+/// Time without a byte after which a link counts as dead. A node that becomes silent may count
+/// at two keepers for this time.
 const SILENCE_LIMIT: Duration = Duration::from_millis(3000);
-/// Longest time for a link to come up, with the keeper's first word.
+/// Maximum time for connecting a link, including the keeper's first message.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Time for which a keeper that failed is passed over.
+/// Time for which a failed keeper is not tried again.
 const FAILED_RESTS: Duration = Duration::from_millis(2000);
-/// Keepers of quotas that are tried before a node takes just its own part.
+/// Maximum number of keepers of quotas that are tried before a node uses only its own share.
 const MOST_TRIED: usize = 3;
-/// Keepers of limits: only the first two of the list rule on any part of a limit.
+/// Maximum number of keepers of limits that are tried. Only the first two of the list grant
+/// any share of a limit.
 const MOST_LIMIT_KEEPERS: usize = 2;
-/// Questions that may wait to be sent.
+/// Maximum number of queries that wait to be sent.
 const MOST_WAITING: usize = 1024;
 
-/// Follows the keeper of a part, whichever node that is, until the process ends.
+/// Follows the keeper of a partition, whichever node that is, until the process ends.
 pub(crate) async fn follow_keeper(
     quotas: Rc<Quotas>,
     fleet: Rc<dyn Fleet>,
@@ -92,8 +93,8 @@
     }
 }
 
-/// Waits while no keeper is wanted. Limits are rare: a node that neither asks nor is asked
-/// for any is not woken.
+/// Waits while no keeper is needed. Limits are rare: a node that neither sends nor receives
+/// queries about any is not woken.
 async fn rest(quotas: &Quotas, part: QuotaPartition) {
     let state = &quotas.parts[part.index()];
     if part.covers_replicas() && state.listeners.get() == 0 {
@@ -103,8 +104,9 @@
     }
 }
 
-/// True if a tenant of the part has a quota, or a replica of it was asked for that named a
-/// limit: without any, links to keepers cost every node bytes and wake-ups for nothing.
+/// Returns true if a tenant of the partition has a quota, or a recent call needed a limit of
+/// the partition. Otherwise links to keepers would cost every node bytes and wake-ups for
+/// nothing.
 fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, part: QuotaPartition) -> bool {
     if part.covers_replicas() {
         return quotas.is_limit_wanted(part);
@@ -115,7 +117,7 @@
     })
 }
 
-/// Keepers that did not answer lately.
+/// Keepers that failed recently.
 #[derive(Default)]
 struct Failed(HashMap<SocketAddr, Instant>);
 
@@ -130,7 +132,7 @@
     }
 }
 
-/// The first of the keepers that did not fail lately.
+/// Returns the first keeper that did not fail recently.
 fn choice(fleet: &dyn Fleet, part: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
     let most_tried = if part.covers_replicas() {
         MOST_LIMIT_KEEPERS
@@ -141,7 +143,8 @@
     keepers.into_iter().find(|address| !failed.rests(address))
 }
 
-/// This node asks its own keeper: as the one for all, or as it reaches no other.
+/// Switches to this node's own keeper, either as the keeper of all nodes or because no other
+/// keeper is reachable.
 fn keep_here(quotas: &Quotas, part: QuotaPartition, is_keeper: bool) {
     let state = &quotas.parts[part.index()];
     let is_so = matches!(*state.uplink.borrow(), Uplink::Own) && state.is_keeper.get() == is_keeper;
@@ -158,15 +161,16 @@
         let mut link = PeerLink::connect(address, SILENCE_LIMIT).await?;
         let hello = ToOrderer::ListenToKeeper(part.index() as u8).serialize_bin();
         link.send(Bytes::from(hello)).await?;
-        // A machine that stands still takes connections, and says nothing.
+        // A suspended machine accepts connections but sends nothing.
         link.hear().await?.ok_or(io::ErrorKind::ConnectionReset)?;
         Ok(link)
     };
     timeout(CONNECT_LIMIT, connecting).await?
 }
 
-/// Asks a keeper until it is lost (an error), or a better choice has a link (it and
-/// the link) or is this node itself (`None`).
+/// Queries a keeper until one of these happens: the keeper is lost (returns an error), a
+/// preferred keeper has a link (returns its address and link), or this node itself is the
+/// preferred keeper or none is needed (returns `None`).
 async fn listen(
     quotas: &Quotas,
     fleet: &dyn Fleet,
@@ -193,7 +197,7 @@
                 take_answer(quotas, part, &frame)?;
             }
             question = questions.recv() => {
-                // All who asked gave the link up.
+                // All senders of queries gave up the link.
                 let Some(question) = question else { return Err(io::ErrorKind::TimedOut.into()) };
                 sent_at = Instant::now();
                 link.send(Bytes::from(question.serialize_bin())).await?;
@@ -237,7 +241,7 @@
         }
     }
 
-    /// How the attempt ends; never if there is none.
+    /// Waits for the result of the attempt, forever if there is none.
     async fn end(attempt: &mut Option<Attempt>) -> (SocketAddr, io::Result<PeerLink>) {
         let Some(running) = attempt else {
             return std::future::pending().await;
@@ -249,7 +253,7 @@
     }
 }
 
-/// Takes a keeper's answer. What was granted to a request that is gone goes back.
+/// Applies a keeper's answer. Refunds a grant whose request has ended.
 fn take_answer(quotas: &Quotas, part: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
     let message = decode::<FromKeeper>(frame)?;
     let (id, decision) = match message {
@@ -277,7 +281,7 @@
     Ok(())
 }
 
-/// Answers a node that listens to this one's keeper, until it leaves or falls silent.
+/// Answers a node that listens to this node's keeper, until it leaves or becomes silent.
 pub(crate) async fn serve_listener(
     quotas: Rc<Quotas>,
     link: PeerLink,
@@ -297,7 +301,9 @@
     }
 }
 
-/// Errors: a question that this part's keeper does not answer.
+/// Returns this keeper's answer to a message, if it needs one.
+///
+/// Errors: the query is of a kind that this partition's keeper does not answer.
 fn answer(quotas: &Quotas, part: QuotaPartition, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
     let now = quotas.clock.now();
     let mut keeper = quotas.parts[part.index()].keeper.borrow_mut();
@@ -318,7 +324,7 @@
     Ok(Some(match decision {
         ReservationDecision::Granted { after } => FromKeeper::Granted {
             id,
-            // Rounded up: by then the balance has surely paid.
+            // Rounded up, so that the balance covers the request by then.
             after_ms: after.as_micros().div_ceil(1000) as u32,
         },
         ReservationDecision::Refused { retry_after, balance } => FromKeeper::Refused {
@@ -352,7 +358,7 @@
     keeper.reserve(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
 }
 
-/// Counts a node as a listener of this one's keeper while it lives.
+/// Counts a node as a listener of this node's keeper until dropped.
 struct Listener {
     quotas: Rc<Quotas>,
     part: QuotaPartition,
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -1,10 +1,10 @@
-//! A node's part in the quotas and limits that all nodes keep together.
+//! A node's side of the quotas and limits that all nodes enforce together.
 //!
-//! [`Quotas`] answers whether a request of a tenant may run, and whether a call may go to
-//! a replica that named a limit ([`limit`]): it asks the keeper of the part over a link
-//! ([`link`]), or this node's own keeper ([`part_keeper`]) where this node is the one, or
-//! can reach none. It knows nothing of requests and of the node around it; what it needs
-//! of the fleet comes by [`Fleet`].
+//! [`Quotas`] decides whether a request of a tenant may run, and whether a call may go to
+//! a replica that reported a limit ([`limit`]). It queries the keeper of the partition over a
+//! link ([`link`]), or this node's own keeper ([`part_keeper`]) if this node is the keeper or
+//! reaches none. It does not depend on requests or the node; what it needs of the fleet comes
+//! through [`Fleet`].
 
 mod limit;
 mod link;
@@ -35,35 +35,35 @@
 use self::wire::{ToKeeper, WireAsk, WireQuota};
 use crate::clock::Clock;
 
-/// Longest wait for a keeper's answer. Over 50 times the round trip between zones;
-/// a keeper with an eighth of a core that has a full queue takes some 100 ms.
+/// Maximum wait for a keeper's answer. Over 50 times the round trip between zones; a keeper
+/// with an eighth of a core and a full queue takes about 100 ms.
 const ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// Longest wait of a request for a link to a keeper: two attempts to connect.
+/// Maximum wait of a request for a link to a keeper: two attempts to connect.
 const LINK_PATIENCE: Duration = Duration::from_millis(900);
-/// Keepers that one request asks, at most: after the first the one that takes over.
+/// Maximum number of keepers queried for one request: the first one, and those that take over.
 const MOST_ASKED: usize = 3;
 
-/// What the quotas need to know of the fleet.
+/// The view of the fleet that quotas need.
 pub trait Fleet {
-    /// Addresses of the nodes that should keep a part, the first choice first. Limits are
-    /// kept by nodes that are known to understand questions about them.
+    /// Returns the addresses of the nodes that should keep a partition, in order of
+    /// preference. Only nodes known to understand queries about limits keep limits.
     fn keepers(&self, part: QuotaPartition) -> Vec<SocketAddr>;
-    /// Number of nodes that are listed.
+    /// Returns the number of listed nodes.
     fn listed(&self) -> usize;
-    /// The newest configuration.
+    /// Returns the newest configuration.
     fn configuration(&self) -> Option<Arc<Configuration>>;
 }
 
-/// A request that wants to run.
+/// A query whether a tenant's request may run.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaAsk<'a> {
-    /// Its tenant.
+    /// The tenant.
     pub tenant: &'a Arc<str>,
     /// The tenant's quota.
     pub quota: Quota,
-    /// Version of the configuration that tells it.
+    /// Version of the configuration that states the quota.
     pub version: u64,
-    /// What it wants.
+    /// The requested reservation.
     pub want: QuotaRequest,
 }
 
@@ -97,84 +97,85 @@
     }
 }
 
-/// Whether a request may run.
+/// Whether a tenant's request may run.
 #[derive(Debug)]
 pub enum QuotaVerdict {
-    /// It may, after this time.
+    /// The request may run after this time.
     Granted(Credit, Duration),
-    /// It is beyond the tenant's quota.
+    /// The request exceeds the tenant's quota.
     Beyond {
-        /// Time until the balance pays for it.
+        /// Time until the balance covers the request.
         retry_after: Duration,
         /// The tenant's balance at the keeper, in units.
         balance: f64,
     },
-    /// No keeper was reached, and this node's own part does not pay for it.
+    /// No keeper was reached, and this node's own share does not cover the request.
     Unreachable,
 }
 
-/// Whom a node asks about a part.
+/// The keeper that a node uses for a partition.
 #[derive(Debug, Clone)]
 enum Uplink {
-    /// Its own keeper.
+    /// The node's own keeper.
     Own,
     /// The keeper at the other end of a link.
     Linked(mpsc::Sender<ToKeeper>),
-    /// Nobody yet.
+    /// No keeper yet.
     Connecting,
 }
 
-/// What a node asks of the keeper of a part.
+/// A query to the keeper of a partition.
 trait Question {
-    /// The tenant or replica that it is about.
+    /// Returns the tenant or replica that the query is about.
     fn subject(&self) -> &Arc<str>;
-    /// Units that it wants.
+    /// Returns the requested units.
     fn cost(&self) -> u64;
-    /// The message to a keeper elsewhere.
+    /// Returns the message to another node's keeper.
     fn message(&self, id: u64, now: Moment) -> ToKeeper;
-    /// The decision of this node's own keeper.
+    /// Returns the decision of this node's own keeper, or `None` if the keeper is of the other
+    /// kind.
     fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision>;
 }
 
-/// A node's side of one part.
+/// A node's state for one partition.
 struct Part {
     keeper: RefCell<PartKeeper>,
-    /// Other nodes that listen to this node's keeper.
+    /// Number of other nodes that listen to this node's keeper.
     listeners: Cell<usize>,
     uplink: RefCell<Uplink>,
-    /// True if this node should keep the part, and does not just find no keeper.
+    /// True if this node should keep the partition, false if it merely reaches no keeper.
     is_keeper: Cell<bool>,
-    /// Questions that are not answered yet.
+    /// Queries that are not answered yet, by id.
     asked: RefCell<HashMap<u64, Asked>>,
     next_id: Cell<u64>,
-    /// What was granted ahead and is still to run.
+    /// Granted requests whose start time has not come.
     ahead: RefCell<Vec<GrantAhead>>,
-    /// Told when the uplink changes.
+    /// Notified when the uplink changes.
     changed: Notify,
-    /// When a limit was last asked for.
+    /// When a limit was last needed.
     limit_asked_at: Cell<Option<Moment>>,
-    /// Told when a keeper of limits is wanted, here or by a listener.
+    /// Notified when this node or a listener needs a keeper of limits.
     limit_wanted: Notify,
 }
 
-/// A request that waits for its turn.
+/// A granted request that waits for its start time.
 struct GrantAhead {
     subject: Arc<str>,
     cost: u64,
     runs_at: Moment,
 }
 
-/// A question on its way to a keeper and back.
+/// A query that was sent to a keeper.
 struct Asked {
     answer: oneshot::Sender<ReservationDecision>,
     subject: Arc<str>,
     cost: u64,
 }
 
-/// The quotas as one node sees them.
+/// A node's side of all partitions.
 pub struct Quotas {
     parts: Vec<Part>,
-    /// This node's turns where it reaches no keeper of limits.
+    /// Reservations that this node grants when it reaches no keeper of limits.
     standalone_reservations: RefCell<StandaloneReservations>,
     wait_slots: RefCell<WaitSlots>,
     clock: Clock,
@@ -182,7 +183,7 @@
 }
 
 impl Quotas {
-    /// A node that knows no keeper yet.
+    /// Creates the state of a node that knows no keeper yet.
     pub fn new(config: KeeperConfig, clock: Clock, keepers_lost: Counter) -> Rc<Self> {
         let part = |part| Part {
             keeper: RefCell::new(PartKeeper::new(part, config, clock.now())),
@@ -205,7 +206,7 @@
         })
     }
 
-    /// Asks whether a request may run; answers by `until`.
+    /// Returns whether a request may run; decides by `until` at the latest.
     pub async fn ask(self: &Rc<Self>, ask: QuotaAsk<'_>, until: Moment) -> QuotaVerdict {
         let part = QuotaPartition::of_tenant(ask.tenant);
         let give_up = until.min(self.clock.now() + LINK_PATIENCE);
@@ -215,8 +216,8 @@
         }
     }
 
-    /// A place for a request of a tenant that waits to ask again; `None`: too many wait.
-    /// `shown` counts those that wait.
+    /// Returns a slot for a tenant's request that waits before its next query, or `None` if
+    /// too many wait. The gauge `shown` counts the waiting requests.
     pub fn wait_slot(self: &Rc<Self>, tenant: &Arc<str>, shown: &Gauge) -> Option<WaitSlot> {
         if !self.wait_slots.borrow_mut().enter(tenant) {
             return None;
@@ -229,7 +230,7 @@
         })
     }
 
-    /// The decision of whichever keeper answers by `give_up`.
+    /// Returns the decision of the first keeper that answers by `give_up`.
     async fn ask_keeper(
         &self,
         part: QuotaPartition,
@@ -251,7 +252,7 @@
         None
     }
 
-    /// The uplink of a part once there is one; `None` if none comes in time.
+    /// Waits until the partition has an uplink and returns it, or `None` at `give_up`.
     async fn linked_uplink(&self, part: QuotaPartition, give_up: Moment) -> Option<Uplink> {
         let part = &self.parts[part.index()];
         loop {
@@ -264,7 +265,8 @@
         }
     }
 
-    /// The keeper's decision; `None` if it did not answer, and is given up.
+    /// Returns the decision of a linked keeper. If it does not answer in time, gives up the
+    /// link and returns `None`.
     async fn ask_linked(
         &self,
         part: QuotaPartition,
@@ -289,7 +291,7 @@
         };
         match answer {
             Some(Ok(decision)) => Some(decision),
-            // The link ended, and its questions with it.
+            // The link ended and dropped its pending queries.
             Some(Err(_)) => None,
             None => {
                 self.give_up_link(part, link);
@@ -298,8 +300,8 @@
         }
     }
 
-    /// The keeper at the other end of a link does not answer. Its task sees that
-    /// nobody can ask over it any more.
+    /// Gives up a link whose keeper does not answer. The link's task ends once all senders of
+    /// queries are dropped.
     fn give_up_link(&self, part: QuotaPartition, link: &mpsc::Sender<ToKeeper>) {
         let uplink = self.parts[part.index()].uplink.borrow().clone();
         if matches!(uplink, Uplink::Linked(present) if present.same_channel(link)) {
@@ -319,7 +321,7 @@
             ReservationDecision::Granted { after } => {
                 QuotaVerdict::Granted(self.granted(part, ask, after), after)
             }
-            // Another node may have what this one's small part lacks.
+            // Another node may grant what this node's small share does not cover.
             ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
             ReservationDecision::Refused { retry_after, balance } => {
                 QuotaVerdict::Beyond { retry_after, balance }
@@ -327,7 +329,7 @@
         }
     }
 
-    /// What a granted question holds; it may be used `after` that time.
+    /// Returns the credit of a granted query, whose request may run `after` that time.
     fn granted(self: &Rc<Self>, part: QuotaPartition, question: &impl Question, after: Duration) -> Credit {
         self.note_ahead(part, question, after);
         Credit {
@@ -339,7 +341,8 @@
         }
     }
 
-    /// A request waits for its turn: until then it counts wherever this node asks.
+    /// Records a granted request that has to wait. Until it runs, it counts at every keeper
+    /// that this node uses.
     fn note_ahead(&self, part: QuotaPartition, question: &impl Question, after: Duration) {
         if after.is_zero() {
             return;
@@ -354,7 +357,7 @@
         });
     }
 
-    /// Units of each tenant or replica that were granted ahead and are still to run.
+    /// Returns the units of each tenant or replica that were granted and have not run yet.
     fn granted_ahead(&self, part: QuotaPartition) -> HashMap<Arc<str>, u64> {
         let now = self.clock.now();
         let mut sums: HashMap<Arc<str>, u64> = HashMap::new();
@@ -365,7 +368,7 @@
         sums
     }
 
-    /// From now on this node's own keeper rules.
+    /// Switches to this node's own keeper.
     fn take_own_uplink(&self, part: QuotaPartition, is_keeper: bool) {
         self.set_uplink(part, Uplink::Own, is_keeper);
         let now = self.clock.now();
@@ -375,16 +378,16 @@
         }
     }
 
-    /// What was granted goes back.
+    /// Refunds granted units.
     fn refund(&self, part: QuotaPartition, subject: &Arc<str>, cost: u64) {
         let part = &self.parts[part.index()];
         match &*part.uplink.borrow() {
             Uplink::Own => part.keeper.borrow_mut().refund(subject, cost, self.clock.now()),
             Uplink::Linked(link) => {
                 let tenant = subject.to_string();
-                // Left out where too many wait: the tenant or replica has so much less.
+                // Dropped if the queue is full: the tenant or replica loses these units.
                 if link.try_send(ToKeeper::GiveBack { tenant, cost }).is_err() {
-                    tracing::debug!(target: "quota", event = "credit could not go back", cost);
+                    tracing::debug!(target: "quota", event = "credit could not be refunded", cost);
                 }
             }
             Uplink::Connecting => {}
@@ -400,7 +403,8 @@
         part.changed.notify_waiters();
     }
 
-    /// This node counts as one of its keeper's listeners while it asks no other.
+    /// Updates the keeper's number of listeners. This node counts as one while it uses its own
+    /// keeper.
     fn count_listeners(&self, part: &Part) {
         let is_own = matches!(*part.uplink.borrow(), Uplink::Own);
         let listeners = part.listeners.get() + usize::from(is_own);
@@ -409,7 +413,7 @@
             .set_listeners(listeners, self.clock.now());
     }
 
-    /// What the fleet looks like now. `own`: this node's address.
+    /// Updates this node's keeper from the fleet. `own` is this node's address.
     fn look(&self, part: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
         let now = self.clock.now();
         let mut keeper = self.parts[part.index()].keeper.borrow_mut();
@@ -435,7 +439,7 @@
         }
     }
 
-    /// Balance of each tenant whose quota this node keeps, in units.
+    /// Returns the balance of each tenant whose quota this node keeps, in units.
     pub fn balances(&self) -> Vec<(Arc<str>, f64)> {
         let kept = self.parts.iter().filter(|part| part.is_keeper.get());
         let mut balances = Vec::new();
@@ -446,7 +450,7 @@
     }
 }
 
-/// A place of a request that waits to ask again.
+/// A slot of a request that waits before its next query.
 pub struct WaitSlot {
     quotas: Rc<Quotas>,
     tenant: Arc<str>,
@@ -460,8 +464,8 @@
     }
 }
 
-/// What a tenant paid for one request, or one request's place at a replica that named a
-/// limit. It goes back unless the request ran, or may have.
+/// The units granted to one request of a tenant, or the reservation of one call to a replica
+/// that reported a limit. Dropping it refunds the units unless the request ran or may have run.
 pub struct Credit {
     quotas: Rc<Quotas>,
     part: QuotaPartition,
@@ -481,17 +485,17 @@
 }
 
 impl Credit {
-    /// Units that it counts for.
+    /// Returns the granted units.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// The request was sent: it may run.
+    /// Marks the credit as spent, because the request was sent and may run.
     pub fn spend(&self) {
         self.is_spent.set(true);
     }
 
-    /// The request provably did not run anywhere.
+    /// Marks the credit as not spent, because the request provably did not run anywhere.
     pub fn unspend(&self) {
         self.is_spent.set(false);
     }
--- a/crates/croftrill-node/src/quota/part_keeper.rs
+++ b/crates/croftrill-node/src/quota/part_keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper of one part: of quotas or of limits.
+//! The keeper of one partition, of quotas or of limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,11 +8,11 @@
 use croftrill_scheduler::quota::limits::LimitKeeper;
 use croftrill_scheduler::time::Moment;
 
-/// A node's own keeper of a part, whether or not others ask it.
+/// A node's own keeper of a partition, whether or not other nodes use it.
 pub(super) enum PartKeeper {
-    /// Of tenants' quotas.
+    /// Keeper of tenants' quotas.
     Quotas(QuotaKeeper),
-    /// Of replicas' limits.
+    /// Keeper of replicas' limits.
     Limits(LimitKeeper),
 }
 
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Of quotas, the part that belongs to the listeners. A limit is kept whole.
+    /// Returns the fraction of the quotas that this keeper grants to its listeners. Limits are
+    /// not divided.
     pub(super) fn share(&self) -> f64 {
         match self {
             PartKeeper::Quotas(keeper) => keeper.share(),
@@ -33,15 +34,15 @@
         }
     }
 
-    /// So many nodes listen now. Limits do not go by it: only nodes that were told of one
-    /// ask.
+    /// Sets the number of nodes that listen. Limits do not depend on it, as only nodes that
+    /// received a limit query its keeper.
     pub(super) fn set_listeners(&mut self, listeners: usize, now: Moment) {
         if let PartKeeper::Quotas(keeper) = self {
             keeper.set_listeners(listeners, now);
         }
     }
 
-    /// So much was granted by another keeper and is still to run.
+    /// Records a cost that another keeper granted and that has not run yet.
     pub(super) fn carry(&mut self, subject: &str, cost: u64, now: Moment) {
         match self {
             PartKeeper::Quotas(keeper) => keeper.carry(subject, cost, now),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// What was granted was not used.
+    /// Takes back a granted cost that was not used.
     pub(super) fn refund(&mut self, subject: &str, cost: u64, now: Moment) {
         match self {
             PartKeeper::Quotas(keeper) => keeper.refund(subject, cost, now),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Balance of each tenant, in units.
+    /// Returns the balance of each tenant, in units.
     pub(super) fn balances(&self) -> HashMap<Arc<str>, f64> {
         match self {
             PartKeeper::Quotas(keeper) => keeper
--- a/crates/croftrill-node/src/quota/wire.rs
+++ b/crates/croftrill-node/src/quota/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between a node and the keeper of a part of the quotas or limits.
+//! Messages between a node and the keeper of a partition of the quotas or limits.
 
 use croftrill_scheduler::tenants::{Quota, QuotaUnit};
 use nanoserde::{DeBin, SerBin};
@@ -6,95 +6,96 @@
 /// A message to a keeper.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum ToKeeper {
-    /// A request of a tenant wants to run.
+    /// Requests a reservation for a tenant's request.
     Ask(WireAsk),
-    /// A request that was granted did not run.
+    /// A granted request did not run.
     GiveBack {
         /// The tenant, or the replica on a link to a keeper of limits.
         tenant: String,
-        /// Units that were granted.
+        /// Granted units.
         cost: u64,
     },
-    /// The node still listens.
+    /// Heartbeat: the node still listens.
     Alive,
-    /// So much was granted to the node ahead by a former keeper, and is still to run.
+    /// Transfers a cost that a former keeper granted for a later time that has not passed.
     Carry {
         /// The tenant, or the replica on a link to a keeper of limits.
         tenant: String,
-        /// Units that were granted.
+        /// Granted units.
         cost: u64,
     },
-    /// A call wants to go to a replica that named a limit. Only to keepers of limits, whose
-    /// entries tell that they know of it.
+    /// Requests a reservation for a call to a replica that reported a limit. Sent only to
+    /// keepers of limits, whose entries say that they understand it.
     AskLimit(WireLimitAsk),
 }
 
-/// A question about a replica's limit, on the wire.
+/// A query about a replica's limit, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireLimitAsk {
-    /// Number of the question, unique on its link.
+    /// Id of the query, unique on its link.
     pub id: u64,
     /// The replica.
     pub replica: String,
-    /// When the incarnation started that named the limit, in Unix milliseconds.
+    /// When the incarnation that reported the limit started, in Unix milliseconds.
     pub started_ms: Option<u64>,
-    /// The limit as the asking node heard it, in thousandths of a request a second.
+    /// The limit as the sender received it, in thousandths of a request per second.
     pub limit_millis_per_s: u64,
-    /// How long ago it heard that, in milliseconds.
+    /// How long ago the sender received it, in milliseconds.
     pub heard_ms_ago: u64,
-    /// Time for which the call can wait for its turn, in milliseconds.
+    /// Time for which the call can wait, in milliseconds.
     pub patience_ms: u32,
-    /// True if no other calls are more urgent.
+    /// True if no calls are more urgent.
     pub is_urgent: bool,
 }
 
-/// A question, on the wire.
+/// A query about a tenant's quota, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireAsk {
-    /// Number of the question, unique on its link.
+    /// Id of the query, unique on its link.
     pub id: u64,
     /// The tenant.
     pub tenant: String,
-    /// Units that the request counts for.
+    /// Cost of the request, in units.
     pub cost: u64,
-    /// Time for which the request can wait for its turn, in milliseconds.
+    /// Time for which the request can wait, in milliseconds.
     pub patience_ms: u32,
     /// True if no route's requests are more urgent.
     pub is_urgent: bool,
-    /// The quota as the asking node knows it.
+    /// The quota as the sender knows it.
     pub quota: WireQuota,
-    /// Version of the configuration that tells it.
+    /// Version of the configuration that states the quota.
     pub version: u64,
 }
 
 /// A quota, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub struct WireQuota {
-    /// Units in a second.
+    /// Units per second.
     pub rate_per_s: f64,
-    /// Units above that.
+    /// Units allowed above the rate.
     pub burst: f64,
-    /// Tokens that a request counts for that tells none; `None`: it counts requests.
+    /// Tokens that a request without a stated number counts for, or `None` if the quota counts
+    /// requests.
     pub plain_tokens: Option<u64>,
 }
 
 /// A message from a keeper.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum FromKeeper {
-    /// The node is listened to; the answer to [`ToKeeper::Alive`] and to the first message.
+    /// Answer to [`ToKeeper::Alive`] and to the first message of a link.
     Alive,
     /// The request may run.
     Granted {
-        /// Number of the question.
+        /// Id of the query.
         id: u64,
-        /// Time after which it may, in milliseconds.
+        /// Time after which it may run, in milliseconds.
         after_ms: u32,
     },
-    /// The request is beyond the quota.
+    /// The request exceeds the quota or limit.
     Refused {
-        /// Number of the question.
+        /// Id of the query.
         id: u64,
-        /// Time until the balance pays for it, in milliseconds.
+        /// Time until the balance covers the request, in milliseconds.
         again_after_ms: u32,
         /// The balance, in units.
         balance: f64,
@@ -102,7 +103,7 @@
 }
 
 impl WireQuota {
-    /// The message form.
+    /// Converts a quota into its wire form.
     pub fn from_quota(quota: Quota) -> Self {
         let plain_tokens = match quota.unit {
             QuotaUnit::Requests => None,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// The quota.
+    /// Returns the quota.
     pub fn to_quota(&self) -> Quota {
         let unit = match self.plain_tokens {
             None => QuotaUnit::Requests,
