--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -12,8 +12,8 @@
 use rand::Rng;
 
 use super::part_keeper::PartKeeper;
-use super::wire::{ToKeeper, WireLimitAsk};
-use super::{Credit, Question, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
+use super::wire::{ToKeeper, WireLimitQuery};
+use super::{Credit, KeeperQuery, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
 
 /// Time after its last query for which a node keeps its link to a keeper of limits. A link
 /// costs a message per second; a new one delays the next request by a few milliseconds.
@@ -21,7 +21,7 @@
 
 /// A query whether a call may go to a replica that reported a limit.
 #[derive(Debug, Clone, Copy)]
-pub struct LimitAsk<'a> {
+pub struct LimitQuery<'a> {
     /// The replica.
     pub replica: &'a Arc<str>,
     /// When the incarnation that reported the limit started.
@@ -29,7 +29,7 @@
     /// The limit as this node received it.
     pub limit: ReportedLimit,
     /// The requested reservation.
-    pub want: LimitRequest,
+    pub request: LimitRequest,
     /// Number of nodes that are listed.
     pub nodes: usize,
 }
@@ -47,7 +47,7 @@
     },
 }
 
-impl Question for LimitAsk<'_> {
+impl KeeperQuery for LimitQuery<'_> {
     fn subject(&self) -> &Arc<str> {
         self.replica
     }
@@ -57,46 +57,46 @@
     }
 
     fn message(&self, id: u64, now: Moment) -> ToKeeper {
-        ToKeeper::AskLimit(WireLimitAsk {
+        ToKeeper::ReserveLimit(WireLimitQuery {
             id,
             replica: self.replica.to_string(),
             started_ms: self.started_ms,
             limit_millis_per_s: self.limit.rate.millis_per_s(),
-            heard_ms_ago: now.since(self.limit.received_at).as_millis() as u64,
-            patience_ms: self.want.patience.as_millis() as u32,
-            is_urgent: self.want.is_urgent,
+            received_ms_ago: now.since(self.limit.received_at).as_millis() as u64,
+            patience_ms: self.request.patience.as_millis() as u32,
+            is_urgent: self.request.is_urgent,
         })
     }
 
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
+    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
         let PartKeeper::Limits(keeper) = keeper else {
             return None;
         };
-        Some(keeper.reserve(self.replica, self.started_ms, self.limit, self.want, now))
+        Some(keeper.reserve(self.replica, self.started_ms, self.limit, self.request, now))
     }
 }
 
 impl Quotas {
     /// Returns whether a call may go to a replica that reported a limit. If no keeper answers
     /// in the time that the call has, this node's standalone reservations decide.
-    pub async fn ask_limit(self: &Rc<Self>, ask: LimitAsk<'_>) -> LimitVerdict {
-        let part = QuotaPartition::of_replica(ask.replica);
+    pub async fn reserve_limit(self: &Rc<Self>, query: LimitQuery<'_>) -> LimitVerdict {
+        let part = QuotaPartition::of_replica(query.replica);
         let now = self.clock.now();
         let state = &self.parts[part.index()];
         state.limit_asked_at.set(Some(now));
         state.limit_wanted.notify_one();
-        let give_up = now + ask.want.patience.clamp(ANSWER_LIMIT, LINK_PATIENCE);
+        let give_up = now + query.request.patience.clamp(ANSWER_LIMIT, LINK_PATIENCE);
         let decision = if self.is_alone(part) {
             None
         } else {
-            self.ask_keeper(part, &ask, give_up).await
+            self.query_keeper(part, &query, give_up).await
         };
         let Some(decision) = decision else {
-            return self.own_turn(&ask);
+            return self.own_turn(&query);
         };
         match decision {
             ReservationDecision::Granted { after } => {
-                LimitVerdict::Granted(Some(self.granted(part, &ask, after)), after)
+                LimitVerdict::Granted(Some(self.granted(part, &query, after)), after)
             }
             ReservationDecision::Refused { retry_after, .. } => LimitVerdict::Refused { retry_after },
         }
@@ -108,16 +108,16 @@
         matches!(*state.uplink.borrow(), Uplink::Own) && !state.is_keeper.get()
     }
 
-    fn own_turn(&self, ask: &LimitAsk<'_>) -> LimitVerdict {
+    fn own_turn(&self, query: &LimitQuery<'_>) -> LimitVerdict {
         let unit = rand::rng().random_range(0.0..1.0);
         let mut turns = self.standalone_reservations.borrow_mut();
         let now = self.clock.now();
         match turns.reserve(
-            ask.replica,
-            ask.limit.rate,
-            ask.nodes,
+            query.replica,
+            query.limit.rate,
+            query.nodes,
             unit,
-            ask.want.patience,
+            query.request.patience,
             now,
         ) {
             ReservationDecision::Granted { after } => LimitVerdict::Granted(None, after),
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::part_keeper::PartKeeper;
-use super::wire::{FromKeeper, ToKeeper, WireAsk, WireLimitAsk};
+use super::wire::{FromKeeper, ToKeeper, WireLimitQuery, WireQuotaQuery};
 use super::{Fleet, Quotas, Uplink};
 use crate::link::PeerLink;
 use crate::peer::ToOrderer;
@@ -179,10 +179,10 @@
     failed: &mut Failed,
     own: SocketAddr,
 ) -> io::Result<Option<(SocketAddr, PeerLink)>> {
-    let (sender, mut questions) = mpsc::channel(MOST_WAITING);
+    let (sender, mut queries) = mpsc::channel(MOST_WAITING);
     for (subject, cost) in quotas.granted_ahead(part) {
-        let tenant = subject.to_string();
-        let carry = ToKeeper::Carry { tenant, cost };
+        let subject = subject.to_string();
+        let carry = ToKeeper::Carry { subject, cost };
         link.send(Bytes::from(carry.serialize_bin())).await?;
     }
     quotas.set_uplink(part, Uplink::Linked(sender), false);
@@ -196,11 +196,11 @@
                 let frame = frame?.ok_or(io::ErrorKind::ConnectionReset)?;
                 take_answer(quotas, part, &frame)?;
             }
-            question = questions.recv() => {
+            query = queries.recv() => {
                 // All senders of queries gave up the link.
-                let Some(question) = question else { return Err(io::ErrorKind::TimedOut.into()) };
+                let Some(query) = query else { return Err(io::ErrorKind::TimedOut.into()) };
                 sent_at = Instant::now();
-                link.send(Bytes::from(question.serialize_bin())).await?;
+                link.send(Bytes::from(query.serialize_bin())).await?;
             }
             (better, ended) = Attempt::end(&mut attempt), if attempt.is_some() => match ended {
                 Ok(link) => return Ok(Some((better, link))),
@@ -264,18 +264,18 @@
         }
         FromKeeper::Refused {
             id,
-            again_after_ms,
+            retry_after_ms,
             balance,
         } => {
-            let retry_after = Duration::from_millis(u64::from(again_after_ms));
+            let retry_after = Duration::from_millis(u64::from(retry_after_ms));
             (id, ReservationDecision::Refused { retry_after, balance })
         }
     };
-    let asked = quotas.parts[part.index()].asked.borrow_mut().remove(&id);
-    if let Some(asked) = asked {
-        let unheard = asked.answer.send(decision);
+    let pending = quotas.parts[part.index()].pending.borrow_mut().remove(&id);
+    if let Some(pending) = pending {
+        let unheard = pending.answer.send(decision);
         if matches!(unheard, Err(ReservationDecision::Granted { .. })) {
-            quotas.refund(part, &asked.subject, asked.cost);
+            quotas.refund(part, &pending.subject, pending.cost);
         }
     }
     Ok(())
@@ -309,17 +309,23 @@
     let mut keeper = quotas.parts[part.index()].keeper.borrow_mut();
     let (id, decision) = match (message, &mut *keeper) {
         (ToKeeper::Alive, _) => return Ok(Some(FromKeeper::Alive)),
-        (ToKeeper::GiveBack { tenant, cost }, keeper) => {
-            keeper.refund(&tenant, cost, now);
+        (ToKeeper::Refund { subject, cost }, keeper) => {
+            keeper.refund(&subject, cost, now);
             return Ok(None);
         }
-        (ToKeeper::Carry { tenant, cost }, keeper) => {
-            keeper.carry(&tenant, cost, now);
+        (ToKeeper::Carry { subject, cost }, keeper) => {
+            keeper.carry(&subject, cost, now);
             return Ok(None);
         }
-        (ToKeeper::Ask(ask), PartKeeper::Quotas(keeper)) => (ask.id, rule_on_quota(keeper, ask, now)),
-        (ToKeeper::AskLimit(ask), PartKeeper::Limits(keeper)) => (ask.id, rule_on_limit(keeper, &ask, now)),
-        (ToKeeper::Ask(_) | ToKeeper::AskLimit(_), _) => return Err(io::ErrorKind::InvalidData.into()),
+        (ToKeeper::ReserveQuota(query), PartKeeper::Quotas(keeper)) => {
+            (query.id, reserve_quota(keeper, query, now))
+        }
+        (ToKeeper::ReserveLimit(query), PartKeeper::Limits(keeper)) => {
+            (query.id, reserve_limit(keeper, &query, now))
+        }
+        (ToKeeper::ReserveQuota(_) | ToKeeper::ReserveLimit(_), _) => {
+            return Err(io::ErrorKind::InvalidData.into())
+        }
     };
     Ok(Some(match decision {
         ReservationDecision::Granted { after } => FromKeeper::Granted {
@@ -329,33 +335,39 @@
         },
         ReservationDecision::Refused { retry_after, balance } => FromKeeper::Refused {
             id,
-            again_after_ms: retry_after.as_millis() as u32 + 1,
+            retry_after_ms: retry_after.as_millis() as u32 + 1,
             balance,
         },
     }))
 }
 
-fn rule_on_quota(keeper: &mut QuotaKeeper, ask: WireAsk, now: Moment) -> ReservationDecision {
-    let want = QuotaRequest {
-        cost: ask.cost,
-        patience: Duration::from_millis(u64::from(ask.patience_ms)),
-        is_urgent: ask.is_urgent,
+fn reserve_quota(keeper: &mut QuotaKeeper, query: WireQuotaQuery, now: Moment) -> ReservationDecision {
+    let request = QuotaRequest {
+        cost: query.cost,
+        patience: Duration::from_millis(u64::from(query.patience_ms)),
+        is_urgent: query.is_urgent,
     };
-    let tenant = ask.tenant.as_str();
-    keeper.update_quota(&tenant.into(), ask.quota.to_quota(), ask.version, now);
-    keeper.reserve(tenant, want, now)
+    let tenant = query.tenant.as_str();
+    keeper.update_quota(&tenant.into(), query.quota.to_quota(), query.version, now);
+    keeper.reserve(tenant, request, now)
 }
 
-fn rule_on_limit(keeper: &mut LimitKeeper, ask: &WireLimitAsk, now: Moment) -> ReservationDecision {
-    let want = LimitRequest {
-        patience: Duration::from_millis(u64::from(ask.patience_ms)),
-        is_urgent: ask.is_urgent,
+fn reserve_limit(keeper: &mut LimitKeeper, query: &WireLimitQuery, now: Moment) -> ReservationDecision {
+    let request = LimitRequest {
+        patience: Duration::from_millis(u64::from(query.patience_ms)),
+        is_urgent: query.is_urgent,
     };
     let limit = ReportedLimit {
-        rate: RequestRate::from_millis_per_s(ask.limit_millis_per_s),
-        received_at: now - Duration::from_millis(ask.heard_ms_ago),
+        rate: RequestRate::from_millis_per_s(query.limit_millis_per_s),
+        received_at: now - Duration::from_millis(query.received_ms_ago),
     };
-    keeper.reserve(&ask.replica.as_str().into(), ask.started_ms, limit, want, now)
+    keeper.reserve(
+        &query.replica.as_str().into(),
+        query.started_ms,
+        limit,
+        request,
+        now,
+    )
 }
 
 /// Counts a node as a listener of this node's keeper until dropped.
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -29,10 +29,10 @@
 use prometheus_client::metrics::gauge::Gauge;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-pub use self::limit::{LimitAsk, LimitVerdict};
+pub use self::limit::{LimitQuery, LimitVerdict};
 pub(crate) use self::link::{follow_keeper, serve_listener};
 use self::part_keeper::PartKeeper;
-use self::wire::{ToKeeper, WireAsk, WireQuota};
+use self::wire::{ToKeeper, WireQuota, WireQuotaQuery};
 use crate::clock::Clock;
 
 /// Maximum wait for a keeper's answer. Over 50 times the round trip between zones; a keeper
@@ -56,7 +56,7 @@
 
 /// A query whether a tenant's request may run.
 #[derive(Debug, Clone, Copy)]
-pub struct QuotaAsk<'a> {
+pub struct QuotaQuery<'a> {
     /// The tenant.
     pub tenant: &'a Arc<str>,
     /// The tenant's quota.
@@ -64,36 +64,36 @@
     /// Version of the configuration that states the quota.
     pub version: u64,
     /// The requested reservation.
-    pub want: QuotaRequest,
+    pub request: QuotaRequest,
 }
 
-impl Question for QuotaAsk<'_> {
+impl KeeperQuery for QuotaQuery<'_> {
     fn subject(&self) -> &Arc<str> {
         self.tenant
     }
 
     fn cost(&self) -> u64 {
-        self.want.cost
+        self.request.cost
     }
 
     fn message(&self, id: u64, _now: Moment) -> ToKeeper {
-        ToKeeper::Ask(WireAsk {
+        ToKeeper::ReserveQuota(WireQuotaQuery {
             id,
             tenant: self.tenant.to_string(),
-            cost: self.want.cost,
-            patience_ms: self.want.patience.as_millis() as u32,
-            is_urgent: self.want.is_urgent,
+            cost: self.request.cost,
+            patience_ms: self.request.patience.as_millis() as u32,
+            is_urgent: self.request.is_urgent,
             quota: WireQuota::from_quota(self.quota),
             version: self.version,
         })
     }
 
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
+    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
         let PartKeeper::Quotas(keeper) = keeper else {
             return None;
         };
         keeper.update_quota(self.tenant, self.quota, self.version, now);
-        Some(keeper.reserve(self.tenant, self.want, now))
+        Some(keeper.reserve(self.tenant, self.request, now))
     }
 }
 
@@ -103,7 +103,7 @@
     /// The request may run after this time.
     Granted(Credit, Duration),
     /// The request exceeds the tenant's quota.
-    Beyond {
+    Exceeded {
         /// Time until the balance covers the request.
         retry_after: Duration,
         /// The tenant's balance at the keeper, in units.
@@ -125,7 +125,7 @@
 }
 
 /// A query to the keeper of a partition.
-trait Question {
+trait KeeperQuery {
     /// Returns the tenant or replica that the query is about.
     fn subject(&self) -> &Arc<str>;
     /// Returns the requested units.
@@ -134,7 +134,7 @@
     fn message(&self, id: u64, now: Moment) -> ToKeeper;
     /// Returns the decision of this node's own keeper, or `None` if the keeper is of the other
     /// kind.
-    fn ask_here(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision>;
+    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision>;
 }
 
 /// A node's state for one partition.
@@ -146,7 +146,7 @@
     /// True if this node should keep the partition, false if it merely reaches no keeper.
     is_keeper: Cell<bool>,
     /// Queries that are not answered yet, by id.
-    asked: RefCell<HashMap<u64, Asked>>,
+    pending: RefCell<HashMap<u64, PendingQuery>>,
     next_id: Cell<u64>,
     /// Granted requests whose start time has not come.
     ahead: RefCell<Vec<GrantAhead>>,
@@ -166,7 +166,7 @@
 }
 
 /// A query that was sent to a keeper.
-struct Asked {
+struct PendingQuery {
     answer: oneshot::Sender<ReservationDecision>,
     subject: Arc<str>,
     cost: u64,
@@ -190,7 +190,7 @@
             listeners: Cell::new(0),
             uplink: RefCell::new(Uplink::Connecting),
             is_keeper: Cell::new(false),
-            asked: RefCell::default(),
+            pending: RefCell::default(),
             next_id: Cell::new(0),
             ahead: RefCell::default(),
             changed: Notify::new(),
@@ -207,11 +207,11 @@
     }
 
     /// Returns whether a request may run; decides by `until` at the latest.
-    pub async fn ask(self: &Rc<Self>, ask: QuotaAsk<'_>, until: Moment) -> QuotaVerdict {
-        let part = QuotaPartition::of_tenant(ask.tenant);
+    pub async fn reserve(self: &Rc<Self>, query: QuotaQuery<'_>, until: Moment) -> QuotaVerdict {
+        let part = QuotaPartition::of_tenant(query.tenant);
         let give_up = until.min(self.clock.now() + LINK_PATIENCE);
-        match self.ask_keeper(part, &ask, give_up).await {
-            Some(decision) => self.verdict(part, &ask, decision),
+        match self.query_keeper(part, &query, give_up).await {
+            Some(decision) => self.verdict(part, &query, decision),
             None => QuotaVerdict::Unreachable,
         }
     }
@@ -231,18 +231,18 @@
     }
 
     /// Returns the decision of the first keeper that answers by `give_up`.
-    async fn ask_keeper(
+    async fn query_keeper(
         &self,
         part: QuotaPartition,
-        question: &impl Question,
+        query: &impl KeeperQuery,
         give_up: Moment,
     ) -> Option<ReservationDecision> {
         for _ in 0..MOST_ASKED {
             let decision = match self.linked_uplink(part, give_up).await? {
-                Uplink::Linked(link) => self.ask_linked(part, &link, question).await,
+                Uplink::Linked(link) => self.query_linked(part, &link, query).await,
                 Uplink::Own | Uplink::Connecting => {
                     let keeper = &self.parts[part.index()].keeper;
-                    return question.ask_here(&mut keeper.borrow_mut(), self.clock.now());
+                    return query.reserve_locally(&mut keeper.borrow_mut(), self.clock.now());
                 }
             };
             if decision.is_some() || self.clock.now() >= give_up {
@@ -267,23 +267,23 @@
 
     /// Returns the decision of a linked keeper. If it does not answer in time, gives up the
     /// link and returns `None`.
-    async fn ask_linked(
+    async fn query_linked(
         &self,
         part: QuotaPartition,
         link: &mpsc::Sender<ToKeeper>,
-        question: &impl Question,
+        query: &impl KeeperQuery,
     ) -> Option<ReservationDecision> {
         let state = &self.parts[part.index()];
         let id = state.next_id.get();
         state.next_id.set(id + 1);
         let (answer, answered) = oneshot::channel();
-        let asked = Asked {
+        let pending = PendingQuery {
             answer,
-            subject: question.subject().clone(),
-            cost: question.cost(),
+            subject: query.subject().clone(),
+            cost: query.cost(),
         };
-        state.asked.borrow_mut().insert(id, asked);
-        let message = question.message(id, self.clock.now());
+        state.pending.borrow_mut().insert(id, pending);
+        let message = query.message(id, self.clock.now());
         let limit = self.clock.now() + ANSWER_LIMIT;
         let answer = match link.try_send(message) {
             Ok(()) => self.clock.timeout_at(limit, answered).await.ok(),
@@ -312,38 +312,38 @@
     fn verdict(
         self: &Rc<Self>,
         part: QuotaPartition,
-        ask: &QuotaAsk<'_>,
+        query: &QuotaQuery<'_>,
         decision: ReservationDecision,
     ) -> QuotaVerdict {
         let is_own = matches!(*self.parts[part.index()].uplink.borrow(), Uplink::Own);
         let is_alone = is_own && !self.parts[part.index()].is_keeper.get();
         match decision {
             ReservationDecision::Granted { after } => {
-                QuotaVerdict::Granted(self.granted(part, ask, after), after)
+                QuotaVerdict::Granted(self.granted(part, query, after), after)
             }
             // Another node may grant what this node's small share does not cover.
             ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
             ReservationDecision::Refused { retry_after, balance } => {
-                QuotaVerdict::Beyond { retry_after, balance }
+                QuotaVerdict::Exceeded { retry_after, balance }
             }
         }
     }
 
     /// Returns the credit of a granted query, whose request may run `after` that time.
-    fn granted(self: &Rc<Self>, part: QuotaPartition, question: &impl Question, after: Duration) -> Credit {
-        self.note_ahead(part, question, after);
+    fn granted(self: &Rc<Self>, part: QuotaPartition, query: &impl KeeperQuery, after: Duration) -> Credit {
+        self.note_ahead(part, query, after);
         Credit {
             quotas: self.clone(),
             part,
-            subject: question.subject().clone(),
-            cost: question.cost(),
+            subject: query.subject().clone(),
+            cost: query.cost(),
             is_spent: Cell::new(false),
         }
     }
 
     /// Records a granted request that has to wait. Until it runs, it counts at every keeper
     /// that this node uses.
-    fn note_ahead(&self, part: QuotaPartition, question: &impl Question, after: Duration) {
+    fn note_ahead(&self, part: QuotaPartition, query: &impl KeeperQuery, after: Duration) {
         if after.is_zero() {
             return;
         }
@@ -351,8 +351,8 @@
         let mut ahead = self.parts[part.index()].ahead.borrow_mut();
         ahead.retain(|grant| grant.runs_at > now);
         ahead.push(GrantAhead {
-            subject: question.subject().clone(),
-            cost: question.cost(),
+            subject: query.subject().clone(),
+            cost: query.cost(),
             runs_at: now + after,
         });
     }
@@ -384,9 +384,9 @@
         match &*part.uplink.borrow() {
             Uplink::Own => part.keeper.borrow_mut().refund(subject, cost, self.clock.now()),
             Uplink::Linked(link) => {
-                let tenant = subject.to_string();
+                let subject = subject.to_string();
                 // Dropped if the queue is full: the tenant or replica loses these units.
-                if link.try_send(ToKeeper::GiveBack { tenant, cost }).is_err() {
+                if link.try_send(ToKeeper::Refund { subject, cost }).is_err() {
                     tracing::debug!(target: "quota", event = "credit could not be refunded", cost);
                 }
             }
@@ -398,7 +398,7 @@
         let part = &self.parts[part.index()];
         part.uplink.replace(uplink);
         part.is_keeper.set(is_keeper);
-        part.asked.borrow_mut().clear();
+        part.pending.borrow_mut().clear();
         self.count_listeners(part);
         part.changed.notify_waiters();
     }
--- a/crates/croftrill-node/src/quota/wire.rs
+++ b/crates/croftrill-node/src/quota/wire.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
 pub enum ToKeeper {
     /// Requests a reservation for a tenant's request.
-    Ask(WireAsk),
+    ReserveQuota(WireQuotaQuery),
     /// A granted request did not run.
-    GiveBack {
+    Refund {
         /// The tenant, or the replica on a link to a keeper of limits.
-        tenant: String,
+        subject: String,
         /// Granted units.
         cost: u64,
     },
@@ -20,18 +20,18 @@
     /// Transfers a cost that a former keeper granted for a later time that has not passed.
     Carry {
         /// The tenant, or the replica on a link to a keeper of limits.
-        tenant: String,
+        subject: String,
         /// Granted units.
         cost: u64,
     },
     /// Requests a reservation for a call to a replica that reported a limit. Sent only to
     /// keepers of limits, whose entries say that they understand it.
-    AskLimit(WireLimitAsk),
+    ReserveLimit(WireLimitQuery),
 }
 
 /// A query about a replica's limit, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct WireLimitAsk {
+pub struct WireLimitQuery {
     /// Id of the query, unique on its link.
     pub id: u64,
     /// The replica.
@@ -41,7 +41,7 @@
     /// The limit as the sender received it, in thousandths of a request per second.
     pub limit_millis_per_s: u64,
     /// How long ago the sender received it, in milliseconds.
-    pub heard_ms_ago: u64,
+    pub received_ms_ago: u64,
     /// Time for which the call can wait, in milliseconds.
     pub patience_ms: u32,
     /// True if no calls are more urgent.
@@ -50,7 +50,7 @@
 
 /// A query about a tenant's quota, on the wire.
 #[derive(Debug, Clone, PartialEq, SerBin, DeBin)]
-pub struct WireAsk {
+pub struct WireQuotaQuery {
     /// Id of the query, unique on its link.
     pub id: u64,
     /// The tenant.
@@ -96,7 +96,7 @@
         /// Id of the query.
         id: u64,
         /// Time until the balance covers the request, in milliseconds.
-        again_after_ms: u32,
+        retry_after_ms: u32,
         /// The balance, in units.
         balance: f64,
     },
--- a/crates/croftrill-node/src/replica_reservation.rs
+++ b/crates/croftrill-node/src/replica_reservation.rs
@@ -6,7 +6,7 @@
 use crate::metrics::Metrics;
 use crate::node::Node;
 use crate::ports::Platform;
-use crate::quota::{LimitAsk, LimitVerdict};
+use crate::quota::{LimitQuery, LimitVerdict};
 
 /// The answer to a request for a reservation, and the limit that it is based on.
 pub(crate) struct Reservation {
@@ -27,14 +27,14 @@
         (state.replicas.limit_of(replica), state.members.node_count())
     };
     let (limit, started_ms) = known?;
-    let request = LimitAsk {
+    let request = LimitQuery {
         replica,
         started_ms,
         limit,
         want,
         nodes,
     };
-    let verdict = node.quotas.ask_limit(request).await;
+    let verdict = node.quotas.reserve_limit(request).await;
     let outcome = match &verdict {
         LimitVerdict::Granted(Some(_), _) => "granted",
         LimitVerdict::Granted(None, _) => "own turn",
--- a/crates/croftrill-node/src/request/access.rs
+++ b/crates/croftrill-node/src/request/access.rs
@@ -17,7 +17,7 @@
 use crate::metrics::Metrics;
 use crate::node::{Lifecycle, Node};
 use crate::ports::{Dialect, Platform, RequestFacts};
-use crate::quota::{Credit, QuotaAsk, QuotaVerdict};
+use crate::quota::{Credit, QuotaQuery, QuotaVerdict};
 
 /// Maximum length of a key. Longer ones are rejected without hashing them; keys that operators
 /// issue are several times shorter.
@@ -166,19 +166,19 @@
     let clock = &node.clock;
     let requested_at = clock.now();
     let wait = reservation_wait(facts, configuration, route, requested_at, deadline);
-    let mut request = QuotaAsk {
+    let mut request = QuotaQuery {
         tenant: &tenant.name,
         quota,
         version: configuration.version,
-        want: QuotaRequest {
+        request: QuotaRequest {
             cost: quota.unit.cost(facts.metered_tokens),
             patience: wait.ahead(requested_at),
             is_urgent: configuration.tenants.is_most_urgent(route.priority),
         },
     };
-    let mut verdict = node.quotas.ask(request, deadline).await;
+    let mut verdict = node.quotas.reserve(request, deadline).await;
     let mut waiting_slot = None;
-    while let QuotaVerdict::Beyond { retry_after, .. } = verdict {
+    while let QuotaVerdict::Exceeded { retry_after, .. } = verdict {
         let Some(pause) = wait.pause(retry_after, clock.now()) else {
             break;
         };
@@ -195,8 +195,8 @@
                 requested_at,
             )));
         }
-        request.want.patience = wait.ahead(clock.now());
-        verdict = node.quotas.ask(request, deadline).await;
+        request.request.patience = wait.ahead(clock.now());
+        verdict = node.quotas.reserve(request, deadline).await;
     }
     drop(waiting_slot);
     match verdict {
@@ -204,11 +204,11 @@
             clock.sleep_until(deadline.min(clock.now() + after)).await;
             Ok(Some(credit))
         }
-        QuotaVerdict::Beyond { retry_after, balance } => {
+        QuotaVerdict::Exceeded { retry_after, balance } => {
             Metrics::count(&node.metrics.denied, "quota", "beyond");
             tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "beyond the quota",
-                tenant = &*tenant.name, cost = request.want.cost, balance = balance as i64, is_urgent = request.want.is_urgent,
-                ahead_ms = request.want.patience.as_millis() as u64, waited_ms = clock.now().since(requested_at).as_millis() as u64,
+                tenant = &*tenant.name, cost = request.request.cost, balance = balance as i64, is_urgent = request.request.is_urgent,
+                ahead_ms = request.request.patience.as_millis() as u64, waited_ms = clock.now().since(requested_at).as_millis() as u64,
                 rate_per_s = quota.rate_per_s as u64, burst = quota.burst as u64,
                 again_after_ms = retry_after.as_millis() as u64, version = configuration.version);
             let cause = "beyond the tenant's quota";
@@ -221,7 +221,7 @@
         QuotaVerdict::Unreachable => {
             Metrics::count(&node.metrics.denied, "quota", "no keeper");
             tracing::info!(target: "quota", id = facts.id, outcome = "refused", cause = "no keeper in reach",
-                tenant = &*tenant.name, cost = request.want.cost, version = configuration.version);
+                tenant = &*tenant.name, cost = request.request.cost, version = configuration.version);
             let cause = "the tenant's quota cannot be asked for";
             Err(Box::new(refuse(
                 StatusCode::SERVICE_UNAVAILABLE,
