--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -11,7 +11,7 @@
 use croftrill_scheduler::time::Moment;
 use rand::Rng;
 
-use super::part_keeper::PartKeeper;
+use super::part_keeper::PartitionKeeper;
 use super::wire::{ToKeeper, WireLimitQuery};
 use super::{Credit, KeeperQuery, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
 
@@ -68,8 +68,8 @@
         })
     }
 
-    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
-        let PartKeeper::Limits(keeper) = keeper else {
+    fn reserve_locally(&self, keeper: &mut PartitionKeeper, now: Moment) -> Option<ReservationDecision> {
+        let PartitionKeeper::Limits(keeper) = keeper else {
             return None;
         };
         Some(keeper.reserve(self.replica, self.started_ms, self.limit, self.request, now))
@@ -80,31 +80,31 @@
     /// Returns whether a call may go to a replica that reported a limit. If no keeper answers
     /// in the time that the call has, this node's standalone reservations decide.
     pub async fn reserve_limit(self: &Rc<Self>, query: LimitQuery<'_>) -> LimitVerdict {
-        let part = QuotaPartition::of_replica(query.replica);
+        let partition = QuotaPartition::of_replica(query.replica);
         let now = self.clock.now();
-        let state = &self.parts[part.index()];
+        let state = &self.partitions[partition.index()];
         state.limit_asked_at.set(Some(now));
         state.limit_wanted.notify_one();
         let give_up = now + query.request.patience.clamp(ANSWER_LIMIT, LINK_PATIENCE);
-        let decision = if self.is_alone(part) {
+        let decision = if self.is_alone(partition) {
             None
         } else {
-            self.query_keeper(part, &query, give_up).await
+            self.query_keeper(partition, &query, give_up).await
         };
         let Some(decision) = decision else {
             return self.own_turn(&query);
         };
         match decision {
             ReservationDecision::Granted { after } => {
-                LimitVerdict::Granted(Some(self.granted(part, &query, after)), after)
+                LimitVerdict::Granted(Some(self.granted(partition, &query, after)), after)
             }
             ReservationDecision::Refused { retry_after, .. } => LimitVerdict::Refused { retry_after },
         }
     }
 
     /// Returns true if this node reaches no keeper of the partition and is not its keeper.
-    fn is_alone(&self, part: QuotaPartition) -> bool {
-        let state = &self.parts[part.index()];
+    fn is_alone(&self, partition: QuotaPartition) -> bool {
+        let state = &self.partitions[partition.index()];
         matches!(*state.uplink.borrow(), Uplink::Own) && !state.is_keeper.get()
     }
 
@@ -126,8 +126,8 @@
     }
 
     /// Returns true if a recent call needed a limit of the partition.
-    pub(super) fn is_limit_wanted(&self, part: QuotaPartition) -> bool {
-        let asked_at = self.parts[part.index()].limit_asked_at.get();
+    pub(super) fn is_limit_wanted(&self, partition: QuotaPartition) -> bool {
+        let asked_at = self.partitions[partition.index()].limit_asked_at.get();
         asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < WANTED_FOR)
     }
 }
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::part_keeper::PartKeeper;
+use super::part_keeper::PartitionKeeper;
 use super::wire::{FromKeeper, ToKeeper, WireLimitQuery, WireQuotaQuery};
 use super::{Fleet, Quotas, Uplink};
 use crate::link::PeerLink;
@@ -50,43 +50,43 @@
 pub(crate) async fn follow_keeper(
     quotas: Rc<Quotas>,
     fleet: Rc<dyn Fleet>,
-    part: QuotaPartition,
+    partition: QuotaPartition,
     own: SocketAddr,
 ) {
     let mut failed = Failed::default();
     let mut next: Option<(SocketAddr, PeerLink)> = None;
     loop {
-        quotas.look(part, &*fleet, own);
+        quotas.look(partition, &*fleet, own);
         if let Some((address, link)) = next.take() {
-            next = match listen(&quotas, &*fleet, part, (address, link), &mut failed, own).await {
+            next = match listen(&quotas, &*fleet, partition, (address, link), &mut failed, own).await {
                 Ok(better) => better,
                 Err(error) => {
-                    tracing::info!(target: "quota", event = "keeper lost", part = part.index(), %address, %error);
+                    tracing::info!(target: "quota", event = "keeper lost", partition = partition.index(), %address, %error);
                     quotas.keepers_lost.inc();
                     failed.note(address);
-                    quotas.set_uplink(part, Uplink::Connecting, false);
+                    quotas.set_uplink(partition, Uplink::Connecting, false);
                     None
                 }
             };
             continue;
         }
-        if !is_wanted(&quotas, &*fleet, part) {
-            quotas.set_uplink(part, Uplink::Connecting, false);
-            rest(&quotas, part).await;
+        if !is_wanted(&quotas, &*fleet, partition) {
+            quotas.set_uplink(partition, Uplink::Connecting, false);
+            rest(&quotas, partition).await;
             continue;
         }
-        match choice(&*fleet, part, &mut failed) {
+        match choice(&*fleet, partition, &mut failed) {
             Some(address) if address == own => {
-                keep_here(&quotas, part, true);
+                keep_here(&quotas, partition, true);
                 sleep(LOOK_EVERY).await;
             }
-            Some(address) => match connect(address, part).await {
+            Some(address) => match connect(address, partition).await {
                 Ok(link) => next = Some((address, link)),
                 Err(_) => failed.note(address),
             },
             None => {
-                keep_here(&quotas, part, false);
-                let is_first = fleet.keepers(part).is_empty();
+                keep_here(&quotas, partition, false);
+                let is_first = fleet.keepers(partition).is_empty();
                 sleep(if is_first { FIRST_LOOK_EVERY } else { LOOK_EVERY }).await;
             }
         }
@@ -95,9 +95,9 @@
 
 /// Waits while no keeper is needed. Limits are rare: a node that neither sends nor receives
 /// queries about any is not woken.
-async fn rest(quotas: &Quotas, part: QuotaPartition) {
-    let state = &quotas.parts[part.index()];
-    if part.covers_replicas() && state.listeners.get() == 0 {
+async fn rest(quotas: &Quotas, partition: QuotaPartition) {
+    let state = &quotas.partitions[partition.index()];
+    if partition.covers_replicas() && state.listeners.get() == 0 {
         state.limit_wanted.notified().await;
     } else {
         sleep(LOOK_EVERY).await;
@@ -107,13 +107,13 @@
 /// Returns true if a tenant of the partition has a quota, or a recent call needed a limit of
 /// the partition. Otherwise links to keepers would cost every node bytes and wake-ups for
 /// nothing.
-fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, part: QuotaPartition) -> bool {
-    if part.covers_replicas() {
-        return quotas.is_limit_wanted(part);
+fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, partition: QuotaPartition) -> bool {
+    if partition.covers_replicas() {
+        return quotas.is_limit_wanted(partition);
     }
     fleet.configuration().is_some_and(|configuration| {
         let mut tenants = configuration.tenants.iter();
-        tenants.any(|tenant| tenant.quota.is_some() && QuotaPartition::of_tenant(&tenant.name) == part)
+        tenants.any(|tenant| tenant.quota.is_some() && QuotaPartition::of_tenant(&tenant.name) == partition)
     })
 }
 
@@ -133,33 +133,33 @@
 }
 
 /// Returns the first keeper that did not fail recently.
-fn choice(fleet: &dyn Fleet, part: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
-    let most_tried = if part.covers_replicas() {
+fn choice(fleet: &dyn Fleet, partition: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
+    let most_tried = if partition.covers_replicas() {
         MOST_LIMIT_KEEPERS
     } else {
         MOST_TRIED
     };
-    let keepers = fleet.keepers(part).into_iter().take(most_tried);
+    let keepers = fleet.keepers(partition).into_iter().take(most_tried);
     keepers.into_iter().find(|address| !failed.rests(address))
 }
 
 /// Switches to this node's own keeper, either as the keeper of all nodes or because no other
 /// keeper is reachable.
-fn keep_here(quotas: &Quotas, part: QuotaPartition, is_keeper: bool) {
-    let state = &quotas.parts[part.index()];
+fn keep_here(quotas: &Quotas, partition: QuotaPartition, is_keeper: bool) {
+    let state = &quotas.partitions[partition.index()];
     let is_so = matches!(*state.uplink.borrow(), Uplink::Own) && state.is_keeper.get() == is_keeper;
     if is_so {
         return;
     }
-    tracing::info!(target: "quota", event = "own keeper", part = part.index(), is_keeper,
+    tracing::info!(target: "quota", event = "own keeper", partition = partition.index(), is_keeper,
         share = state.keeper.borrow().share());
-    quotas.take_own_uplink(part, is_keeper);
+    quotas.take_own_uplink(partition, is_keeper);
 }
 
-async fn connect(address: SocketAddr, part: QuotaPartition) -> io::Result<PeerLink> {
+async fn connect(address: SocketAddr, partition: QuotaPartition) -> io::Result<PeerLink> {
     let connecting = async {
         let mut link = PeerLink::connect(address, SILENCE_LIMIT).await?;
-        let hello = ToOrderer::ListenToKeeper(part.index() as u8).serialize_bin();
+        let hello = ToOrderer::ListenToKeeper(partition.index() as u8).serialize_bin();
         link.send(Bytes::from(hello)).await?;
         // A suspended machine accepts connections but sends nothing.
         link.hear().await?.ok_or(io::ErrorKind::ConnectionReset)?;
@@ -174,19 +174,19 @@
 async fn listen(
     quotas: &Quotas,
     fleet: &dyn Fleet,
-    part: QuotaPartition,
+    partition: QuotaPartition,
     (address, mut link): (SocketAddr, PeerLink),
     failed: &mut Failed,
     own: SocketAddr,
 ) -> io::Result<Option<(SocketAddr, PeerLink)>> {
     let (sender, mut queries) = mpsc::channel(MOST_WAITING);
-    for (subject, cost) in quotas.granted_ahead(part) {
+    for (subject, cost) in quotas.granted_ahead(partition) {
         let subject = subject.to_string();
         let carry = ToKeeper::Carry { subject, cost };
         link.send(Bytes::from(carry.serialize_bin())).await?;
     }
-    quotas.set_uplink(part, Uplink::Linked(sender), false);
-    tracing::info!(target: "quota", event = "keeper found", part = part.index(), %address);
+    quotas.set_uplink(partition, Uplink::Linked(sender), false);
+    tracing::info!(target: "quota", event = "keeper found", partition = partition.index(), %address);
     let mut look = tokio::time::interval(LOOK_EVERY);
     let mut sent_at = Instant::now();
     let mut attempt: Option<Attempt> = None;
@@ -194,7 +194,7 @@
         tokio::select! {
             frame = link.hear() => {
                 let frame = frame?.ok_or(io::ErrorKind::ConnectionReset)?;
-                take_answer(quotas, part, &frame)?;
+                take_answer(quotas, partition, &frame)?;
             }
             query = queries.recv() => {
                 // All senders of queries gave up the link.
@@ -207,18 +207,18 @@
                 Err(_) => failed.note(better),
             },
             _ = look.tick() => {
-                quotas.look(part, fleet, own);
+                quotas.look(partition, fleet, own);
                 if sent_at.elapsed() >= ALIVE_EVERY {
                     sent_at = Instant::now();
                     link.send(Bytes::from(ToKeeper::Alive.serialize_bin())).await?;
                 }
-                if !is_wanted(quotas, fleet, part) {
+                if !is_wanted(quotas, fleet, partition) {
                     return Ok(None);
                 }
-                match choice(fleet, part, failed) {
+                match choice(fleet, partition, failed) {
                     Some(better) if better == own => return Ok(None),
                     Some(better) if better != address && attempt.is_none() => {
-                        attempt = Some(Attempt::begin(better, part));
+                        attempt = Some(Attempt::begin(better, partition));
                     }
                     _ => {}
                 }
@@ -234,10 +234,10 @@
 }
 
 impl Attempt {
-    fn begin(address: SocketAddr, part: QuotaPartition) -> Self {
+    fn begin(address: SocketAddr, partition: QuotaPartition) -> Self {
         Attempt {
             address,
-            connecting: Box::pin(connect(address, part)),
+            connecting: Box::pin(connect(address, partition)),
         }
     }
 
@@ -254,7 +254,7 @@
 }
 
 /// Applies a keeper's answer. Refunds a grant whose request has ended.
-fn take_answer(quotas: &Quotas, part: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
+fn take_answer(quotas: &Quotas, partition: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
     let message = decode::<FromKeeper>(frame)?;
     let (id, decision) = match message {
         FromKeeper::Alive => return Ok(()),
@@ -271,11 +271,14 @@
             (id, ReservationDecision::Refused { retry_after, balance })
         }
     };
-    let pending = quotas.parts[part.index()].pending.borrow_mut().remove(&id);
+    let pending = quotas.partitions[partition.index()]
+        .pending
+        .borrow_mut()
+        .remove(&id);
     if let Some(pending) = pending {
         let unheard = pending.answer.send(decision);
         if matches!(unheard, Err(ReservationDecision::Granted { .. })) {
-            quotas.refund(part, &pending.subject, pending.cost);
+            quotas.refund(partition, &pending.subject, pending.cost);
         }
     }
     Ok(())
@@ -285,17 +288,17 @@
 pub(crate) async fn serve_listener(
     quotas: Rc<Quotas>,
     link: PeerLink,
-    part: QuotaPartition,
+    partition: QuotaPartition,
 ) -> io::Result<()> {
     let mut link = link.with_silence_limit(SILENCE_LIMIT);
-    let _listener = Listener::begin(&quotas, part);
+    let _listener = Listener::begin(&quotas, partition);
     link.send(Bytes::from(FromKeeper::Alive.serialize_bin())).await?;
     loop {
         let Some(frame) = link.hear().await? else {
             return Ok(());
         };
         let message = decode::<ToKeeper>(&frame)?;
-        if let Some(answer) = answer(&quotas, part, message)? {
+        if let Some(answer) = answer(&quotas, partition, message)? {
             link.send(Bytes::from(answer.serialize_bin())).await?;
         }
     }
@@ -304,9 +307,9 @@
 /// Returns this keeper's answer to a message, if it needs one.
 ///
 /// Errors: the query is of a kind that this partition's keeper does not answer.
-fn answer(quotas: &Quotas, part: QuotaPartition, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
+fn answer(quotas: &Quotas, partition: QuotaPartition, message: ToKeeper) -> io::Result<Option<FromKeeper>> {
     let now = quotas.clock.now();
-    let mut keeper = quotas.parts[part.index()].keeper.borrow_mut();
+    let mut keeper = quotas.partitions[partition.index()].keeper.borrow_mut();
     let (id, decision) = match (message, &mut *keeper) {
         (ToKeeper::Alive, _) => return Ok(Some(FromKeeper::Alive)),
         (ToKeeper::Refund { subject, cost }, keeper) => {
@@ -317,10 +320,10 @@
             keeper.carry(&subject, cost, now);
             return Ok(None);
         }
-        (ToKeeper::ReserveQuota(query), PartKeeper::Quotas(keeper)) => {
+        (ToKeeper::ReserveQuota(query), PartitionKeeper::Quotas(keeper)) => {
             (query.id, reserve_quota(keeper, query, now))
         }
-        (ToKeeper::ReserveLimit(query), PartKeeper::Limits(keeper)) => {
+        (ToKeeper::ReserveLimit(query), PartitionKeeper::Limits(keeper)) => {
             (query.id, reserve_limit(keeper, &query, now))
         }
         (ToKeeper::ReserveQuota(_) | ToKeeper::ReserveLimit(_), _) => {
@@ -373,25 +376,26 @@
 /// Counts a node as a listener of this node's keeper until dropped.
 struct Listener {
     quotas: Rc<Quotas>,
-    part: QuotaPartition,
+    partition: QuotaPartition,
 }
 
 impl Listener {
-    fn begin(quotas: &Rc<Quotas>, part: QuotaPartition) -> Self {
+    fn begin(quotas: &Rc<Quotas>, partition: QuotaPartition) -> Self {
         let listener = Listener {
             quotas: quotas.clone(),
-            part,
+            partition,
         };
         listener.add(1);
-        quotas.parts[part.index()].limit_wanted.notify_one();
+        quotas.partitions[partition.index()].limit_wanted.notify_one();
         listener
     }
 
     fn add(&self, change: isize) {
-        let part = &self.quotas.parts[self.part.index()];
-        part.listeners
-            .set(part.listeners.get().saturating_add_signed(change));
-        self.quotas.count_listeners(part);
+        let partition = &self.quotas.partitions[self.partition.index()];
+        partition
+            .listeners
+            .set(partition.listeners.get().saturating_add_signed(change));
+        self.quotas.count_listeners(partition);
     }
 }
 
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -31,7 +31,7 @@
 
 pub use self::limit::{LimitQuery, LimitVerdict};
 pub(crate) use self::link::{follow_keeper, serve_listener};
-use self::part_keeper::PartKeeper;
+use self::part_keeper::PartitionKeeper;
 use self::wire::{ToKeeper, WireQuota, WireQuotaQuery};
 use crate::clock::Clock;
 
@@ -47,7 +47,7 @@
 pub trait Fleet {
     /// Returns the addresses of the nodes that should keep a partition, in order of
     /// preference. Only nodes known to understand queries about limits keep limits.
-    fn keepers(&self, part: QuotaPartition) -> Vec<SocketAddr>;
+    fn keepers(&self, partition: QuotaPartition) -> Vec<SocketAddr>;
     /// Returns the number of listed nodes.
     fn listed(&self) -> usize;
     /// Returns the newest configuration.
@@ -88,8 +88,8 @@
         })
     }
 
-    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision> {
-        let PartKeeper::Quotas(keeper) = keeper else {
+    fn reserve_locally(&self, keeper: &mut PartitionKeeper, now: Moment) -> Option<ReservationDecision> {
+        let PartitionKeeper::Quotas(keeper) = keeper else {
             return None;
         };
         keeper.update_quota(self.tenant, self.quota, self.version, now);
@@ -134,12 +134,12 @@
     fn message(&self, id: u64, now: Moment) -> ToKeeper;
     /// Returns the decision of this node's own keeper, or `None` if the keeper is of the other
     /// kind.
-    fn reserve_locally(&self, keeper: &mut PartKeeper, now: Moment) -> Option<ReservationDecision>;
+    fn reserve_locally(&self, keeper: &mut PartitionKeeper, now: Moment) -> Option<ReservationDecision>;
 }
 
 /// A node's state for one partition.
-struct Part {
-    keeper: RefCell<PartKeeper>,
+struct PartitionState {
+    keeper: RefCell<PartitionKeeper>,
     /// Number of other nodes that listen to this node's keeper.
     listeners: Cell<usize>,
     uplink: RefCell<Uplink>,
@@ -174,7 +174,7 @@
 
 /// A node's side of all partitions.
 pub struct Quotas {
-    parts: Vec<Part>,
+    partitions: Vec<PartitionState>,
     /// Reservations that this node grants when it reaches no keeper of limits.
     standalone_reservations: RefCell<StandaloneReservations>,
     wait_slots: RefCell<WaitSlots>,
@@ -185,8 +185,8 @@
 impl Quotas {
     /// Creates the state of a node that knows no keeper yet.
     pub fn new(config: KeeperConfig, clock: Clock, keepers_lost: Counter) -> Rc<Self> {
-        let part = |part| Part {
-            keeper: RefCell::new(PartKeeper::new(part, config, clock.now())),
+        let partition = |partition| PartitionState {
+            keeper: RefCell::new(PartitionKeeper::new(partition, config, clock.now())),
             listeners: Cell::new(0),
             uplink: RefCell::new(Uplink::Connecting),
             is_keeper: Cell::new(false),
@@ -198,7 +198,7 @@
             limit_wanted: Notify::new(),
         };
         Rc::new(Quotas {
-            parts: QuotaPartition::all().map(part).collect(),
+            partitions: QuotaPartition::all().map(partition).collect(),
             standalone_reservations: RefCell::default(),
             wait_slots: RefCell::default(),
             clock,
@@ -208,10 +208,10 @@
 
     /// Returns whether a request may run; decides by `until` at the latest.
     pub async fn reserve(self: &Rc<Self>, query: QuotaQuery<'_>, until: Moment) -> QuotaVerdict {
-        let part = QuotaPartition::of_tenant(query.tenant);
+        let partition = QuotaPartition::of_tenant(query.tenant);
         let give_up = until.min(self.clock.now() + LINK_PATIENCE);
-        match self.query_keeper(part, &query, give_up).await {
-            Some(decision) => self.verdict(part, &query, decision),
+        match self.query_keeper(partition, &query, give_up).await {
+            Some(decision) => self.verdict(partition, &query, decision),
             None => QuotaVerdict::Unreachable,
         }
     }
@@ -233,15 +233,15 @@
     /// Returns the decision of the first keeper that answers by `give_up`.
     async fn query_keeper(
         &self,
-        part: QuotaPartition,
+        partition: QuotaPartition,
         query: &impl KeeperQuery,
         give_up: Moment,
     ) -> Option<ReservationDecision> {
         for _ in 0..MOST_ASKED {
-            let decision = match self.linked_uplink(part, give_up).await? {
-                Uplink::Linked(link) => self.query_linked(part, &link, query).await,
+            let decision = match self.linked_uplink(partition, give_up).await? {
+                Uplink::Linked(link) => self.query_linked(partition, &link, query).await,
                 Uplink::Own | Uplink::Connecting => {
-                    let keeper = &self.parts[part.index()].keeper;
+                    let keeper = &self.partitions[partition.index()].keeper;
                     return query.reserve_locally(&mut keeper.borrow_mut(), self.clock.now());
                 }
             };
@@ -253,11 +253,11 @@
     }
 
     /// Waits until the partition has an uplink and returns it, or `None` at `give_up`.
-    async fn linked_uplink(&self, part: QuotaPartition, give_up: Moment) -> Option<Uplink> {
-        let part = &self.parts[part.index()];
+    async fn linked_uplink(&self, partition: QuotaPartition, give_up: Moment) -> Option<Uplink> {
+        let partition = &self.partitions[partition.index()];
         loop {
-            let changed = part.changed.notified();
-            let uplink = part.uplink.borrow().clone();
+            let changed = partition.changed.notified();
+            let uplink = partition.uplink.borrow().clone();
             if !matches!(uplink, Uplink::Connecting) {
                 return Some(uplink);
             }
@@ -269,11 +269,11 @@
     /// link and returns `None`.
     async fn query_linked(
         &self,
-        part: QuotaPartition,
+        partition: QuotaPartition,
         link: &mpsc::Sender<ToKeeper>,
         query: &impl KeeperQuery,
     ) -> Option<ReservationDecision> {
-        let state = &self.parts[part.index()];
+        let state = &self.partitions[partition.index()];
         let id = state.next_id.get();
         state.next_id.set(id + 1);
         let (answer, answered) = oneshot::channel();
@@ -294,7 +294,7 @@
             // The link ended and dropped its pending queries.
             Some(Err(_)) => None,
             None => {
-                self.give_up_link(part, link);
+                self.give_up_link(partition, link);
                 None
             }
         }
@@ -302,24 +302,24 @@
 
     /// Gives up a link whose keeper does not answer. The link's task ends once all senders of
     /// queries are dropped.
-    fn give_up_link(&self, part: QuotaPartition, link: &mpsc::Sender<ToKeeper>) {
-        let uplink = self.parts[part.index()].uplink.borrow().clone();
+    fn give_up_link(&self, partition: QuotaPartition, link: &mpsc::Sender<ToKeeper>) {
+        let uplink = self.partitions[partition.index()].uplink.borrow().clone();
         if matches!(uplink, Uplink::Linked(present) if present.same_channel(link)) {
-            self.set_uplink(part, Uplink::Connecting, false);
+            self.set_uplink(partition, Uplink::Connecting, false);
         }
     }
 
     fn verdict(
         self: &Rc<Self>,
-        part: QuotaPartition,
+        partition: QuotaPartition,
         query: &QuotaQuery<'_>,
         decision: ReservationDecision,
     ) -> QuotaVerdict {
-        let is_own = matches!(*self.parts[part.index()].uplink.borrow(), Uplink::Own);
-        let is_alone = is_own && !self.parts[part.index()].is_keeper.get();
+        let is_own = matches!(*self.partitions[partition.index()].uplink.borrow(), Uplink::Own);
+        let is_alone = is_own && !self.partitions[partition.index()].is_keeper.get();
         match decision {
             ReservationDecision::Granted { after } => {
-                QuotaVerdict::Granted(self.granted(part, query, after), after)
+                QuotaVerdict::Granted(self.granted(partition, query, after), after)
             }
             // Another node may grant what this node's small share does not cover.
             ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
@@ -330,11 +330,16 @@
     }
 
     /// Returns the credit of a granted query, whose request may run `after` that time.
-    fn granted(self: &Rc<Self>, part: QuotaPartition, query: &impl KeeperQuery, after: Duration) -> Credit {
-        self.note_ahead(part, query, after);
+    fn granted(
+        self: &Rc<Self>,
+        partition: QuotaPartition,
+        query: &impl KeeperQuery,
+        after: Duration,
+    ) -> Credit {
+        self.note_ahead(partition, query, after);
         Credit {
             quotas: self.clone(),
-            part,
+            partition,
             subject: query.subject().clone(),
             cost: query.cost(),
             is_spent: Cell::new(false),
@@ -343,12 +348,12 @@
 
     /// Records a granted request that has to wait. Until it runs, it counts at every keeper
     /// that this node uses.
-    fn note_ahead(&self, part: QuotaPartition, query: &impl KeeperQuery, after: Duration) {
+    fn note_ahead(&self, partition: QuotaPartition, query: &impl KeeperQuery, after: Duration) {
         if after.is_zero() {
             return;
         }
         let now = self.clock.now();
-        let mut ahead = self.parts[part.index()].ahead.borrow_mut();
+        let mut ahead = self.partitions[partition.index()].ahead.borrow_mut();
         ahead.retain(|grant| grant.runs_at > now);
         ahead.push(GrantAhead {
             subject: query.subject().clone(),
@@ -358,10 +363,10 @@
     }
 
     /// Returns the units of each tenant or replica that were granted and have not run yet.
-    fn granted_ahead(&self, part: QuotaPartition) -> HashMap<Arc<str>, u64> {
+    fn granted_ahead(&self, partition: QuotaPartition) -> HashMap<Arc<str>, u64> {
         let now = self.clock.now();
         let mut sums: HashMap<Arc<str>, u64> = HashMap::new();
-        let ahead = self.parts[part.index()].ahead.borrow();
+        let ahead = self.partitions[partition.index()].ahead.borrow();
         for grant in ahead.iter().filter(|grant| grant.runs_at > now) {
             *sums.entry(grant.subject.clone()).or_default() += grant.cost;
         }
@@ -369,20 +374,23 @@
     }
 
     /// Switches to this node's own keeper.
-    fn take_own_uplink(&self, part: QuotaPartition, is_keeper: bool) {
-        self.set_uplink(part, Uplink::Own, is_keeper);
+    fn take_own_uplink(&self, partition: QuotaPartition, is_keeper: bool) {
+        self.set_uplink(partition, Uplink::Own, is_keeper);
         let now = self.clock.now();
-        let mut keeper = self.parts[part.index()].keeper.borrow_mut();
-        for (subject, cost) in self.granted_ahead(part) {
+        let mut keeper = self.partitions[partition.index()].keeper.borrow_mut();
+        for (subject, cost) in self.granted_ahead(partition) {
             keeper.carry(&subject, cost, now);
         }
     }
 
     /// Refunds granted units.
-    fn refund(&self, part: QuotaPartition, subject: &Arc<str>, cost: u64) {
-        let part = &self.parts[part.index()];
-        match &*part.uplink.borrow() {
-            Uplink::Own => part.keeper.borrow_mut().refund(subject, cost, self.clock.now()),
+    fn refund(&self, partition: QuotaPartition, subject: &Arc<str>, cost: u64) {
+        let partition = &self.partitions[partition.index()];
+        match &*partition.uplink.borrow() {
+            Uplink::Own => partition
+                .keeper
+                .borrow_mut()
+                .refund(subject, cost, self.clock.now()),
             Uplink::Linked(link) => {
                 let subject = subject.to_string();
                 // Dropped if the queue is full: the tenant or replica loses these units.
@@ -394,33 +402,34 @@
         }
     }
 
-    fn set_uplink(&self, part: QuotaPartition, uplink: Uplink, is_keeper: bool) {
-        let part = &self.parts[part.index()];
-        part.uplink.replace(uplink);
-        part.is_keeper.set(is_keeper);
-        part.pending.borrow_mut().clear();
-        self.count_listeners(part);
-        part.changed.notify_waiters();
+    fn set_uplink(&self, partition: QuotaPartition, uplink: Uplink, is_keeper: bool) {
+        let partition = &self.partitions[partition.index()];
+        partition.uplink.replace(uplink);
+        partition.is_keeper.set(is_keeper);
+        partition.pending.borrow_mut().clear();
+        self.count_listeners(partition);
+        partition.changed.notify_waiters();
     }
 
     /// Updates the keeper's number of listeners. This node counts as one while it uses its own
     /// keeper.
-    fn count_listeners(&self, part: &Part) {
-        let is_own = matches!(*part.uplink.borrow(), Uplink::Own);
-        let listeners = part.listeners.get() + usize::from(is_own);
-        part.keeper
+    fn count_listeners(&self, partition: &PartitionState) {
+        let is_own = matches!(*partition.uplink.borrow(), Uplink::Own);
+        let listeners = partition.listeners.get() + usize::from(is_own);
+        partition
+            .keeper
             .borrow_mut()
             .set_listeners(listeners, self.clock.now());
     }
 
     /// Updates this node's keeper from the fleet. `own` is this node's address.
-    fn look(&self, part: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
+    fn look(&self, partition: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
         let now = self.clock.now();
-        let mut keeper = self.parts[part.index()].keeper.borrow_mut();
+        let mut keeper = self.partitions[partition.index()].keeper.borrow_mut();
         let keeper = match &mut *keeper {
-            PartKeeper::Quotas(keeper) => keeper,
-            PartKeeper::Limits(keeper) => {
-                let is_first = fleet.keepers(part).first() == Some(&own);
+            PartitionKeeper::Quotas(keeper) => keeper,
+            PartitionKeeper::Limits(keeper) => {
+                let is_first = fleet.keepers(partition).first() == Some(&own);
                 let role = if is_first {
                     KeeperRole::Primary
                 } else {
@@ -431,20 +440,23 @@
         };
         keeper.set_listed_nodes(fleet.listed(), now);
         if let Some(configuration) = fleet.configuration() {
-            let of_part = configuration
+            let of_partition = configuration
                 .tenants
                 .iter()
-                .filter(|tenant| QuotaPartition::of_tenant(&tenant.name) == part);
-            keeper.update_quotas(of_part, configuration.version, now);
+                .filter(|tenant| QuotaPartition::of_tenant(&tenant.name) == partition);
+            keeper.update_quotas(of_partition, configuration.version, now);
         }
     }
 
     /// Returns the balance of each tenant whose quota this node keeps, in units.
     pub fn balances(&self) -> Vec<(Arc<str>, f64)> {
-        let kept = self.parts.iter().filter(|part| part.is_keeper.get());
+        let own = self
+            .partitions
+            .iter()
+            .filter(|partition| partition.is_keeper.get());
         let mut balances = Vec::new();
-        for part in kept {
-            balances.extend(part.keeper.borrow().balances());
+        for partition in own {
+            balances.extend(partition.keeper.borrow().balances());
         }
         balances
     }
@@ -468,7 +480,7 @@
 /// that reported a limit. Dropping it refunds the units unless the request ran or may have run.
 pub struct Credit {
     quotas: Rc<Quotas>,
-    part: QuotaPartition,
+    partition: QuotaPartition,
     subject: Arc<str>,
     cost: u64,
     is_spent: Cell<bool>,
@@ -504,7 +516,7 @@
 impl Drop for Credit {
     fn drop(&mut self) {
         if !self.is_spent.get() {
-            self.quotas.refund(self.part, &self.subject, self.cost);
+            self.quotas.refund(self.partition, &self.subject, self.cost);
         }
     }
 }
--- a/crates/croftrill-node/src/quota/part_keeper.rs
+++ b/crates/croftrill-node/src/quota/part_keeper.rs
@@ -9,19 +9,19 @@
 use croftrill_scheduler::time::Moment;
 
 /// A node's own keeper of a partition, whether or not other nodes use it.
-pub(super) enum PartKeeper {
+pub(super) enum PartitionKeeper {
     /// Keeper of tenants' quotas.
     Quotas(QuotaKeeper),
     /// Keeper of replicas' limits.
     Limits(LimitKeeper),
 }
 
-impl PartKeeper {
-    pub(super) fn new(part: QuotaPartition, config: KeeperConfig, now: Moment) -> Self {
-        if part.covers_replicas() {
-            PartKeeper::Limits(LimitKeeper::new())
+impl PartitionKeeper {
+    pub(super) fn new(partition: QuotaPartition, config: KeeperConfig, now: Moment) -> Self {
+        if partition.covers_replicas() {
+            PartitionKeeper::Limits(LimitKeeper::new())
         } else {
-            PartKeeper::Quotas(QuotaKeeper::new(config, now))
+            PartitionKeeper::Quotas(QuotaKeeper::new(config, now))
         }
     }
 
@@ -29,15 +29,15 @@
     /// not divided.
     pub(super) fn share(&self) -> f64 {
         match self {
-            PartKeeper::Quotas(keeper) => keeper.share(),
-            PartKeeper::Limits(_) => 1.0,
+            PartitionKeeper::Quotas(keeper) => keeper.share(),
+            PartitionKeeper::Limits(_) => 1.0,
         }
     }
 
     /// Sets the number of nodes that listen. Limits do not depend on it, as only nodes that
     /// received a limit query its keeper.
     pub(super) fn set_listeners(&mut self, listeners: usize, now: Moment) {
-        if let PartKeeper::Quotas(keeper) = self {
+        if let PartitionKeeper::Quotas(keeper) = self {
             keeper.set_listeners(listeners, now);
         }
     }
@@ -45,27 +45,27 @@
     /// Records a cost that another keeper granted and that has not run yet.
     pub(super) fn carry(&mut self, subject: &str, cost: u64, now: Moment) {
         match self {
-            PartKeeper::Quotas(keeper) => keeper.carry(subject, cost, now),
-            PartKeeper::Limits(keeper) => keeper.carry(subject, cost, now),
+            PartitionKeeper::Quotas(keeper) => keeper.carry(subject, cost, now),
+            PartitionKeeper::Limits(keeper) => keeper.carry(subject, cost, now),
         }
     }
 
     /// Takes back a granted cost that was not used.
     pub(super) fn refund(&mut self, subject: &str, cost: u64, now: Moment) {
         match self {
-            PartKeeper::Quotas(keeper) => keeper.refund(subject, cost, now),
-            PartKeeper::Limits(keeper) => keeper.refund(subject, now),
+            PartitionKeeper::Quotas(keeper) => keeper.refund(subject, cost, now),
+            PartitionKeeper::Limits(keeper) => keeper.refund(subject, now),
         }
     }
 
     /// Returns the balance of each tenant, in units.
     pub(super) fn balances(&self) -> HashMap<Arc<str>, f64> {
         match self {
-            PartKeeper::Quotas(keeper) => keeper
+            PartitionKeeper::Quotas(keeper) => keeper
                 .balances()
                 .map(|(name, balance)| (name.clone(), balance))
                 .collect(),
-            PartKeeper::Limits(_) => HashMap::new(),
+            PartitionKeeper::Limits(_) => HashMap::new(),
         }
     }
 }
