--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -11,7 +11,7 @@
 use croftrill_scheduler::time::Moment;
 use rand::Rng;
 
-use super::part_keeper::PartitionKeeper;
+use super::partition_keeper::PartitionKeeper;
 use super::wire::{ToKeeper, WireLimitQuery};
 use super::{Credit, KeeperQuery, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
 
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::part_keeper::PartitionKeeper;
+use super::partition_keeper::PartitionKeeper;
 use super::wire::{FromKeeper, ToKeeper, WireLimitQuery, WireQuotaQuery};
 use super::{Fleet, Quotas, Uplink};
 use crate::link::PeerLink;
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! [`Quotas`] decides whether a request of a tenant may run, and whether a call may go to
 //! a replica that reported a limit ([`limit`]). It queries the keeper of the partition over a
-//! link ([`link`]), or this node's own keeper ([`part_keeper`]) if this node is the keeper or
+//! link ([`link`]), or this node's own keeper ([`partition_keeper`]) if this node is the keeper or
 //! reaches none. It does not depend on requests or the node; what it needs of the fleet comes
 //! through [`Fleet`].
 
 mod limit;
 mod link;
-mod part_keeper;
+mod partition_keeper;
 pub mod wire;
 
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 
 pub use self::limit::{LimitQuery, LimitVerdict};
 pub(crate) use self::link::{follow_keeper, serve_listener};
-use self::part_keeper::PartitionKeeper;
+use self::partition_keeper::PartitionKeeper;
 use self::wire::{ToKeeper, WireQuota, WireQuotaQuery};
 use crate::clock::Clock;
 
