--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -13,11 +13,11 @@
 
 use super::partition_keeper::PartitionKeeper;
 use super::wire::{ToKeeper, WireLimitQuery};
-use super::{Credit, KeeperQuery, Quotas, Uplink, ANSWER_LIMIT, LINK_PATIENCE};
+use super::{Credit, KeeperQuery, Quotas, Uplink, ANSWER_TIMEOUT, LINK_TIMEOUT};
 
 /// Time after its last query for which a node keeps its link to a keeper of limits. A link
 /// costs a message per second; a new one delays the next request by a few milliseconds.
-const WANTED_FOR: Duration = Duration::from_secs(10);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A query whether a call may go to a replica that reported a limit.
 #[derive(Debug, Clone, Copy)]
@@ -85,7 +85,7 @@
         let state = &self.partitions[partition.index()];
         state.limit_asked_at.set(Some(now));
         state.limit_wanted.notify_one();
-        let give_up = now + query.request.patience.clamp(ANSWER_LIMIT, LINK_PATIENCE);
+        let give_up = now + query.request.patience.clamp(ANSWER_TIMEOUT, LINK_TIMEOUT);
         let decision = if self.is_alone(partition) {
             None
         } else {
@@ -128,6 +128,6 @@
     /// Returns true if a recent call needed a limit of the partition.
     pub(super) fn is_limit_wanted(&self, partition: QuotaPartition) -> bool {
         let asked_at = self.partitions[partition.index()].limit_asked_at.get();
-        asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < WANTED_FOR)
+        asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < LINK_IDLE_TIMEOUT)
     }
 }
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -26,25 +26,25 @@
 use crate::wire::decode;
 
 /// Interval at which the fleet is polled: two wake-ups per second for each partition.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Polling interval of a node that knows no other node yet.
-const FIRST_LOOK_EVERY: Duration = Duration::from_millis(50);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time without a query after which a node sends a heartbeat.
-const ALIVE_EVERY: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time without a byte after which a link counts as dead. A node that becomes silent may count
 /// at two keepers for this time.
 const SILENCE_LIMIT: Duration = Duration::from_millis(3000);
 /// Maximum time for connecting a link, including the keeper's first message.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a failed keeper is not tried again.
-const FAILED_RESTS: Duration = Duration::from_millis(2000);
+const FAILED_COOLDOWN: Duration = Duration::from_millis(2000);
 /// Maximum number of keepers of quotas that are tried before a node uses only its own share.
-const MOST_TRIED: usize = 3;
+const MAX_QUOTA_KEEPERS: usize = 3;
 /// Maximum number of keepers of limits that are tried. Only the first two of the list grant
 /// any share of a limit.
-const MOST_LIMIT_KEEPERS: usize = 2;
+const MAX_LIMIT_KEEPERS: usize = 2;
 /// Maximum number of queries that wait to be sent.
-const MOST_WAITING: usize = 1024;
+const MAX_QUEUED_QUERIES: usize = 1024;
 
 /// Follows the keeper of a partition, whichever node that is, until the process ends.
 pub(crate) async fn follow_keeper(
@@ -78,7 +78,7 @@
         match choice(&*fleet, partition, &mut failed) {
             Some(address) if address == own => {
                 keep_here(&quotas, partition, true);
-                sleep(LOOK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
             Some(address) => match connect(address, partition).await {
                 Ok(link) => next = Some((address, link)),
@@ -87,7 +87,12 @@
             None => {
                 keep_here(&quotas, partition, false);
                 let is_first = fleet.keepers(partition).is_empty();
-                sleep(if is_first { FIRST_LOOK_EVERY } else { LOOK_EVERY }).await;
+                sleep(if is_first {
+                    STARTUP_POLL_INTERVAL
+                } else {
+                    POLL_INTERVAL
+                })
+                .await;
             }
         }
     }
@@ -100,7 +105,7 @@
     if partition.covers_replicas() && state.listeners.get() == 0 {
         state.limit_wanted.notified().await;
     } else {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -127,7 +132,7 @@
     }
 
     fn rests(&mut self, address: &SocketAddr) -> bool {
-        self.0.retain(|_, at| at.elapsed() < FAILED_RESTS);
+        self.0.retain(|_, at| at.elapsed() < FAILED_COOLDOWN);
         self.0.contains_key(address)
     }
 }
@@ -135,9 +140,9 @@
 /// Returns the first keeper that did not fail recently.
 fn choice(fleet: &dyn Fleet, partition: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
     let most_tried = if partition.covers_replicas() {
-        MOST_LIMIT_KEEPERS
+        MAX_LIMIT_KEEPERS
     } else {
-        MOST_TRIED
+        MAX_QUOTA_KEEPERS
     };
     let keepers = fleet.keepers(partition).into_iter().take(most_tried);
     keepers.into_iter().find(|address| !failed.rests(address))
@@ -165,7 +170,7 @@
         link.hear().await?.ok_or(io::ErrorKind::ConnectionReset)?;
         Ok(link)
     };
-    timeout(CONNECT_LIMIT, connecting).await?
+    timeout(CONNECT_TIMEOUT, connecting).await?
 }
 
 /// Queries a keeper until one of these happens: the keeper is lost (returns an error), a
@@ -179,7 +184,7 @@
     failed: &mut Failed,
     own: SocketAddr,
 ) -> io::Result<Option<(SocketAddr, PeerLink)>> {
-    let (sender, mut queries) = mpsc::channel(MOST_WAITING);
+    let (sender, mut queries) = mpsc::channel(MAX_QUEUED_QUERIES);
     for (subject, cost) in quotas.granted_ahead(partition) {
         let subject = subject.to_string();
         let carry = ToKeeper::Carry { subject, cost };
@@ -187,7 +192,7 @@
     }
     quotas.set_uplink(partition, Uplink::Linked(sender), false);
     tracing::info!(target: "quota", event = "keeper found", partition = partition.index(), %address);
-    let mut look = tokio::time::interval(LOOK_EVERY);
+    let mut look = tokio::time::interval(POLL_INTERVAL);
     let mut sent_at = Instant::now();
     let mut attempt: Option<Attempt> = None;
     loop {
@@ -208,7 +213,7 @@
             },
             _ = look.tick() => {
                 quotas.look(partition, fleet, own);
-                if sent_at.elapsed() >= ALIVE_EVERY {
+                if sent_at.elapsed() >= HEARTBEAT_INTERVAL {
                     sent_at = Instant::now();
                     link.send(Bytes::from(ToKeeper::Alive.serialize_bin())).await?;
                 }
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -37,11 +37,11 @@
 
 /// Maximum wait for a keeper's answer. Over 50 times the round trip between zones; a keeper
 /// with an eighth of a core and a full queue takes about 100 ms.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum wait of a request for a link to a keeper: two attempts to connect.
-const LINK_PATIENCE: Duration = Duration::from_millis(900);
+const LINK_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum number of keepers queried for one request: the first one, and those that take over.
-const MOST_ASKED: usize = 3;
+const MAX_KEEPERS_QUERIED: usize = 3;
 
 /// The view of the fleet that quotas need.
 pub trait Fleet {
@@ -209,7 +209,7 @@
     /// Returns whether a request may run; decides by `until` at the latest.
     pub async fn reserve(self: &Rc<Self>, query: QuotaQuery<'_>, until: Moment) -> QuotaVerdict {
         let partition = QuotaPartition::of_tenant(query.tenant);
-        let give_up = until.min(self.clock.now() + LINK_PATIENCE);
+        let give_up = until.min(self.clock.now() + LINK_TIMEOUT);
         match self.query_keeper(partition, &query, give_up).await {
             Some(decision) => self.verdict(partition, &query, decision),
             None => QuotaVerdict::Unreachable,
@@ -237,7 +237,7 @@
         query: &impl KeeperQuery,
         give_up: Moment,
     ) -> Option<ReservationDecision> {
-        for _ in 0..MOST_ASKED {
+        for _ in 0..MAX_KEEPERS_QUERIED {
             let decision = match self.linked_uplink(partition, give_up).await? {
                 Uplink::Linked(link) => self.query_linked(partition, &link, query).await,
                 Uplink::Own | Uplink::Connecting => {
@@ -284,7 +284,7 @@
         };
         state.pending.borrow_mut().insert(id, pending);
         let message = query.message(id, self.clock.now());
-        let limit = self.clock.now() + ANSWER_LIMIT;
+        let limit = self.clock.now() + ANSWER_TIMEOUT;
         let answer = match link.try_send(message) {
             Ok(()) => self.clock.timeout_at(limit, answered).await.ok(),
             Err(_) => None,
