--- a/crates/croftrill-node/src/membership.rs
+++ b/crates/croftrill-node/src/membership.rs
@@ -305,7 +305,7 @@
         addresses.collect()
     }
 
-    fn listed(&self) -> usize {
+    fn listed_nodes(&self) -> usize {
         self.state.borrow().members.node_count()
     }
 
--- a/crates/croftrill-node/src/quota/limit.rs
+++ b/crates/croftrill-node/src/quota/limit.rs
@@ -83,16 +83,16 @@
         let partition = QuotaPartition::of_replica(query.replica);
         let now = self.clock.now();
         let state = &self.partitions[partition.index()];
-        state.limit_asked_at.set(Some(now));
-        state.limit_wanted.notify_one();
-        let give_up = now + query.request.patience.clamp(ANSWER_TIMEOUT, LINK_TIMEOUT);
-        let decision = if self.is_alone(partition) {
+        state.limit_needed_at.set(Some(now));
+        state.limit_needed.notify_one();
+        let deadline = now + query.request.patience.clamp(ANSWER_TIMEOUT, LINK_TIMEOUT);
+        let decision = if self.is_standalone(partition) {
             None
         } else {
-            self.query_keeper(partition, &query, give_up).await
+            self.query_keeper(partition, &query, deadline).await
         };
         let Some(decision) = decision else {
-            return self.own_turn(&query);
+            return self.standalone_verdict(&query);
         };
         match decision {
             ReservationDecision::Granted { after } => {
@@ -103,16 +103,16 @@
     }
 
     /// Returns true if this node reaches no keeper of the partition and is not its keeper.
-    fn is_alone(&self, partition: QuotaPartition) -> bool {
+    fn is_standalone(&self, partition: QuotaPartition) -> bool {
         let state = &self.partitions[partition.index()];
         matches!(*state.uplink.borrow(), Uplink::Own) && !state.is_keeper.get()
     }
 
-    fn own_turn(&self, query: &LimitQuery<'_>) -> LimitVerdict {
+    fn standalone_verdict(&self, query: &LimitQuery<'_>) -> LimitVerdict {
         let unit = rand::rng().random_range(0.0..1.0);
-        let mut turns = self.standalone_reservations.borrow_mut();
+        let mut reservations = self.standalone_reservations.borrow_mut();
         let now = self.clock.now();
-        match turns.reserve(
+        match reservations.reserve(
             query.replica,
             query.limit.rate,
             query.nodes,
@@ -126,8 +126,8 @@
     }
 
     /// Returns true if a recent call needed a limit of the partition.
-    pub(super) fn is_limit_wanted(&self, partition: QuotaPartition) -> bool {
-        let asked_at = self.partitions[partition.index()].limit_asked_at.get();
-        asked_at.is_some_and(|asked_at| self.clock.now().since(asked_at) < LINK_IDLE_TIMEOUT)
+    pub(super) fn is_limit_needed(&self, partition: QuotaPartition) -> bool {
+        let needed_at = self.partitions[partition.index()].limit_needed_at.get();
+        needed_at.is_some_and(|needed_at| self.clock.now().since(needed_at) < LINK_IDLE_TIMEOUT)
     }
 }
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -53,39 +53,39 @@
     partition: QuotaPartition,
     own: SocketAddr,
 ) {
-    let mut failed = Failed::default();
+    let mut failed = FailedKeepers::default();
     let mut next: Option<(SocketAddr, PeerLink)> = None;
     loop {
-        quotas.look(partition, &*fleet, own);
+        quotas.update_keeper(partition, &*fleet, own);
         if let Some((address, link)) = next.take() {
             next = match listen(&quotas, &*fleet, partition, (address, link), &mut failed, own).await {
-                Ok(better) => better,
+                Ok(preferred) => preferred,
                 Err(error) => {
                     tracing::info!(target: "quota", event = "keeper lost", partition = partition.index(), %address, %error);
                     quotas.keepers_lost.inc();
-                    failed.note(address);
+                    failed.record(address);
                     quotas.set_uplink(partition, Uplink::Connecting, false);
                     None
                 }
             };
             continue;
         }
-        if !is_wanted(&quotas, &*fleet, partition) {
+        if !is_keeper_needed(&quotas, &*fleet, partition) {
             quotas.set_uplink(partition, Uplink::Connecting, false);
-            rest(&quotas, partition).await;
+            wait_until_needed(&quotas, partition).await;
             continue;
         }
-        match choice(&*fleet, partition, &mut failed) {
+        match preferred_keeper(&*fleet, partition, &mut failed) {
             Some(address) if address == own => {
-                keep_here(&quotas, partition, true);
+                switch_to_own_keeper(&quotas, partition, true);
                 sleep(POLL_INTERVAL).await;
             }
             Some(address) => match connect(address, partition).await {
                 Ok(link) => next = Some((address, link)),
-                Err(_) => failed.note(address),
+                Err(_) => failed.record(address),
             },
             None => {
-                keep_here(&quotas, partition, false);
+                switch_to_own_keeper(&quotas, partition, false);
                 let is_first = fleet.keepers(partition).is_empty();
                 sleep(if is_first {
                     STARTUP_POLL_INTERVAL
@@ -100,10 +100,10 @@
 
 /// Waits while no keeper is needed. Limits are rare: a node that neither sends nor receives
 /// queries about any is not woken.
-async fn rest(quotas: &Quotas, partition: QuotaPartition) {
+async fn wait_until_needed(quotas: &Quotas, partition: QuotaPartition) {
     let state = &quotas.partitions[partition.index()];
     if partition.covers_replicas() && state.listeners.get() == 0 {
-        state.limit_wanted.notified().await;
+        state.limit_needed.notified().await;
     } else {
         sleep(POLL_INTERVAL).await;
     }
@@ -112,9 +112,9 @@
 /// Returns true if a tenant of the partition has a quota, or a recent call needed a limit of
 /// the partition. Otherwise links to keepers would cost every node bytes and wake-ups for
 /// nothing.
-fn is_wanted(quotas: &Quotas, fleet: &dyn Fleet, partition: QuotaPartition) -> bool {
+fn is_keeper_needed(quotas: &Quotas, fleet: &dyn Fleet, partition: QuotaPartition) -> bool {
     if partition.covers_replicas() {
-        return quotas.is_limit_wanted(partition);
+        return quotas.is_limit_needed(partition);
     }
     fleet.configuration().is_some_and(|configuration| {
         let mut tenants = configuration.tenants.iter();
@@ -124,41 +124,47 @@
 
 /// Keepers that failed recently.
 #[derive(Default)]
-struct Failed(HashMap<SocketAddr, Instant>);
+struct FailedKeepers(HashMap<SocketAddr, Instant>);
 
-impl Failed {
-    fn note(&mut self, address: SocketAddr) {
+impl FailedKeepers {
+    fn record(&mut self, address: SocketAddr) {
         self.0.insert(address, Instant::now());
     }
 
-    fn rests(&mut self, address: &SocketAddr) -> bool {
+    fn is_cooling_down(&mut self, address: &SocketAddr) -> bool {
         self.0.retain(|_, at| at.elapsed() < FAILED_COOLDOWN);
         self.0.contains_key(address)
     }
 }
 
 /// Returns the first keeper that did not fail recently.
-fn choice(fleet: &dyn Fleet, partition: QuotaPartition, failed: &mut Failed) -> Option<SocketAddr> {
-    let most_tried = if partition.covers_replicas() {
+fn preferred_keeper(
+    fleet: &dyn Fleet,
+    partition: QuotaPartition,
+    failed: &mut FailedKeepers,
+) -> Option<SocketAddr> {
+    let max_keepers = if partition.covers_replicas() {
         MAX_LIMIT_KEEPERS
     } else {
         MAX_QUOTA_KEEPERS
     };
-    let keepers = fleet.keepers(partition).into_iter().take(most_tried);
-    keepers.into_iter().find(|address| !failed.rests(address))
+    let keepers = fleet.keepers(partition).into_iter().take(max_keepers);
+    keepers
+        .into_iter()
+        .find(|address| !failed.is_cooling_down(address))
 }
 
 /// Switches to this node's own keeper, either as the keeper of all nodes or because no other
 /// keeper is reachable.
-fn keep_here(quotas: &Quotas, partition: QuotaPartition, is_keeper: bool) {
+fn switch_to_own_keeper(quotas: &Quotas, partition: QuotaPartition, is_keeper: bool) {
     let state = &quotas.partitions[partition.index()];
-    let is_so = matches!(*state.uplink.borrow(), Uplink::Own) && state.is_keeper.get() == is_keeper;
-    if is_so {
+    let is_unchanged = matches!(*state.uplink.borrow(), Uplink::Own) && state.is_keeper.get() == is_keeper;
+    if is_unchanged {
         return;
     }
     tracing::info!(target: "quota", event = "own keeper", partition = partition.index(), is_keeper,
         share = state.keeper.borrow().share());
-    quotas.take_own_uplink(partition, is_keeper);
+    quotas.set_own_uplink(partition, is_keeper);
 }
 
 async fn connect(address: SocketAddr, partition: QuotaPartition) -> io::Result<PeerLink> {
@@ -181,25 +187,25 @@
     fleet: &dyn Fleet,
     partition: QuotaPartition,
     (address, mut link): (SocketAddr, PeerLink),
-    failed: &mut Failed,
+    failed: &mut FailedKeepers,
     own: SocketAddr,
 ) -> io::Result<Option<(SocketAddr, PeerLink)>> {
     let (sender, mut queries) = mpsc::channel(MAX_QUEUED_QUERIES);
-    for (subject, cost) in quotas.granted_ahead(partition) {
+    for (subject, cost) in quotas.deferred_units(partition) {
         let subject = subject.to_string();
         let carry = ToKeeper::Carry { subject, cost };
         link.send(Bytes::from(carry.serialize_bin())).await?;
     }
     quotas.set_uplink(partition, Uplink::Linked(sender), false);
     tracing::info!(target: "quota", event = "keeper found", partition = partition.index(), %address);
-    let mut look = tokio::time::interval(POLL_INTERVAL);
+    let mut poll = tokio::time::interval(POLL_INTERVAL);
     let mut sent_at = Instant::now();
     let mut attempt: Option<Attempt> = None;
     loop {
         tokio::select! {
             frame = link.hear() => {
                 let frame = frame?.ok_or(io::ErrorKind::ConnectionReset)?;
-                take_answer(quotas, partition, &frame)?;
+                apply_answer(quotas, partition, &frame)?;
             }
             query = queries.recv() => {
                 // All senders of queries gave up the link.
@@ -207,23 +213,23 @@
                 sent_at = Instant::now();
                 link.send(Bytes::from(query.serialize_bin())).await?;
             }
-            (better, ended) = Attempt::end(&mut attempt), if attempt.is_some() => match ended {
-                Ok(link) => return Ok(Some((better, link))),
-                Err(_) => failed.note(better),
+            (preferred, result) = Attempt::finished(&mut attempt), if attempt.is_some() => match result {
+                Ok(link) => return Ok(Some((preferred, link))),
+                Err(_) => failed.record(preferred),
             },
-            _ = look.tick() => {
-                quotas.look(partition, fleet, own);
+            _ = poll.tick() => {
+                quotas.update_keeper(partition, fleet, own);
                 if sent_at.elapsed() >= HEARTBEAT_INTERVAL {
                     sent_at = Instant::now();
                     link.send(Bytes::from(ToKeeper::Alive.serialize_bin())).await?;
                 }
-                if !is_wanted(quotas, fleet, partition) {
+                if !is_keeper_needed(quotas, fleet, partition) {
                     return Ok(None);
                 }
-                match choice(fleet, partition, failed) {
-                    Some(better) if better == own => return Ok(None),
-                    Some(better) if better != address && attempt.is_none() => {
-                        attempt = Some(Attempt::begin(better, partition));
+                match preferred_keeper(fleet, partition, failed) {
+                    Some(preferred) if preferred == own => return Ok(None),
+                    Some(preferred) if preferred != address && attempt.is_none() => {
+                        attempt = Some(Attempt::start(preferred, partition));
                     }
                     _ => {}
                 }
@@ -232,14 +238,14 @@
     }
 }
 
-/// An attempt to reach a better keeper while another one serves.
+/// An attempt to reach a preferred keeper while another one serves.
 struct Attempt {
     address: SocketAddr,
     connecting: Pin<Box<dyn Future<Output = io::Result<PeerLink>>>>,
 }
 
 impl Attempt {
-    fn begin(address: SocketAddr, partition: QuotaPartition) -> Self {
+    fn start(address: SocketAddr, partition: QuotaPartition) -> Self {
         Attempt {
             address,
             connecting: Box::pin(connect(address, partition)),
@@ -247,19 +253,19 @@
     }
 
     /// Waits for the result of the attempt, forever if there is none.
-    async fn end(attempt: &mut Option<Attempt>) -> (SocketAddr, io::Result<PeerLink>) {
+    async fn finished(attempt: &mut Option<Attempt>) -> (SocketAddr, io::Result<PeerLink>) {
         let Some(running) = attempt else {
             return std::future::pending().await;
         };
-        let ended = running.connecting.as_mut().await;
+        let result = running.connecting.as_mut().await;
         let address = running.address;
         *attempt = None;
-        (address, ended)
+        (address, result)
     }
 }
 
 /// Applies a keeper's answer. Refunds a grant whose request has ended.
-fn take_answer(quotas: &Quotas, partition: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
+fn apply_answer(quotas: &Quotas, partition: QuotaPartition, frame: &BytesMut) -> io::Result<()> {
     let message = decode::<FromKeeper>(frame)?;
     let (id, decision) = match message {
         FromKeeper::Alive => return Ok(()),
@@ -281,8 +287,8 @@
         .borrow_mut()
         .remove(&id);
     if let Some(pending) = pending {
-        let unheard = pending.answer.send(decision);
-        if matches!(unheard, Err(ReservationDecision::Granted { .. })) {
+        let undelivered = pending.answer.send(decision);
+        if matches!(undelivered, Err(ReservationDecision::Granted { .. })) {
             quotas.refund(partition, &pending.subject, pending.cost);
         }
     }
@@ -296,7 +302,7 @@
     partition: QuotaPartition,
 ) -> io::Result<()> {
     let mut link = link.with_silence_limit(SILENCE_LIMIT);
-    let _listener = Listener::begin(&quotas, partition);
+    let _listener = Listener::register(&quotas, partition);
     link.send(Bytes::from(FromKeeper::Alive.serialize_bin())).await?;
     loop {
         let Some(frame) = link.hear().await? else {
@@ -385,13 +391,13 @@
 }
 
 impl Listener {
-    fn begin(quotas: &Rc<Quotas>, partition: QuotaPartition) -> Self {
+    fn register(quotas: &Rc<Quotas>, partition: QuotaPartition) -> Self {
         let listener = Listener {
             quotas: quotas.clone(),
             partition,
         };
         listener.add(1);
-        quotas.partitions[partition.index()].limit_wanted.notify_one();
+        quotas.partitions[partition.index()].limit_needed.notify_one();
         listener
     }
 
--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -49,7 +49,7 @@
     /// preference. Only nodes known to understand queries about limits keep limits.
     fn keepers(&self, partition: QuotaPartition) -> Vec<SocketAddr>;
     /// Returns the number of listed nodes.
-    fn listed(&self) -> usize;
+    fn listed_nodes(&self) -> usize;
     /// Returns the newest configuration.
     fn configuration(&self) -> Option<Arc<Configuration>>;
 }
@@ -149,17 +149,17 @@
     pending: RefCell<HashMap<u64, PendingQuery>>,
     next_id: Cell<u64>,
     /// Granted requests whose start time has not come.
-    ahead: RefCell<Vec<GrantAhead>>,
+    deferred: RefCell<Vec<DeferredGrant>>,
     /// Notified when the uplink changes.
     changed: Notify,
     /// When a limit was last needed.
-    limit_asked_at: Cell<Option<Moment>>,
+    limit_needed_at: Cell<Option<Moment>>,
     /// Notified when this node or a listener needs a keeper of limits.
-    limit_wanted: Notify,
+    limit_needed: Notify,
 }
 
 /// A granted request that waits for its start time.
-struct GrantAhead {
+struct DeferredGrant {
     subject: Arc<str>,
     cost: u64,
     runs_at: Moment,
@@ -192,10 +192,10 @@
             is_keeper: Cell::new(false),
             pending: RefCell::default(),
             next_id: Cell::new(0),
-            ahead: RefCell::default(),
+            deferred: RefCell::default(),
             changed: Notify::new(),
-            limit_asked_at: Cell::new(None),
-            limit_wanted: Notify::new(),
+            limit_needed_at: Cell::new(None),
+            limit_needed: Notify::new(),
         };
         Rc::new(Quotas {
             partitions: QuotaPartition::all().map(partition).collect(),
@@ -209,8 +209,8 @@
     /// Returns whether a request may run; decides by `until` at the latest.
     pub async fn reserve(self: &Rc<Self>, query: QuotaQuery<'_>, until: Moment) -> QuotaVerdict {
         let partition = QuotaPartition::of_tenant(query.tenant);
-        let give_up = until.min(self.clock.now() + LINK_TIMEOUT);
-        match self.query_keeper(partition, &query, give_up).await {
+        let deadline = until.min(self.clock.now() + LINK_TIMEOUT);
+        match self.query_keeper(partition, &query, deadline).await {
             Some(decision) => self.verdict(partition, &query, decision),
             None => QuotaVerdict::Unreachable,
         }
@@ -230,30 +230,30 @@
         })
     }
 
-    /// Returns the decision of the first keeper that answers by `give_up`.
+    /// Returns the decision of the first keeper that answers by `deadline`.
     async fn query_keeper(
         &self,
         partition: QuotaPartition,
         query: &impl KeeperQuery,
-        give_up: Moment,
+        deadline: Moment,
     ) -> Option<ReservationDecision> {
         for _ in 0..MAX_KEEPERS_QUERIED {
-            let decision = match self.linked_uplink(partition, give_up).await? {
+            let decision = match self.linked_uplink(partition, deadline).await? {
                 Uplink::Linked(link) => self.query_linked(partition, &link, query).await,
                 Uplink::Own | Uplink::Connecting => {
                     let keeper = &self.partitions[partition.index()].keeper;
                     return query.reserve_locally(&mut keeper.borrow_mut(), self.clock.now());
                 }
             };
-            if decision.is_some() || self.clock.now() >= give_up {
+            if decision.is_some() || self.clock.now() >= deadline {
                 return decision;
             }
         }
         None
     }
 
-    /// Waits until the partition has an uplink and returns it, or `None` at `give_up`.
-    async fn linked_uplink(&self, partition: QuotaPartition, give_up: Moment) -> Option<Uplink> {
+    /// Waits until the partition has an uplink and returns it, or `None` at `deadline`.
+    async fn linked_uplink(&self, partition: QuotaPartition, deadline: Moment) -> Option<Uplink> {
         let partition = &self.partitions[partition.index()];
         loop {
             let changed = partition.changed.notified();
@@ -261,7 +261,7 @@
             if !matches!(uplink, Uplink::Connecting) {
                 return Some(uplink);
             }
-            self.clock.timeout_at(give_up, changed).await.ok()?;
+            self.clock.timeout_at(deadline, changed).await.ok()?;
         }
     }
 
@@ -284,9 +284,9 @@
         };
         state.pending.borrow_mut().insert(id, pending);
         let message = query.message(id, self.clock.now());
-        let limit = self.clock.now() + ANSWER_TIMEOUT;
+        let deadline = self.clock.now() + ANSWER_TIMEOUT;
         let answer = match link.try_send(message) {
-            Ok(()) => self.clock.timeout_at(limit, answered).await.ok(),
+            Ok(()) => self.clock.timeout_at(deadline, answered).await.ok(),
             Err(_) => None,
         };
         match answer {
@@ -316,13 +316,13 @@
         decision: ReservationDecision,
     ) -> QuotaVerdict {
         let is_own = matches!(*self.partitions[partition.index()].uplink.borrow(), Uplink::Own);
-        let is_alone = is_own && !self.partitions[partition.index()].is_keeper.get();
+        let is_standalone = is_own && !self.partitions[partition.index()].is_keeper.get();
         match decision {
             ReservationDecision::Granted { after } => {
                 QuotaVerdict::Granted(self.granted(partition, query, after), after)
             }
             // Another node may grant what this node's small share does not cover.
-            ReservationDecision::Refused { .. } if is_alone => QuotaVerdict::Unreachable,
+            ReservationDecision::Refused { .. } if is_standalone => QuotaVerdict::Unreachable,
             ReservationDecision::Refused { retry_after, balance } => {
                 QuotaVerdict::Exceeded { retry_after, balance }
             }
@@ -336,7 +336,7 @@
         query: &impl KeeperQuery,
         after: Duration,
     ) -> Credit {
-        self.note_ahead(partition, query, after);
+        self.record_deferred_grant(partition, query, after);
         Credit {
             quotas: self.clone(),
             partition,
@@ -348,14 +348,14 @@
 
     /// Records a granted request that has to wait. Until it runs, it counts at every keeper
     /// that this node uses.
-    fn note_ahead(&self, partition: QuotaPartition, query: &impl KeeperQuery, after: Duration) {
+    fn record_deferred_grant(&self, partition: QuotaPartition, query: &impl KeeperQuery, after: Duration) {
         if after.is_zero() {
             return;
         }
         let now = self.clock.now();
-        let mut ahead = self.partitions[partition.index()].ahead.borrow_mut();
-        ahead.retain(|grant| grant.runs_at > now);
-        ahead.push(GrantAhead {
+        let mut deferred = self.partitions[partition.index()].deferred.borrow_mut();
+        deferred.retain(|grant| grant.runs_at > now);
+        deferred.push(DeferredGrant {
             subject: query.subject().clone(),
             cost: query.cost(),
             runs_at: now + after,
@@ -363,22 +363,22 @@
     }
 
     /// Returns the units of each tenant or replica that were granted and have not run yet.
-    fn granted_ahead(&self, partition: QuotaPartition) -> HashMap<Arc<str>, u64> {
+    fn deferred_units(&self, partition: QuotaPartition) -> HashMap<Arc<str>, u64> {
         let now = self.clock.now();
         let mut sums: HashMap<Arc<str>, u64> = HashMap::new();
-        let ahead = self.partitions[partition.index()].ahead.borrow();
-        for grant in ahead.iter().filter(|grant| grant.runs_at > now) {
+        let deferred = self.partitions[partition.index()].deferred.borrow();
+        for grant in deferred.iter().filter(|grant| grant.runs_at > now) {
             *sums.entry(grant.subject.clone()).or_default() += grant.cost;
         }
         sums
     }
 
     /// Switches to this node's own keeper.
-    fn take_own_uplink(&self, partition: QuotaPartition, is_keeper: bool) {
+    fn set_own_uplink(&self, partition: QuotaPartition, is_keeper: bool) {
         self.set_uplink(partition, Uplink::Own, is_keeper);
         let now = self.clock.now();
         let mut keeper = self.partitions[partition.index()].keeper.borrow_mut();
-        for (subject, cost) in self.granted_ahead(partition) {
+        for (subject, cost) in self.deferred_units(partition) {
             keeper.carry(&subject, cost, now);
         }
     }
@@ -423,7 +423,7 @@
     }
 
     /// Updates this node's keeper from the fleet. `own` is this node's address.
-    fn look(&self, partition: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
+    fn update_keeper(&self, partition: QuotaPartition, fleet: &dyn Fleet, own: SocketAddr) {
         let now = self.clock.now();
         let mut keeper = self.partitions[partition.index()].keeper.borrow_mut();
         let keeper = match &mut *keeper {
@@ -438,7 +438,7 @@
                 return keeper.set_role(role, now);
             }
         };
-        keeper.set_listed_nodes(fleet.listed(), now);
+        keeper.set_listed_nodes(fleet.listed_nodes(), now);
         if let Some(configuration) = fleet.configuration() {
             let of_partition = configuration
                 .tenants
