--- a/crates/croftrill-node/src/link.rs
+++ b/crates/croftrill-node/src/link.rs
@@ -1,8 +1,8 @@
-//! A link between two nodes that tells silence from slowness.
+//! A link between two nodes that distinguishes a silent peer from a slow connection.
 //!
-//! Bytes count, not messages: over a narrow link a large message takes longer
-//! than any silence that is borne. A connection can go silent in one direction
-//! or in both without a reset, so both reads and writes have a limit.
+//! Liveness is measured in bytes, not messages, since a large message on a slow connection may
+//! take longer than the silence limit. A connection can become silent in one or both directions
+//! without a reset, so both reads and writes have a limit.
 
 use std::cell::Cell;
 use std::io;
@@ -21,12 +21,12 @@
 
 use crate::connection::tune;
 
-/// Largest message between nodes, in bytes.
+/// Maximum size of a message between nodes.
 const MOST_MESSAGE_BYTES: usize = 1024 * 1024;
-/// Longest time for a link to come up.
+/// Maximum time for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// When bytes last passed, each way.
+/// When bytes were last read and written.
 #[derive(Debug)]
 struct Progress {
     read_at: Cell<Instant>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A stream that notes when bytes pass.
+/// A stream that records when bytes are read and written.
 struct NotedStream {
     stream: TcpStream,
     progress: Rc<Progress>,
@@ -93,8 +93,8 @@
 }
 
 impl PeerLink {
-    /// A link over an open connection, which counts as dead once no byte passed
-    /// for `silence_limit` where some should.
+    /// Creates a link over an open connection. The link counts as dead if no byte passes for
+    /// `silence_limit` while one side expects some.
     pub fn new(stream: TcpStream, silence_limit: Duration) -> io::Result<Self> {
         tune(&stream, Some(silence_limit))?;
         let progress = Progress::new();
@@ -112,14 +112,14 @@
         })
     }
 
-    /// A link to the node at an address.
+    /// Connects to the node at an address.
     pub async fn connect(address: SocketAddr, silence_limit: Duration) -> io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         Self::new(stream, silence_limit)
     }
 
-    /// The link with another limit on silence: for sides that agreed on rarer signs of
-    /// life.
+    /// Returns the link with another silence limit, for peers with a different heartbeat
+    /// interval.
     pub fn with_silence_limit(self, silence_limit: Duration) -> Self {
         PeerLink {
             silence_limit,
@@ -127,19 +127,19 @@
         }
     }
 
-    /// The next message; `None` at the end. It waits as long as it takes: for a
-    /// side that hears nothing regular from the other one.
+    /// Returns the next message, or `None` at the end. Waits without a limit, for peers that
+    /// send no heartbeats.
     pub async fn next(&mut self) -> io::Result<Option<BytesMut>> {
         self.frames.next().await.transpose()
     }
 
-    /// The next message, from a side that sends signs of life; `None` at the end.
+    /// Returns the next message of a peer that sends heartbeats, or `None` at the end.
     ///
-    /// Errors: `TimedOut` once no byte came for the silence limit.
+    /// Errors: `TimedOut` if no byte arrives for the silence limit.
     pub async fn hear(&mut self) -> io::Result<Option<BytesMut>> {
         let progress = self.progress.clone();
         tokio::select! {
-            // What lay unread while this process stood still was not silence.
+            // Reads first: bytes that arrived while this process was suspended are not silence.
             biased;
             message = self.frames.next() => message.transpose(),
             () = silent(&progress.read_at, self.silence_limit) => Err(io::ErrorKind::TimedOut.into()),
@@ -148,7 +148,7 @@
 
     /// Sends a message.
     ///
-    /// Errors: `TimedOut` once no byte of it could be written for the silence limit.
+    /// Errors: `TimedOut` if no byte of it can be written for the silence limit.
     pub async fn send(&mut self, message: Bytes) -> io::Result<()> {
         let progress = self.progress.clone();
         progress.written_at.set(Instant::now());
@@ -160,7 +160,7 @@
     }
 }
 
-/// Ends once `last` has lain back for `limit`.
+/// Waits until `last` is at least `limit` ago.
 async fn silent(last: &Cell<Instant>, limit: Duration) {
     loop {
         let until = last.get() + limit;
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: everyone listens to the orderer and tells it of demand.
+//! Links between nodes: every node listens to the orderers and sends them its demand.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,18 +26,18 @@
 use crate::wire::decode;
 use crate::{load_updates, quota, tree};
 
-/// Pause before a link is tried again.
+/// Delay before another attempt to connect.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Heartbeats that may be missed before a link counts as dead.
 pub(crate) const MISSED_HEARTBEATS: u32 = 3;
-/// Longest wait for a link's first message.
+/// Maximum wait for a link's first message.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time after which another peer is asked for missed changes.
+/// Time after which missed changes are requested from another peer.
 const REPLAY_PATIENCE: Duration = Duration::from_millis(700);
-/// Longest wait for the own orderer task to take a subscriber.
+/// Maximum wait for this node's orderer task to accept a subscriber.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time without a byte after which a link counts as dead.
+/// Returns the time without a byte after which a link counts as dead.
 pub(crate) fn silence_limit<P: Platform>(node: &Node<P>) -> Duration {
     node.settings.pace.peer_heartbeat * MISSED_HEARTBEATS
 }
@@ -57,8 +57,8 @@
     }
 }
 
-/// Serves one listening node: as an orderer, as long as this node is one, or as
-/// a relay.
+/// Serves another node's link according to its first message: as an orderer, a relay or a
+/// keeper.
 async fn serve_link<P: Platform>(node: Rc<Node<P>>, stream: TcpStream, peer: SocketAddr) {
     let mut link = match PeerLink::new(stream, silence_limit(&node)) {
         Ok(link) => link,
@@ -109,13 +109,13 @@
     tracing::debug!(target: "peer", event = "a listener left", shard = shard.index(), ?ended);
 }
 
-/// What the other side is here for.
+/// Returns the first message, which states the purpose of the link.
 async fn first_message(link: &mut PeerLink) -> io::Result<Option<ToOrderer>> {
     let frame = link.next().await?;
     frame.map(|frame| decode(&frame)).transpose()
 }
 
-/// Passes changes to the listener and its messages to the orderer, until either ends.
+/// Sends changes to the listener and passes its messages to the orderer, until either ends.
 async fn exchange_messages<P: Platform>(
     node: &Node<P>,
     mut link: PeerLink,
@@ -133,7 +133,7 @@
         tokio::select! {
             change = changes.recv() => match change {
                 Ok(change) => link.send(change).await?,
-                // The listener fell behind: it connects anew and gets everything.
+                // The listener lags behind: it reconnects and gets the full state.
                 Err(broadcast::error::RecvError::Lagged(_) | broadcast::error::RecvError::Closed) => return Ok(()),
             },
             news = loads.next() => {
@@ -154,7 +154,7 @@
                         let accounts = loads.receive(&told, &subscription.loads, node.clock.now());
                         let count = accounts.len();
                         if inbox.try_send(OrdererInput::Loads(accounts)).is_err() {
-                            // The next ones say more.
+                            // Later samples replace the dropped ones.
                             load_updates::count_dropped(node, "node", count);
                         }
                     }
@@ -188,7 +188,7 @@
 ) {
     loop {
         if !tree::is_direct(&node) {
-            // A relay tells what the orderer would, and the queue to it is another.
+            // The relay sends what the orderer would, and messages to it use another queue.
             while outgoing.try_recv().is_ok() {}
             sleep(RETRY_PAUSE).await;
             continue;
@@ -220,7 +220,7 @@
     }
 }
 
-/// Notes whether the orderer of a shard is heard.
+/// Records whether the orderer of a shard is reachable.
 pub(crate) fn set_linked<P: Platform>(node: &Node<P>, shard: Shard, is_linked: bool) {
     let mut state = node.state.borrow_mut();
     let was_linked = std::mem::replace(&mut state.linked[shard.index()], is_linked);
@@ -249,7 +249,7 @@
         .and_then(|member| member.peer_address())
 }
 
-/// This node gives the orders itself.
+/// Passes messages to this node's own orderer task while this node is the orderer.
 async fn pass_to_own<P: Platform>(node: &Node<P>, shard: Shard, outgoing: &mut mpsc::Receiver<ToOrderer>) {
     let inbox = node.orderer_inbox(shard);
     while orderer_address(node, shard) == Some(node.settings.identity.peer) {
@@ -267,7 +267,7 @@
     }
 }
 
-/// Listens to another node, until it falls silent or is not the orderer any more.
+/// Listens to another node until it becomes silent or is no longer the orderer.
 async fn listen_to<P: Platform>(
     node: &Node<P>,
     shard: Shard,
@@ -285,7 +285,7 @@
             frame = link.hear() => {
                 let Some(frame) = frame? else { return Err(io::ErrorKind::ConnectionReset.into()) };
                 if !tree::is_direct(node) {
-                    // A relay tells from now on, and does not count what is told here.
+                    // A relay takes over from here; it does not know what this link received.
                     return Ok(());
                 }
                 let frame = frame.freeze();
@@ -320,8 +320,9 @@
     Ok(())
 }
 
-/// Messages of one link that this build cannot read, as another build's form of them differs.
-/// The link goes on for the others: what waits for a model must be told either way.
+/// Messages of one link that this build cannot decode, because another build's form differs. The
+/// link continues for other messages, since requests that wait for a model must still be
+/// published.
 #[derive(Debug, Default)]
 struct UnreadMessages {
     count: u64,
@@ -341,8 +342,8 @@
     }
 }
 
-/// Takes a message of a shard's orderer, which this node's followers hear too;
-/// answers what the orderer should be asked. `frame`: the message as it came.
+/// Applies a message of a shard's orderer and passes it to this node's followers. Returns a
+/// request to the orderer, if one is needed. `frame` is the encoded message.
 fn take_message<P: Platform>(
     node: &Node<P>,
     shard: Shard,
@@ -367,7 +368,7 @@
     take_common_message(node, message, delay, whole)
 }
 
-/// Takes a message that an orderer or a relay sends; answers what it should be asked.
+/// Applies a message of an orderer or a relay. Returns a request to it, if one is needed.
 pub(crate) fn take_common_message<P: Platform>(
     node: &Node<P>,
     message: FromOrderer,
@@ -386,7 +387,7 @@
         FromOrderer::HistoryUnavailable => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
         FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
-        // Taken by the link itself, or not for it.
+        // Handled by the link's task, or not sent on its link.
         FromOrderer::Alive
         | FromOrderer::Linked(_)
         | FromOrderer::Resigned(_)
@@ -421,7 +422,7 @@
     node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
 }
 
-/// Tells the orderer of demand at intervals.
+/// Sends the node's demand to the orderers at intervals.
 pub async fn tell_demand<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(node.settings.pace.demand_every).await;
--- a/crates/croftrill-node/src/wire.rs
+++ b/crates/croftrill-node/src/wire.rs
@@ -1,4 +1,4 @@
-//! Reading messages between nodes, whatever their bytes are.
+//! Decoding of messages between nodes, safe for arbitrary bytes.
 
 use std::io;
 use std::ops::{Deref, DerefMut};
@@ -6,21 +6,23 @@
 
 use nanoserde::{DeBin, DeBinErr, DeBinErrReason, SerBin};
 
-/// Reads a message. One of another form, of an older build or damaged, is an error: the
-/// reader of texts panics at lengths near the largest number.
+/// Decodes a message.
+///
+/// Errors: the message has another form, as one of another build or a damaged one. Also catches
+/// the panic of the string decoder at lengths near the maximum.
 pub fn decode<T: DeBin>(bytes: &[u8]) -> io::Result<T> {
     let decoded = catch_unwind(|| T::deserialize_bin(bytes));
     let error = match decoded {
         Ok(Ok(message)) => return Ok(message),
         Ok(Err(error)) => format!("{error:?}"),
-        Err(_) => "a length beyond all bounds".to_string(),
+        Err(_) => "length is out of bounds".to_string(),
     };
     Err(io::Error::new(io::ErrorKind::InvalidData, error))
 }
 
-/// A list on the wire, in the form of a `Vec`. The length that a message names is believed
-/// only as far as the message is long: a reader that reserved memory for any number would
-/// end the process at a message of another form.
+/// A list with the wire form of a `Vec`. Its decoder rejects a stated length that exceeds the
+/// rest of the message. Otherwise a message of another form could make it reserve more memory
+/// than available, which ends the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireList<T>(Vec<T>);
 
@@ -33,7 +35,7 @@
 impl<T: DeBin> DeBin for WireList<T> {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
         let length = usize::de_bin(offset, bytes)?;
-        // Every item takes a byte at least.
+        // Every item takes at least one byte.
         let left = bytes.len().saturating_sub(*offset);
         if length > left {
             return Err(DeBinErr {
