--- a/crates/croftrill-node/src/link.rs
+++ b/crates/croftrill-node/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two nodes that distinguishes a silent peer from a slow connection.
+//! A link between two nodes that distinguishes a wait_for_silence peer from a slow connection.
 //!
 //! Liveness is measured in bytes, not messages, since a large message on a slow connection may
-//! take longer than the silence limit. A connection can become silent in one or both directions
+//! take longer than the silence limit. A connection can become wait_for_silence in one or both directions
 //! without a reset, so both reads and writes have a limit.
 
 use std::cell::Cell;
@@ -22,7 +22,7 @@
 use crate::connection::tune;
 
 /// Maximum size of a message between nodes.
-const MOST_MESSAGE_BYTES: usize = 1024 * 1024;
+const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
 /// Maximum time for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -43,12 +43,12 @@
 }
 
 /// A stream that records when bytes are read and written.
-struct NotedStream {
+struct TrackedStream {
     stream: TcpStream,
     progress: Rc<Progress>,
 }
 
-impl AsyncRead for NotedStream {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -63,7 +63,7 @@
     }
 }
 
-impl AsyncWrite for NotedStream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -87,7 +87,7 @@
 
 /// A link to another node.
 pub struct PeerLink {
-    frames: Framed<NotedStream, LengthDelimitedCodec>,
+    frames: Framed<TrackedStream, LengthDelimitedCodec>,
     progress: Rc<Progress>,
     silence_limit: Duration,
 }
@@ -99,14 +99,14 @@
         tune(&stream, Some(silence_limit))?;
         let progress = Progress::new();
         let codec = LengthDelimitedCodec::builder()
-            .max_frame_length(MOST_MESSAGE_BYTES)
+            .max_frame_length(MAX_MESSAGE_BYTES)
             .new_codec();
-        let noted = NotedStream {
+        let tracked = TrackedStream {
             stream,
             progress: progress.clone(),
         };
         Ok(PeerLink {
-            frames: Framed::new(noted, codec),
+            frames: Framed::new(tracked, codec),
             progress,
             silence_limit,
         })
@@ -136,13 +136,13 @@
     /// Returns the next message of a peer that sends heartbeats, or `None` at the end.
     ///
     /// Errors: `TimedOut` if no byte arrives for the silence limit.
-    pub async fn hear(&mut self) -> io::Result<Option<BytesMut>> {
+    pub async fn next_or_timeout(&mut self) -> io::Result<Option<BytesMut>> {
         let progress = self.progress.clone();
         tokio::select! {
             // Reads first: bytes that arrived while this process was suspended are not silence.
             biased;
             message = self.frames.next() => message.transpose(),
-            () = silent(&progress.read_at, self.silence_limit) => Err(io::ErrorKind::TimedOut.into()),
+            () = wait_for_silence(&progress.read_at, self.silence_limit) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 
@@ -155,13 +155,13 @@
         tokio::select! {
             biased;
             sent = self.frames.send(message) => sent,
-            () = silent(&progress.written_at, self.silence_limit) => Err(io::ErrorKind::TimedOut.into()),
+            () = wait_for_silence(&progress.written_at, self.silence_limit) => Err(io::ErrorKind::TimedOut.into()),
         }
     }
 }
 
 /// Waits until `last` is at least `limit` ago.
-async fn silent(last: &Cell<Instant>, limit: Duration) {
+async fn wait_for_silence(last: &Cell<Instant>, limit: Duration) {
     loop {
         let until = last.get() + limit;
         if Instant::now() >= until {
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -282,7 +282,7 @@
     let mut unread = UnreadMessages::default();
     while orderer_address(node, shard) == Some(address) && tree::is_direct(node) {
         tokio::select! {
-            frame = link.hear() => {
+            frame = link.next_or_timeout() => {
                 let Some(frame) = frame? else { return Err(io::ErrorKind::ConnectionReset.into()) };
                 if !tree::is_direct(node) {
                     // A relay takes over from here; it does not know what this link received.
--- a/crates/croftrill-node/src/quota/link.rs
+++ b/crates/croftrill-node/src/quota/link.rs
@@ -173,7 +173,9 @@
         let hello = ToOrderer::ListenToKeeper(partition.index() as u8).serialize_bin();
         link.send(Bytes::from(hello)).await?;
         // A suspended machine accepts connections but sends nothing.
-        link.hear().await?.ok_or(io::ErrorKind::ConnectionReset)?;
+        link.next_or_timeout()
+            .await?
+            .ok_or(io::ErrorKind::ConnectionReset)?;
         Ok(link)
     };
     timeout(CONNECT_TIMEOUT, connecting).await?
@@ -203,7 +205,7 @@
     let mut attempt: Option<Attempt> = None;
     loop {
         tokio::select! {
-            frame = link.hear() => {
+            frame = link.next_or_timeout() => {
                 let frame = frame?.ok_or(io::ErrorKind::ConnectionReset)?;
                 apply_answer(quotas, partition, &frame)?;
             }
@@ -305,7 +307,7 @@
     let _listener = Listener::register(&quotas, partition);
     link.send(Bytes::from(FromKeeper::Alive.serialize_bin())).await?;
     loop {
-        let Some(frame) = link.hear().await? else {
+        let Some(frame) = link.next_or_timeout().await? else {
             return Ok(());
         };
         let message = decode::<ToKeeper>(&frame)?;
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -157,7 +157,7 @@
             expire_interests(node, &mut link).await?;
         }
         tokio::select! {
-            frame = link.hear() => {
+            frame = link.next_or_timeout() => {
                 let Some(frame) = frame? else { return Err(io::ErrorKind::ConnectionReset.into()) };
                 if node.state.borrow().tree.exceeds_published {
                     continue;
--- a/crates/croftrill-node/src/tree/mod.rs
+++ b/crates/croftrill-node/src/tree/mod.rs
@@ -46,7 +46,7 @@
 const MAX_LOG_BYTES: usize = 512 * 1024;
 /// Maximum size of a change that is sent to a listener in full, in bytes. For a larger
 /// change the listener only learns that it exists. The value is below the limit of a
-/// frame, `MOST_MESSAGE_BYTES`.
+/// frame, `MAX_MESSAGE_BYTES`.
 pub(crate) const MAX_CHANGE_BYTES: usize = 768 * 1024;
 /// Minimum time between two published proofs that nothing changed. Each is trusted for
 /// `relay_lifetime`, three times as long.
--- a/crates/croftrill-node/src/wire.rs
+++ b/crates/croftrill-node/src/wire.rs
@@ -36,13 +36,13 @@
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Self, DeBinErr> {
         let length = usize::de_bin(offset, bytes)?;
         // Every item takes at least one byte.
-        let left = bytes.len().saturating_sub(*offset);
-        if length > left {
+        let remaining = bytes.len().saturating_sub(*offset);
+        if length > remaining {
             return Err(DeBinErr {
                 o: *offset,
                 msg: DeBinErrReason::Length {
                     expected_length: length,
-                    actual_length: left,
+                    actual_length: remaining,
                 },
             });
         }
--- a/crates/croftrill-node/tests/link.rs
+++ b/crates/croftrill-node/tests/link.rs
@@ -44,7 +44,7 @@
                 other.write_all(piece).await.expect("sent");
             }
         };
-        let (heard, ()) = tokio::join!(link.hear(), sent);
+        let (heard, ()) = tokio::join!(link.next_or_timeout(), sent);
         let heard = heard.expect("no silence").expect("a message");
         assert_eq!(heard.len(), message.len());
     });
@@ -56,7 +56,11 @@
         let (mut link, mut other) = link_and_other_side().await;
         other.write_all(&1000u32.to_be_bytes()).await.expect("sent");
         other.write_all(&[7; 10]).await.expect("sent");
-        let heard = link.hear().await.map(|_| ()).map_err(|error| error.kind());
+        let heard = link
+            .next_or_timeout()
+            .await
+            .map(|_| ())
+            .map_err(|error| error.kind());
         assert_eq!(heard, Err(io::ErrorKind::TimedOut));
     });
 }
