--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -27,19 +27,19 @@
 use crate::{load_updates, quota, tree};
 
 /// Delay before another attempt to connect.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Heartbeats that may be missed before a link counts as dead.
-pub(crate) const MISSED_HEARTBEATS: u32 = 3;
+pub(crate) const MAX_MISSED_HEARTBEATS: u32 = 3;
 /// Maximum wait for a link's first message.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Time after which missed changes are requested from another peer.
-const REPLAY_PATIENCE: Duration = Duration::from_millis(700);
+const REPLAY_TIMEOUT: Duration = Duration::from_millis(700);
 /// Maximum wait for this node's orderer task to accept a subscriber.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Returns the time without a byte after which a link counts as dead.
 pub(crate) fn silence_limit<P: Platform>(node: &Node<P>) -> Duration {
-    node.settings.pace.peer_heartbeat * MISSED_HEARTBEATS
+    node.settings.pace.peer_heartbeat * MAX_MISSED_HEARTBEATS
 }
 
 /// Accepts links of other nodes.
@@ -51,7 +51,7 @@
             }
             Err(error) => {
                 tracing::warn!(target: "peer", event = "accept failed", %error);
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -86,9 +86,9 @@
             }
         }
         ToOrderer::ListenToKeeper(index) => {
-            if let Some(part) = QuotaPartition::from_index(usize::from(index)) {
-                let ended = quota::serve_listener(node.quotas.clone(), link, part).await;
-                tracing::debug!(target: "quota", event = "a listener left", part = part.index(), ?ended);
+            if let Some(partition) = QuotaPartition::from_index(usize::from(index)) {
+                let ended = quota::serve_listener(node.quotas.clone(), link, partition).await;
+                tracing::debug!(target: "quota", event = "a listener left", partition = partition.index(), ?ended);
             }
         }
         _ => {}
@@ -125,7 +125,7 @@
 ) -> io::Result<()> {
     let mut changes = subscription.changes;
     let mut loads = LoadSubscriber::default();
-    let mut unread = UnreadMessages::default();
+    let mut undecodable = UndecodableMessages::default();
     for message in subscription.snapshot {
         link.send(message).await?;
     }
@@ -145,15 +145,15 @@
                 let message = match decode::<ToOrderer>(&frame) {
                     Ok(message) => message,
                     Err(error) => {
-                        unread.note(node, peer, &error);
+                        undecodable.record(node, peer, &error);
                         continue;
                     }
                 };
                 match message {
-                    ToOrderer::Loads(told) => {
-                        let accounts = loads.receive(&told, &subscription.loads, node.clock.now());
-                        let count = accounts.len();
-                        if inbox.try_send(OrdererInput::Loads(accounts)).is_err() {
+                    ToOrderer::Loads(reported) => {
+                        let samples = loads.receive(&reported, &subscription.loads, node.clock.now());
+                        let count = samples.len();
+                        if inbox.try_send(OrdererInput::Loads(samples)).is_err() {
                             // Later samples replace the dropped ones.
                             load_updates::count_dropped(node, "node", count);
                         }
@@ -190,13 +190,13 @@
         if !tree::is_direct(&node) {
             // The relay sends what the orderer would, and messages to it use another queue.
             while outgoing.try_recv().is_ok() {}
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         }
         match orderer_address(&node, shard) {
             Some(address) if address == node.settings.identity.peer => {
                 set_linked(&node, shard, true);
-                pass_to_own(&node, shard, &mut outgoing).await;
+                pass_to_own_orderer(&node, shard, &mut outgoing).await;
                 set_linked(&node, shard, false);
             }
             Some(address) => {
@@ -207,12 +207,12 @@
                 if tree::is_direct(&node) {
                     set_linked(&node, shard, false);
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
             None => {
                 while outgoing.try_recv().is_ok() {}
                 tokio::select! {
-                    () = sleep(RETRY_PAUSE) => {}
+                    () = sleep(RETRY_DELAY) => {}
                     () = node.view_changed.notified() => {}
                 }
             }
@@ -250,19 +250,23 @@
 }
 
 /// Passes messages to this node's own orderer task while this node is the orderer.
-async fn pass_to_own<P: Platform>(node: &Node<P>, shard: Shard, outgoing: &mut mpsc::Receiver<ToOrderer>) {
+async fn pass_to_own_orderer<P: Platform>(
+    node: &Node<P>,
+    shard: Shard,
+    outgoing: &mut mpsc::Receiver<ToOrderer>,
+) {
     let inbox = node.orderer_inbox(shard);
     while orderer_address(node, shard) == Some(node.settings.identity.peer) {
         tokio::select! {
             message = outgoing.recv() => {
                 let input = match message {
-                    Some(ToOrderer::Loads(told)) => OrdererInput::Loads(load_updates::own_samples(node, &told)),
+                    Some(ToOrderer::Loads(reported)) => OrdererInput::Loads(load_updates::own_samples(node, &reported)),
                     Some(message) => OrdererInput::FromNode(message),
                     None => return,
                 };
                 let _ = inbox.send(input).await;
             }
-            () = sleep(RETRY_PAUSE) => {}
+            () = sleep(RETRY_DELAY) => {}
         }
     }
 }
@@ -279,7 +283,7 @@
     link.send(Bytes::from(hello)).await?;
     let mut delay = LinkDelay::default();
     let mut whole = FullViewChunks::default();
-    let mut unread = UnreadMessages::default();
+    let mut undecodable = UndecodableMessages::default();
     while orderer_address(node, shard) == Some(address) && tree::is_direct(node) {
         tokio::select! {
             frame = link.next_or_timeout() => {
@@ -292,18 +296,18 @@
                 let message = match decode::<FromOrderer>(&frame) {
                     Ok(message) => message,
                     Err(error) => {
-                        if unread.is_none() {
+                        if undecodable.is_empty() {
                             set_linked(node, shard, false);
                         }
-                        unread.note(node, address, &error);
+                        undecodable.record(node, address, &error);
                         continue;
                     }
                 };
-                if unread.is_none() {
+                if undecodable.is_empty() {
                     set_linked(node, shard, true);
                 }
                 let reply = node.step_times.time("message of an orderer", || {
-                    take_message(node, shard, address, (message, frame), (&mut delay, &mut whole))
+                    apply_message(node, shard, address, (message, frame), (&mut delay, &mut whole))
                 });
                 if let Some(reply) = reply {
                     link.send(Bytes::from(reply.serialize_bin())).await?;
@@ -324,27 +328,27 @@
 /// link continues for other messages, since requests that wait for a model must still be
 /// published.
 #[derive(Debug, Default)]
-struct UnreadMessages {
+struct UndecodableMessages {
     count: u64,
 }
 
-impl UnreadMessages {
-    fn note<P: Platform>(&mut self, node: &Node<P>, address: SocketAddr, error: &io::Error) {
-        if self.is_none() {
+impl UndecodableMessages {
+    fn record<P: Platform>(&mut self, node: &Node<P>, address: SocketAddr, error: &io::Error) {
+        if self.is_empty() {
             tracing::warn!(target: "peer", event = "messages of another form", %address, %error);
         }
         self.count += 1;
         Metrics::count(&node.metrics.relayed, "message", "unread");
     }
 
-    fn is_none(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.count == 0
     }
 }
 
 /// Applies a message of a shard's orderer and passes it to this node's followers. Returns a
 /// request to the orderer, if one is needed. `frame` is the encoded message.
-fn take_message<P: Platform>(
+fn apply_message<P: Platform>(
     node: &Node<P>,
     shard: Shard,
     address: SocketAddr,
@@ -359,17 +363,17 @@
         };
         let message = FromOrderer::RelayedResignation(relayed.clone());
         tree::publish_message(node, Bytes::from(message.serialize_bin()));
-        hear_resignation(node, relayed);
+        receive_resignation(node, relayed);
         return None;
     }
     if let FromOrderer::Placements(placements) = &message {
         tree::publish_placements(node, placements, &frame);
     }
-    take_common_message(node, message, delay, whole)
+    apply_common_message(node, message, delay, whole)
 }
 
 /// Applies a message of an orderer or a relay. Returns a request to it, if one is needed.
-pub(crate) fn take_common_message<P: Platform>(
+pub(crate) fn apply_common_message<P: Platform>(
     node: &Node<P>,
     message: FromOrderer,
     delay: &mut LinkDelay,
@@ -380,13 +384,13 @@
         FromOrderer::Directory(news) => {
             let outcome = relay::apply_update(node, news, delay);
             if outcome == Some(RelayOutcome::Gap) {
-                return tree::start_replay(node, REPLAY_PATIENCE).map(ToOrderer::Replay);
+                return tree::start_replay(node, REPLAY_TIMEOUT).map(ToOrderer::Replay);
             }
         }
-        FromOrderer::FullView(part) => relay::apply_full_view_chunk(node, part, whole, delay),
+        FromOrderer::FullView(chunk) => relay::apply_full_view_chunk(node, chunk, whole, delay),
         FromOrderer::HistoryUnavailable => tree::record_history_lost(node),
-        FromOrderer::RelayedResignation(relayed) => hear_resignation(node, relayed),
-        FromOrderer::Loads(told) => load_updates::apply_published(node, &told, delay),
+        FromOrderer::RelayedResignation(relayed) => receive_resignation(node, relayed),
+        FromOrderer::Loads(reported) => load_updates::apply_published(node, &reported, delay),
         // Handled by the link's task, or not sent on its link.
         FromOrderer::Alive
         | FromOrderer::Linked(_)
@@ -398,7 +402,7 @@
     None
 }
 
-fn hear_resignation<P: Platform>(node: &Node<P>, relayed: RelayedResignation) {
+fn receive_resignation<P: Platform>(node: &Node<P>, relayed: RelayedResignation) {
     let shard = Shard::from_index(usize::from(relayed.shard));
     let (Some(shard), Ok(orderer)) = (shard, relayed.orderer.parse()) else {
         tracing::warn!(target: "peer", event = "resignation cannot be read", shard = relayed.shard,
@@ -423,7 +427,7 @@
 }
 
 /// Sends the node's demand to the orderers at intervals.
-pub async fn tell_demand<P: Platform>(node: Rc<Node<P>>) {
+pub async fn send_demand<P: Platform>(node: Rc<Node<P>>) {
     loop {
         sleep(node.settings.pace.demand_every).await;
         let message = node.state.borrow_mut().demand.take();
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -39,7 +39,7 @@
     let incarnation = membership::incarnation_of(started_ns);
     spawn_local(front::accept(node.clone(), front_listener));
     spawn_local(peer_link::accept(node.clone(), peer_listener));
-    spawn_local(peer_link::tell_demand(node.clone()));
+    spawn_local(peer_link::send_demand(node.clone()));
     spawn_local(load_updates::forward(node.clone()));
     spawn_local(directory::follow(node.clone()));
     spawn_local(directory::read_holdings(node.clone()));
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -237,7 +237,7 @@
             ids.iter().for_each(|id| state.replicas.forget(id));
         }
         message => {
-            return peer_link::take_common_message(
+            return peer_link::apply_common_message(
                 node,
                 message,
                 &mut link_state.delay,
