--- a/crates/croftrill-node/src/link.rs
+++ b/crates/croftrill-node/src/link.rs
@@ -1,7 +1,7 @@
-//! A link between two nodes that distinguishes a wait_for_silence peer from a slow connection.
+//! A link between two nodes that distinguishes a silent peer from a slow connection.
 //!
 //! Liveness is measured in bytes, not messages, since a large message on a slow connection may
-//! take longer than the silence limit. A connection can become wait_for_silence in one or both directions
+//! take longer than the silence limit. A connection can become silent in one or both directions
 //! without a reset, so both reads and writes have a limit.
 
 use std::cell::Cell;
