--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -136,9 +136,9 @@
                 // The listener lags behind: it reconnects and gets the full state.
                 Err(broadcast::error::RecvError::Lagged(_) | broadcast::error::RecvError::Closed) => return Ok(()),
             },
-            news = loads.next() => {
-                load_updates::count_sent_bytes(node, &news);
-                link.send(news).await?;
+            update = loads.next() => {
+                load_updates::count_sent_bytes(node, &update);
+                link.send(update).await?;
             }
             frame = link.next() => {
                 let Some(frame) = frame? else { return Ok(()) };
@@ -282,7 +282,7 @@
     let hello = ToOrderer::Listen(shard.index() as u8).serialize_bin();
     link.send(Bytes::from(hello)).await?;
     let mut delay = LinkDelay::default();
-    let mut whole = FullViewChunks::default();
+    let mut view_chunks = FullViewChunks::default();
     let mut undecodable = UndecodableMessages::default();
     while orderer_address(node, shard) == Some(address) && tree::is_direct(node) {
         tokio::select! {
@@ -307,7 +307,7 @@
                     set_linked(node, shard, true);
                 }
                 let reply = node.step_times.time("message of an orderer", || {
-                    apply_message(node, shard, address, (message, frame), (&mut delay, &mut whole))
+                    apply_message(node, shard, address, (message, frame), (&mut delay, &mut view_chunks))
                 });
                 if let Some(reply) = reply {
                     link.send(Bytes::from(reply.serialize_bin())).await?;
@@ -353,7 +353,7 @@
     shard: Shard,
     address: SocketAddr,
     (message, frame): (FromOrderer, Bytes),
-    (delay, whole): (&mut LinkDelay, &mut FullViewChunks),
+    (delay, view_chunks): (&mut LinkDelay, &mut FullViewChunks),
 ) -> Option<ToOrderer> {
     if let FromOrderer::Resigned(resignation) = message {
         let relayed = RelayedResignation {
@@ -369,7 +369,7 @@
     if let FromOrderer::Placements(placements) = &message {
         tree::publish_placements(node, placements, &frame);
     }
-    apply_common_message(node, message, delay, whole)
+    apply_common_message(node, message, delay, view_chunks)
 }
 
 /// Applies a message of an orderer or a relay. Returns a request to it, if one is needed.
@@ -377,17 +377,17 @@
     node: &Node<P>,
     message: FromOrderer,
     delay: &mut LinkDelay,
-    whole: &mut FullViewChunks,
+    view_chunks: &mut FullViewChunks,
 ) -> Option<ToOrderer> {
     match message {
         FromOrderer::Placements(placements) => apply_placements(node, placements.into()),
-        FromOrderer::Directory(news) => {
-            let outcome = relay::apply_update(node, news, delay);
+        FromOrderer::Directory(update) => {
+            let outcome = relay::apply_update(node, update, delay);
             if outcome == Some(RelayOutcome::Gap) {
                 return tree::start_replay(node, REPLAY_TIMEOUT).map(ToOrderer::Replay);
             }
         }
-        FromOrderer::FullView(chunk) => relay::apply_full_view_chunk(node, chunk, whole, delay),
+        FromOrderer::FullView(chunk) => relay::apply_full_view_chunk(node, chunk, view_chunks, delay),
         FromOrderer::HistoryUnavailable => tree::record_history_lost(node),
         FromOrderer::RelayedResignation(relayed) => receive_resignation(node, relayed),
         FromOrderer::Loads(reported) => load_updates::apply_published(node, &reported, delay),
