--- a/crates/croftrill-node/tests/link.rs
+++ b/crates/croftrill-node/tests/link.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Silence limit of these links.
+/// Silence limit of the links in these tests.
 const LIMIT: Duration = Duration::from_millis(800);
 
 fn run<F: std::future::Future<Output = ()>>(test: F) {
@@ -20,7 +20,7 @@
     runtime.block_on(test);
 }
 
-/// A link, and the other side of its connection.
+/// Returns a link and the other end of its connection.
 async fn link_and_other_side() -> (PeerLink, TcpStream) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -29,8 +29,8 @@
     (link, other)
 }
 
-/// A large message took longer than the limit of silence over a narrow link: the
-/// link was ended, made anew, and the message sent again from its start.
+/// Over a slow connection a large message takes longer than the silence limit. When the limit
+/// applied to whole messages, the link ended, reconnected and sent the message from its start.
 #[test]
 fn hear_of_a_message_that_arrives_slowly_waits_for_it() {
     run(async {
@@ -65,8 +65,8 @@
     });
 }
 
-/// A side that reads nothing held up the sender for as long as the connection
-/// stood, and with it all that this side should have read.
+/// A peer that reads nothing blocked the sender for as long as the connection was open, and with
+/// it all later messages to this peer.
 #[test]
 fn send_to_a_side_that_reads_nothing_ends() {
     run(async {
--- a/crates/croftrill-node/tests/load_news.rs
+++ b/crates/croftrill-node/tests/load_news.rs
@@ -1,4 +1,4 @@
-//! News of replicas' loads on the wire.
+//! Wire form of load samples.
 
 use std::time::Duration;
 
@@ -46,7 +46,8 @@
     assert_eq!(accounts[0].at, at(76_990), "its age is rounded up");
 }
 
-/// A link or a process that stood still does not make old accounts young.
+/// A suspended link or process delays messages. Without the delay, their old samples would
+/// count as new.
 #[test]
 fn to_accounts_of_a_late_message_counts_the_time_on_the_way() {
     let mut delay = LinkDelay::default();
@@ -100,7 +101,7 @@
     assert!(decode::<WireCount>(&[0x80]).is_err());
 }
 
-/// Bytes as the first build with such news wrote them.
+/// Bytes as the first build with load updates wrote them.
 #[test]
 fn recorded_loads_are_read_as_they_were_meant() {
     let told = WireLoads::from_samples(&[account(at(900))], at(1000));
--- a/crates/croftrill-node/tests/news_parts.rs
+++ b/crates/croftrill-node/tests/news_parts.rs
@@ -1,4 +1,4 @@
-//! News and views that are longer than a message go in parts.
+//! Split of updates and views that are longer than a message.
 
 use croftrill_node::peer::{DirectoryUpdate, FullViewChunk, RevisedChange, WireChange, WireListing};
 use croftrill_scheduler::followed_view::{FollowConfig, FollowedView, RelayOutcome, RelayedSpan};
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Largest frame of a link.
+/// Maximum frame size of a link.
 const FRAME_BYTES: usize = 1024 * 1024;
 
 fn listing(index: usize) -> WireChange {
@@ -33,8 +33,8 @@
     }
 }
 
-/// A view of 10,000 replicas is 1 MB: it did not fit into a message, whose limit counted
-/// names alone, and the listener's link ended.
+/// A view of 10,000 replicas takes 1 MB. When the size estimate counted only names, the message
+/// exceeded the frame limit and the listener's link ended.
 #[test]
 fn whole_view_of_twenty_thousand_replicas_fits_into_messages() {
     let changes = (0..20_000).map(|index| RevisedChange {
@@ -65,8 +65,8 @@
 }
 
 proptest! {
-    /// Parts of a span lead a view where the span does, each change is applied once, and
-    /// only the last part proves that the view is complete.
+    /// The chunks of a span advance a view to the same revision as the span, each change is
+    /// applied once, and only the last chunk proves that the view is complete.
     #[test]
     fn parts_of_a_span_lead_where_the_span_does(steps in prop::collection::vec((0u64..2, 1usize..60_000), 1..40)) {
         let mut revision = 10;
--- a/crates/croftrill-node/tests/parts.rs
+++ b/crates/croftrill-node/tests/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of a node that need no sockets.
+//! Components of a node that need no sockets.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -36,7 +36,7 @@
     assert_eq!(budget.take_left_out(), 0);
 }
 
-/// A reader that never reads.
+/// A log reader that blocks until the lock is released.
 struct Stalled(Arc<Mutex<()>>);
 
 impl Write for Stalled {
@@ -135,7 +135,7 @@
     assert!(FromOrderer::deserialize_bin(&[9, 9, 9]).is_err());
 }
 
-/// Operators find every metric on the page.
+/// The operations page documents every metric.
 #[test]
 fn metrics_are_told_on_the_operations_page() {
     let page = include_str!("../../../docs/OPERATIONS.md");
--- a/crates/croftrill-node/tests/wire.rs
+++ b/crates/croftrill-node/tests/wire.rs
@@ -1,8 +1,8 @@
-//! Messages between nodes, of whatever bytes.
+//! Decoding of arbitrary bytes as messages between nodes.
 //!
-//! Seen: nodes of this build ended by themselves in a fleet of an older one. Its messages
-//! had another form; where this build reads the length of a list, there stood something
-//! else, and the reader reserved memory for as many items.
+//! Nodes of a newer build crashed in a fleet of an older one. The older messages had other data
+//! where the newer build decodes the length of a list, and the decoder reserved memory for that
+//! many items.
 
 use croftrill_node::crash_wire::WireCrashReport;
 use croftrill_node::peer::{FromOrderer, ToOrderer, WireModel, WirePlacement};
@@ -14,8 +14,8 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Numbers that end a reader which believes them: as lengths, they exceed what memory, or
-/// what an address, can hold.
+/// Lengths that crash a decoder which trusts them, as they exceed the memory or the address
+/// space.
 const LENGTHS: [u64; 5] = [u64::MAX, u64::MAX / 2, 1 << 62, 1 << 40, 1 << 20];
 
 fn message() -> Vec<u8> {
@@ -41,7 +41,7 @@
 }
 
 fn read_as_all(bytes: &[u8]) {
-    // What it is read as does not matter, only that it ends.
+    // The result does not matter, only that decoding neither panics nor aborts.
     let _ = decode::<FromOrderer>(bytes);
     let _ = decode::<ToOrderer>(bytes);
     let _ = decode::<WireCrashReport>(bytes);
@@ -68,8 +68,8 @@
     }
 }
 
-/// Bytes as the build cfa4aee wrote them: other builds read them for as long as nodes of
-/// that one may run beside them.
+/// Bytes as build cfa4aee wrote them. Other builds must read them as long as nodes of that build
+/// may run in the same fleet.
 #[test]
 fn recorded_messages_are_read_as_they_were_meant() {
     let waiting = ToOrderer::Waiting(WireModel::from_key(&croftrill_scheduler::demand::ModelKey {
