--- a/crates/croftrill-node/tests/load_news.rs
+++ b/crates/croftrill-node/tests/load_samples.rs
@@ -107,11 +107,11 @@
     let told = WireLoads::from_samples(&[account(at(900))], at(1000));
     for (recorded, is) in [
         (
-            include_str!("recorded/loads_heard.hex"),
+            include_str!("recorded/loads_to_orderer.hex"),
             ToOrderer::Loads(told.clone()).serialize_bin(),
         ),
         (
-            include_str!("recorded/loads_told.hex"),
+            include_str!("recorded/loads_from_orderer.hex"),
             FromOrderer::Loads(told).serialize_bin(),
         ),
     ] {
