--- a/crates/croftrill-node/tests/components.rs
+++ b/crates/croftrill-node/tests/components.rs
@@ -15,7 +15,7 @@
 use nanoserde::{DeBin, SerBin};
 
 #[test]
-fn only_whole_events_pass_and_the_last_id_is_known() {
+fn push_passes_only_complete_events_and_records_the_last_id() {
     let mut cutter = EventCutter::after(None);
     assert_eq!(cutter.push(b"id: 1\nda"), None);
     assert_eq!(
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_line_budget_counts_what_it_leaves_out() {
+fn line_budget_counts_dropped_lines() {
     let budget = LineBudget::new(3);
     let taken = (0..10).filter(|_| budget.take()).count();
     assert!(taken >= 3, "a second may pass in between");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn messages_between_nodes_survive_the_wire() {
+fn messages_between_nodes_round_trip() {
     let now = Moment::from_start(Duration::from_secs(50));
     let key = ModelKey {
         service: "s".into(),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn damaged_messages_are_errors() {
+fn deserialize_of_a_damaged_message_is_an_error() {
     let model = WireModel {
         service: "s".into(),
         model: "m".into(),
@@ -137,7 +137,7 @@
 
 /// The operations page documents every metric.
 #[test]
-fn metrics_are_told_on_the_operations_page() {
+fn metrics_are_on_the_operations_page() {
     let page = include_str!("../../../docs/OPERATIONS.md");
     let text = Metrics::new().text();
     let names = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
--- a/crates/croftrill-node/tests/update_chunks.rs
+++ b/crates/croftrill-node/tests/update_chunks.rs
@@ -23,7 +23,7 @@
     })
 }
 
-fn news(after: u64, changes: Vec<RevisedChange>) -> DirectoryUpdate {
+fn update(after: u64, changes: Vec<RevisedChange>) -> DirectoryUpdate {
     DirectoryUpdate {
         after,
         reached: changes.last().map_or(after, |last| last.revision) + 3,
@@ -36,39 +36,42 @@
 /// A view of 10,000 replicas takes 1 MB. When the size estimate counted only names, the message
 /// exceeded the frame limit and the listener's link ended.
 #[test]
-fn whole_view_of_twenty_thousand_replicas_fits_into_messages() {
+fn chunks_of_a_view_of_twenty_thousand_replicas_fit_into_messages() {
     let changes = (0..20_000).map(|index| RevisedChange {
         revision: 7,
         change: listing(index),
     });
-    let parts = FullViewChunk::chunks_of(news(0, changes.collect()), true).expect("each item fits");
-    let total: usize = parts.iter().map(|part| part.update.changes.len()).sum();
+    let chunks = FullViewChunk::chunks_of(update(0, changes.collect()), true).expect("each item fits");
+    let total: usize = chunks.iter().map(|chunk| chunk.update.changes.len()).sum();
     assert_eq!(total, 20_000);
-    assert!(parts
+    assert!(chunks
         .iter()
-        .all(|part| part.serialize_bin().len() < FRAME_BYTES / 4));
-    assert!(parts[0].is_first && parts.last().is_some_and(|last| last.is_last));
+        .all(|chunk| chunk.serialize_bin().len() < FRAME_BYTES / 4));
+    assert!(chunks[0].is_first && chunks.last().is_some_and(|last| last.is_last));
     assert_eq!(
-        parts.iter().filter(|part| part.is_first || part.is_last).count(),
+        chunks
+            .iter()
+            .filter(|chunk| chunk.is_first || chunk.is_last)
+            .count(),
         2
     );
 }
 
 #[test]
-fn whole_view_with_an_item_beyond_any_message_is_not_told() {
+fn chunks_of_a_view_with_an_oversized_item_is_none() {
     let change = WireChange::Written {
         key: "configuration".to_string(),
         value: vec![0; FRAME_BYTES].into(),
     };
     let changes = vec![RevisedChange { revision: 7, change }];
-    assert!(FullViewChunk::chunks_of(news(0, changes), true).is_none());
+    assert!(FullViewChunk::chunks_of(update(0, changes), true).is_none());
 }
 
 proptest! {
     /// The chunks of a span advance a view to the same revision as the span, each change is
     /// applied once, and only the last chunk proves that the view is complete.
     #[test]
-    fn parts_of_a_span_lead_where_the_span_does(steps in prop::collection::vec((0u64..2, 1usize..60_000), 1..40)) {
+    fn into_chunks_of_a_span_leads_to_the_same_revision(steps in prop::collection::vec((0u64..2, 1usize..60_000), 1..40)) {
         let mut revision = 10;
         let mut changes = Vec::new();
         for (index, (gap, size)) in steps.into_iter().enumerate() {
@@ -76,21 +79,21 @@
             let change = WireChange::Written { key: format!("k{index}"), value: vec![0; size].into() };
             changes.push(RevisedChange { revision: revision + 1, change });
         }
-        let whole = news(10, changes.clone());
-        let reached = whole.reached;
-        let parts = whole.into_chunks();
+        let span_update = update(10, changes.clone());
+        let reached = span_update.reached;
+        let chunks = span_update.into_chunks();
         let mut view = FollowedView::new(FollowConfig { proof_lifetime: Duration::from_secs(1) });
         view.advance(10);
         let now = Moment::from_start(Duration::from_secs(3600));
         let mut applied = Vec::new();
-        let last = parts.len() - 1;
-        for (index, part) in parts.into_iter().enumerate() {
-            let proven_at = now - Duration::from_millis(u64::from(part.proof_age_ms));
-            let span = RelayedSpan { after: part.after, reached: part.reached, proven_at };
+        let last = chunks.len() - 1;
+        for (index, chunk) in chunks.into_iter().enumerate() {
+            let proven_at = now - Duration::from_millis(u64::from(chunk.proof_age_ms));
+            let span = RelayedSpan { after: chunk.after, reached: chunk.reached, proven_at };
             let applies = matches!(view.accept_span(span), RelayOutcome::Applied { .. });
             prop_assert!(applies);
-            applied.extend(part.changes.into_iter().filter(|change| view.is_new(change.revision)));
-            view.advance(part.reached);
+            applied.extend(chunk.changes.into_iter().filter(|change| view.is_new(change.revision)));
+            view.advance(chunk.reached);
             prop_assert_eq!(view.trusts_relay(now), index == last);
         }
         prop_assert_eq!(applied, changes);
--- a/crates/croftrill-node/tests/wire.rs
+++ b/crates/croftrill-node/tests/wire.rs
@@ -40,7 +40,7 @@
     FromOrderer::Placements(vec![wire].into()).serialize_bin()
 }
 
-fn read_as_all(bytes: &[u8]) {
+fn decode_as_all(bytes: &[u8]) {
     // The result does not matter, only that decoding neither panics nor aborts.
     let _ = decode::<FromOrderer>(bytes);
     let _ = decode::<ToOrderer>(bytes);
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn decode_of_a_length_that_nothing_can_hold_is_an_error() {
+fn decode_of_an_oversized_length_ends() {
     let bytes = message();
     for length in LENGTHS {
         for start in 0..bytes.len().saturating_sub(8) {
             let mut damaged = bytes.clone();
             damaged[start..start + 8].copy_from_slice(&length.to_le_bytes());
-            read_as_all(&damaged);
+            decode_as_all(&damaged);
         }
     }
 }
@@ -63,21 +63,21 @@
     #[test]
     fn decode_of_arbitrary_bytes_ends(kind in 0u8..16, bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let with_kind: Vec<u8> = [u32::from(kind).to_le_bytes().as_slice(), &bytes].concat();
-        read_as_all(&with_kind);
-        read_as_all(&bytes);
+        decode_as_all(&with_kind);
+        decode_as_all(&bytes);
     }
 }
 
 /// Bytes as build cfa4aee wrote them. Other builds must read them as long as nodes of that build
 /// may run in the same fleet.
 #[test]
-fn recorded_messages_are_read_as_they_were_meant() {
+fn serialize_of_messages_matches_the_recorded_bytes() {
     let waiting = ToOrderer::Waiting(WireModel::from_key(&croftrill_scheduler::demand::ModelKey {
         service: "llm".into(),
         model: "m1".into(),
         adapter: Some("a1".into()),
     }));
-    for (recorded, is) in [
+    for (recorded, encoded) in [
         (include_str!("recorded/waiting.hex"), waiting.serialize_bin()),
         (include_str!("recorded/placements.hex"), message()),
         (
@@ -85,7 +85,7 @@
             FromOrderer::Forgotten(vec!["r1".to_string()].into()).serialize_bin(),
         ),
     ] {
-        let is: String = is.iter().map(|byte| format!("{byte:02x}")).collect();
-        assert_eq!(recorded.trim(), is);
+        let encoded: String = encoded.iter().map(|byte| format!("{byte:02x}")).collect();
+        assert_eq!(recorded.trim(), encoded);
     }
 }
