--- a/crates/croftrill-node/src/quota/mod.rs
+++ b/crates/croftrill-node/src/quota/mod.rs
@@ -217,16 +217,16 @@
     }
 
     /// Returns a slot for a tenant's request that waits before its next query, or `None` if
-    /// too many wait. The gauge `shown` counts the waiting requests.
-    pub fn wait_slot(self: &Rc<Self>, tenant: &Arc<str>, shown: &Gauge) -> Option<WaitSlot> {
+    /// too many wait. The gauge `waiting_gauge` counts the waiting requests.
+    pub fn wait_slot(self: &Rc<Self>, tenant: &Arc<str>, waiting_gauge: &Gauge) -> Option<WaitSlot> {
         if !self.wait_slots.borrow_mut().enter(tenant) {
             return None;
         }
-        shown.inc();
+        waiting_gauge.inc();
         Some(WaitSlot {
             quotas: self.clone(),
             tenant: tenant.clone(),
-            shown: shown.clone(),
+            waiting_gauge: waiting_gauge.clone(),
         })
     }
 
@@ -466,13 +466,13 @@
 pub struct WaitSlot {
     quotas: Rc<Quotas>,
     tenant: Arc<str>,
-    shown: Gauge,
+    waiting_gauge: Gauge,
 }
 
 impl Drop for WaitSlot {
     fn drop(&mut self) {
         self.quotas.wait_slots.borrow_mut().leave(&self.tenant);
-        self.shown.dec();
+        self.waiting_gauge.dec();
     }
 }
 
@@ -488,8 +488,8 @@
 
 impl std::fmt::Debug for Credit {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let mut shown = formatter.debug_struct("Credit");
-        shown
+        let mut debug = formatter.debug_struct("Credit");
+        debug
             .field("subject", &self.subject)
             .field("cost", &self.cost)
             .finish()
--- a/crates/croftrill-node/tests/link.rs
+++ b/crates/croftrill-node/tests/link.rs
@@ -70,7 +70,7 @@
 #[test]
 fn send_to_a_peer_that_reads_nothing_times_out() {
     run(async {
-        let (mut link, _other) = link_and_peer().await;
+        let (mut link, _peer) = link_and_peer().await;
         let message = Bytes::from(vec![7; 1024 * 1024]);
         let mut ended = None;
         for _ in 0..64 {
