--- a/crates/croftrill-node/src/replica_reservation.rs
+++ b/crates/croftrill-node/src/replica_reservation.rs
@@ -31,7 +31,7 @@
         replica,
         started_ms,
         limit,
-        want,
+        request: want,
         nodes,
     };
     let verdict = node.quotas.reserve_limit(request).await;
