--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of one node share.
+//! State and queues that the tasks of one node share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -37,70 +37,70 @@
 use crate::step_times::StepTimes;
 use crate::tree::{RelayedUpdate, TreeState, Uplink, FOLLOWER_BACKLOG};
 
-/// Where a node is in its life.
+/// Lifecycle stage of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
     /// It has no configuration yet.
     Starting,
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It was asked to stop and finishes what it has.
+    /// It was asked to stop and finishes the requests in flight.
     Stopping,
 }
 
-/// Part of the common retry budget that is used; the rest covers requests that
+/// Fraction of the common retry budget that nodes use. The remainder covers requests that
 /// the nodes and the platform count differently.
 const RETRY_SAFETY: f64 = 0.8;
-/// Requests that wait at one node for a place at a full holder, at most: a node of the
-/// largest fleet has a few a second, so these are many seconds of a crowd; 8 MB of bodies
-/// are a fifteenth of a small node's memory.
+/// Bounds on the requests that wait at one node for a slot at a full holder. A node of the
+/// largest fleet sees a few such requests per second, so 256 cover many seconds of overload.
+/// 8 MB of bodies are a fifteenth of a small node's memory.
 const WAITING_BOUNDS: WaitingBounds = WaitingBounds {
     requests: 256,
     size_bytes: 8 << 20,
 };
-/// Messages to the orderer that may wait to be sent.
+/// Capacity of each queue of messages to an orderer, to the relay or to an orderer task.
 const ORDERER_QUEUE: usize = 1024;
 
-/// State that changes.
+/// Mutable state of a node.
 pub struct NodeState {
-    /// The newest configuration.
+    /// The latest configuration.
     pub configuration: Option<Arc<Configuration>>,
-    /// The item that holds it, for nodes that are told everything at once.
+    /// The store item that contains it, sent to nodes that receive a full view.
     pub configuration_item: Option<Item>,
     /// All known replicas.
     pub replicas: ReplicaTable,
-    /// Requests that crash replicas, as all nodes saw.
+    /// Requests that crash replicas, as observed by all nodes.
     pub crash_ledger: CrashLedger,
-    /// Requests that broke at replicas that may have ended.
+    /// Requests that failed at replicas that may have ended.
     pub broken_requests: BrokenRequests,
     /// This node's share of the retry budget.
     pub retry_budget: RetryBudget,
-    /// Requests that wait for a place, by group.
+    /// Requests that wait for a slot at this node, by group.
     pub fair_queue: FairQueue,
-    /// Requests that wait for a place at a full holder of their model.
+    /// Requests that wait for a slot at a full holder of their model.
     pub waiting_requests: WaitingRequests,
-    /// Demand that the orderer has not been told yet.
+    /// Demand that has not been reported to the orderers yet.
     pub demand: DemandBatch,
-    /// How far this node knows the store's history.
+    /// How much of the store's history this node has applied.
     pub directory: FollowedView,
-    /// The nodes, and who gives orders.
+    /// The nodes, and which of them are orderers.
     pub members: Members,
-    /// What the last orderers left to their successors, where this node heard of it.
+    /// Received resignations of the last orderers, which their successors use.
     pub resignations: BTreeMap<Shard, ReceivedResignation>,
-    /// Shards whose orderer is linked, or is this node.
+    /// Whether the orderer of each shard is linked, or is this node.
     pub linked: [bool; SHARD_COUNT],
     /// When the last link to a shard's orderer ended.
     pub unlinked_at: [Moment; SHARD_COUNT],
-    /// This node's part in the tree of relays.
+    /// This node's position in the tree of relays.
     pub tree: TreeState,
-    /// Where the node is in its life.
+    /// Lifecycle stage of the node.
     pub lifecycle: Lifecycle,
-    /// When it began to take requests.
+    /// When the node became ready.
     pub ready_at: Option<Moment>,
 }
 
-/// Whether the store answers. A watch that waits cannot tell a quiet store from
-/// a dead path; renewals, which are short and regular, can.
+/// Whether the store answers. A waiting watch cannot distinguish a store without changes from
+/// a broken connection. Lease renewals, which are short and regular, can.
 #[derive(Debug, Default)]
 pub struct StorePath {
     is_lost: Cell<bool>,
@@ -108,8 +108,8 @@
 }
 
 impl StorePath {
-    /// A short call ended. While calls fail, and at the first that succeeds
-    /// again, calls that wait are told to begin anew.
+    /// Records the outcome of a short call. While calls fail, and at the first one that
+    /// succeeds again, waiting calls are notified to start over.
     pub fn call_ended(&self, answered: bool) {
         let was_lost = self.is_lost.replace(!answered);
         if was_lost || !answered {
@@ -117,64 +117,65 @@
         }
     }
 
-    /// Ends when a waiting call should begin anew.
+    /// Completes when a waiting call should start over.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 }
 
-/// One node.
+/// A node of the serving system.
 pub struct Node<P: Platform> {
     /// Its settings.
     pub settings: NodeSettings,
     /// The platform that it runs on.
     pub platform: P,
-    /// Its clock, which goes on in suspensions.
+    /// Its clock, which continues during suspensions of the machine.
     pub clock: Clock,
-    /// State that changes; never borrowed across an await.
+    /// Mutable state; never borrowed across an await.
     pub state: RefCell<NodeState>,
-    /// Told whenever the view of replicas or the configuration changes.
+    /// Notified when the view of replicas or the configuration changes.
     pub view_changed: Notify,
-    /// Told whenever what the orderer relays begins or ends to be believed, and
-    /// when this node gets or loses the orderer's lease.
+    /// Notified when relayed changes become trusted or stop being trusted, and when this node
+    /// gains or loses an orderer's lease.
     pub relay_changed: Notify,
-    /// Told when a request lacks a model, which a replica of an unheard orderer may hold.
+    /// Notified when a request finds no replica with its model, which a replica of an
+    /// unreachable orderer may hold.
     pub holdings_wanted: Notify,
     terms_held: Cell<usize>,
-    /// Told when it is known whether a replica at which requests broke has ended.
+    /// Notified when it is known whether a replica at which requests failed has ended.
     pub crash_judged: Notify,
-    /// Told when this node's report of requests that crash replicas should be written.
+    /// Notified when this node's report of requests that crash replicas should be written.
     pub crash_report_changed: Notify,
-    /// Told when the node is asked to stop.
+    /// Notified when the node is asked to stop.
     pub stop_requested: Notify,
-    /// Told when a request leaves, so that a waiting one may start.
+    /// Notified when a request ends, so that a waiting one may start.
     pub place_freed: Notify,
-    /// Told when a place at a replica may have become free.
+    /// Notified when a slot at a replica may have become free.
     pub room_changed: Notify,
-    /// Whether the store answers, as renewals of the node's own lease show.
+    /// Whether the store answers, judged by renewals of the lease of the node's entry.
     pub store_path: StorePath,
-    /// Connections for requests that may be repeated, and for orders and reports.
+    /// Connections for requests that may be retried, and for orders and reports.
     pub pool: ConnectionPool,
-    /// Connections for requests that must not be ended for mere silence.
+    /// Connections without an idle timeout, for requests that may not be retried.
     pub patient_pool: ConnectionPool,
     /// The quotas of tenants, and their keepers.
     pub quotas: Rc<Quotas>,
-    /// What it heard of replicas' loads, and tells on.
+    /// Observed loads of replicas, to be published to other nodes.
     pub load_news: LoadUpdates,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// When it last handed each shard on to stronger nodes.
+    /// When it last handed each shard over to a stronger node.
     pub handed_on_at: [Cell<Option<Moment>>; SHARD_COUNT],
-    /// What the thread is busy with.
+    /// Time that the thread spends on long steps.
     pub step_times: Rc<StepTimes>,
-    /// Requests being served.
+    /// Number of requests being served.
     pub in_flight: Cell<usize>,
     /// When the node was asked to stop.
     stop_asked: Cell<Option<Moment>>,
-    /// Held while this node tries to become an orderer: one shard at a time, so
-    /// that it sees what it holds already.
+    /// Held while this node tries to become an orderer. It tries one shard at a time, so that
+    /// each attempt sees the leases that the node holds already.
     pub acquiring: Mutex<()>,
-    /// News for the nodes that follow this one.
+    /// Updates for the nodes that follow this one.
     pub followers: broadcast::Sender<RelayedUpdate>,
     to_orderers: Vec<mpsc::Sender<ToOrderer>>,
     to_relay: mpsc::Sender<ToOrderer>,
@@ -185,7 +186,7 @@
 pub struct ShardQueues {
     /// The shard.
     pub shard: Shard,
-    /// Messages for its present orderer, wherever that is.
+    /// Messages for its present orderer, local or remote.
     pub to_orderer: mpsc::Receiver<ToOrderer>,
     /// Events for this node's own orderer task.
     pub orderer_inbox: mpsc::Receiver<OrdererInput>,
@@ -193,19 +194,19 @@
 
 /// Receiving ends of a node's queues.
 pub struct NodeQueues {
-    /// Those of each shard.
+    /// Receiving ends for each shard.
     pub shards: Vec<ShardQueues>,
     /// Messages for the relay that the node follows.
     pub to_relay: mpsc::Receiver<ToOrderer>,
 }
 
 impl<P: Platform> Node<P> {
-    /// A node without a configuration.
+    /// Creates a node without a configuration.
     pub fn new(settings: NodeSettings, platform: P) -> (Rc<Self>, NodeQueues) {
         Self::with_clock(settings, platform, Clock::start())
     }
 
-    /// A node without a configuration, with a clock of its own.
+    /// Creates a node without a configuration that uses the given clock.
     pub fn with_clock(settings: NodeSettings, platform: P, clock: Clock) -> (Rc<Self>, NodeQueues) {
         let (mut to_orderers, mut orderer_inboxes) = (Vec::new(), Vec::new());
         let mut shards = Vec::new();
@@ -307,37 +308,38 @@
         (Rc::new(node), queues)
     }
 
-    /// Where the node is in its life.
+    /// Returns the lifecycle stage of the node.
     pub fn lifecycle(&self) -> Lifecycle {
         self.state.borrow().lifecycle
     }
 
-    /// The newest configuration.
+    /// Returns the latest configuration.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.state.borrow().configuration.clone()
     }
 
-    /// The store, by points; every call is counted.
+    /// Returns the store, with revisions as points of its history ([`crate::store_era`]).
+    /// Each call is counted in the metrics.
     pub fn store(&self) -> CountedStore<'_, EraStore<'_, P::Store>> {
         CountedStore::new(EraStore::new(self.platform.store()), &self.metrics)
     }
 
-    /// True while this node holds an orderer's lease.
+    /// Returns whether this node is the orderer of any shard.
     pub fn gives_orders(&self) -> bool {
         self.terms_held.get() > 0
     }
 
-    /// Number of shards whose orderer this node is.
+    /// Returns the number of shards whose orderer this node is.
     pub fn terms_held(&self) -> usize {
         self.terms_held.get()
     }
 
-    /// This node became the orderer of one more shard.
+    /// Records that this node became the orderer of one more shard.
     pub fn term_began(&self) {
         self.set_terms_held(self.terms_held.get() + 1);
     }
 
-    /// This node is the orderer of one shard less.
+    /// Records that this node is the orderer of one shard less.
     pub fn term_ended(&self) {
         self.set_terms_held(self.terms_held.get() - 1);
     }
@@ -348,8 +350,8 @@
         self.relay_changed.notify_waiters();
     }
 
-    /// The term of the orderer at `peer` is over: what it left is kept for
-    /// whoever follows.
+    /// Records that the term of the orderer at `peer` is over. Its resignation is stored for
+    /// the node that becomes orderer next.
     pub fn hear_resignation(&self, shard: Shard, peer: SocketAddr, resignation: Resignation) {
         let received_at = self.clock.now();
         let heard = ReceivedResignation {
@@ -363,7 +365,8 @@
         self.view_changed.notify_waiters();
     }
 
-    /// A message for all present orderers; left out where too many wait.
+    /// Sends a message to all present orderers. It is dropped and counted where a queue is
+    /// full or the node has no uplink.
     pub fn tell_orderers(&self, message: &ToOrderer) {
         let queues = match self.state.borrow().tree.uplink {
             Uplink::Orderers => self.to_orderers.as_slice(),
@@ -380,26 +383,26 @@
         }
     }
 
-    /// A message for the present orderer of a shard, as long as this node hears the
-    /// orderers by links of its own; left out where too many wait.
+    /// Sends a message to the present orderer of a shard, for nodes that have their own links
+    /// to the orderers. It is dropped and counted if the queue is full.
     pub fn tell_orderer(&self, shard: Shard, message: ToOrderer) {
         if self.to_orderers[shard.index()].try_send(message).is_err() {
             self.metrics.messages_left_out.inc();
         }
     }
 
-    /// An event for all of this node's own orderer tasks.
+    /// Sends an event to all of this node's own orderer tasks.
     pub fn inform_orderer_tasks(&self, input: impl Fn() -> OrdererInput) {
         if !self.gives_orders() {
             return;
         }
         for inbox in &self.orderer_inboxes {
-            // Lost events are made up for: the task reads the whole table on every sync.
+            // Lost events do no harm, as the task reads the full table on every sync.
             let _ = inbox.try_send(input());
         }
     }
 
-    /// The metrics as text.
+    /// Returns the metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         let services = if load_updates::is_active(self) {
             load_summary::by_service(&self.state.borrow().replicas, self.clock.now())
@@ -410,24 +413,26 @@
         self.metrics.text()
     }
 
-    /// The queue of this node's own orderer task of a shard.
+    /// Returns the queue of this node's own orderer task of a shard.
     pub fn orderer_inbox(&self, shard: Shard) -> mpsc::Sender<OrdererInput> {
         self.orderer_inboxes[shard.index()].clone()
     }
 
-    /// When the node was asked to stop, if it was.
+    /// Returns when the node was asked to stop, if it was.
     pub fn stop_asked_at(&self) -> Option<Moment> {
         self.stop_asked.get()
     }
 
-    /// True once the node, asked to stop, takes no new requests any more.
+    /// Returns whether the node rejects new requests, which begins [`STOP_LINGER`] after it
+    /// was asked to stop.
     pub fn refuses_new(&self) -> bool {
         self.stop_asked
             .get()
             .is_some_and(|asked| self.clock.now().since(asked) >= STOP_LINGER)
     }
 
-    /// Begins to stop: not ready any more, gives no orders, takes what still comes.
+    /// Starts to stop the node: it is no longer ready and gives no orders, but still accepts
+    /// requests for [`STOP_LINGER`].
     pub fn begin_stop(&self) {
         let mut state = self.state.borrow_mut();
         if state.lifecycle == Lifecycle::Stopping {
