--- a/crates/croftrill-node/src/membership.rs
+++ b/crates/croftrill-node/src/membership.rs
@@ -1,7 +1,7 @@
-//! The nodes of the system: each keeps an entry in the store under a lease.
+//! Membership of nodes: each node maintains an entry in the store under a lease.
 //!
-//! An entry that ends with its lease removes a dead node from the addresses
-//! that callers are told. While the store is away the last known entries stay.
+//! When the lease expires, the entry is removed, so that callers no longer get the address of
+//! a dead node. While the store is unreachable, the last known entries are retained.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,11 +25,11 @@
 
 /// Prefix of the nodes' entries.
 const MEMBER_PREFIX: &str = "croftrill/nodes/";
-/// Time over which the nodes write their entries anew after the store came back from an
-/// older copy: two calls each, 1,000 a second from 985 nodes.
+/// Time over which nodes spread the rewriting of their entries after the store was restored
+/// from an older copy. A node needs two calls, so 985 nodes make 1,000 calls a second.
 const REWRITE_SPREAD: Duration = Duration::from_secs(2);
-/// Prefix of the entries of a zone's nodes: all that a node of a large fleet must read
-/// to find its relays, 260 bytes each instead of the whole fleet's.
+/// Returns the prefix of the entries of a zone's nodes. A node of a large fleet finds its relays
+/// by these entries of 260 bytes each, without reading those of the entire fleet.
 pub fn zone_prefix(zone: &str) -> String {
     format!("{MEMBER_PREFIX}{zone}/")
 }
@@ -37,18 +37,18 @@
 /// Prefix of the keys about the orderers.
 pub const ORDERER_PREFIX: &str = "croftrill/orderer/";
 
-/// What a key about an orderer holds.
+/// Kind of a key about an orderer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrdererKeyKind {
-    /// The present orderer; goes with its lease.
+    /// The present orderer; removed with its lease.
     Present,
-    /// The machine that last could order; stays.
+    /// The node that was the last orderer; not bound to a lease.
     Last,
-    /// Era of the store in which that was written; stays.
+    /// Era of the store in which the last orderer was recorded; not bound to a lease.
     Era,
 }
 
-/// Name of a kind of key, at the end of the key.
+/// Returns the last segment of a key of this kind.
 fn kind_name(kind: OrdererKeyKind) -> &'static str {
     match kind {
         OrdererKeyKind::Present => "present",
@@ -57,17 +57,17 @@
     }
 }
 
-/// Prefix of the keys about a shard's orderer.
+/// Returns the prefix of the keys about a shard's orderer.
 pub fn orderer_prefix(shard: Shard) -> String {
     format!("{ORDERER_PREFIX}{}/", shard.index())
 }
 
-/// A key about a shard's orderer.
+/// Returns a key about a shard's orderer.
 pub fn orderer_key(shard: Shard, kind: OrdererKeyKind) -> String {
     format!("{}{}", orderer_prefix(shard), kind_name(kind))
 }
 
-/// What a key about an orderer stands for.
+/// Returns the shard and kind of a key about an orderer, or `None` for any other key.
 pub fn parse_orderer_key(key: &str) -> Option<(Shard, OrdererKeyKind)> {
     let (index, name) = key.strip_prefix(ORDERER_PREFIX)?.split_once('/')?;
     let shard = Shard::from_index(index.parse().ok()?)?;
@@ -77,7 +77,7 @@
         .map(|kind| (shard, kind))
 }
 
-/// A node as its entry describes it.
+/// Entry of a node in the store.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct MemberEntry {
     /// Name of the node.
@@ -90,31 +90,31 @@
     pub peer: String,
     /// Processor time that it may use, in thousandths of a core.
     pub processor_millicores: u32,
-    /// Tells this process from a former one of the same name. Its highest bits are
+    /// Distinguishes this process from earlier ones of the same name. Its highest bits are
     /// [`KEEPS_LIMITS`] and [`TELLS_LOADS`].
     pub incarnation: u64,
 }
 
-/// The bit of an incarnation that tells that the process understands questions about
-/// limits. Builds that do not know of them pass incarnations on as they are, and never set
-/// it: theirs is the time of their start in nanoseconds, which reaches it in 2262.
+/// Bit of an incarnation that marks a process that can be the keeper of replica limits. Builds
+/// without such limits forward incarnations unchanged and never set the bit: their own
+/// incarnation is the start time in nanoseconds, which reaches this bit in 2262.
 const KEEPS_LIMITS: u64 = 1 << 63;
-/// The bit that tells that the process understands news of replicas' loads, which no build
-/// without them sets: a start in nanoseconds reaches it in 2116.
+/// Bit of an incarnation that marks a process that understands updates of replica loads. Builds
+/// without them never set it: a start time in nanoseconds reaches this bit in 2116.
 const TELLS_LOADS: u64 = 1 << 62;
 
-/// The incarnation of a process of this build that began at `started_ns`.
+/// Returns the incarnation of a process of this build that started at `started_ns`.
 pub(crate) fn incarnation_of(started_ns: u64) -> u64 {
     started_ns | KEEPS_LIMITS | TELLS_LOADS
 }
 
 impl MemberEntry {
-    /// Address for callers.
+    /// Returns the address for callers, or `None` if it is malformed.
     pub fn front_address(&self) -> Option<SocketAddr> {
         self.front.parse().ok()
     }
 
-    /// The node as it may become an orderer.
+    /// Returns the node as a candidate for orderer or keeper.
     pub fn candidate(&self) -> Candidate<'_> {
         Candidate {
             name: &self.name,
@@ -122,60 +122,60 @@
         }
     }
 
-    /// True if its process answers questions about limits.
+    /// Returns whether the process can be the keeper of replica limits.
     pub fn keeps_limits(&self) -> bool {
         self.incarnation & KEEPS_LIMITS != 0
     }
 
-    /// True if its process understands news of replicas' loads.
+    /// Returns whether the process understands updates of replica loads.
     pub fn tells_loads(&self) -> bool {
         self.incarnation & TELLS_LOADS != 0
     }
 
-    /// Address for other nodes.
+    /// Returns the address for other nodes, or `None` if it is malformed.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.peer.parse().ok()
     }
 }
 
-/// The machine that last could order, as the store records it.
+/// Record in the store of the node that was the last orderer of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, SerBin, DeBin)]
 pub struct LastOrderer {
     /// Its entry.
     pub entry: MemberEntry,
-    /// False while a predecessor's orders counted still at some replicas.
+    /// False if orders of a predecessor may still have been valid at some replicas.
     pub is_settled: bool,
 }
 
-/// Era of the store in which the last orderer was recorded. It has a key of its own, as
-/// the record's form is read by older builds.
+/// Era of the store in which the last orderer was recorded. It is stored under a separate key
+/// because older builds read [`LastOrderer`] in its present format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, SerBin, DeBin)]
 pub struct RecordEra {
-    /// The system's first era.
+    /// First era of the store.
     pub first: u64,
     /// Era of the record.
     pub recorded: u64,
 }
 
-/// An item of the nodes' own.
+/// An item that nodes write about themselves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OwnItem {
     /// A live node.
     Node(MemberEntry),
     /// The present orderer of a shard.
     Orderer(Shard, MemberEntry),
-    /// The machine that last could order at a shard.
+    /// The node that was the last orderer of a shard.
     LastOrderer(Shard, LastOrderer),
 }
 
-/// Reads the era of a record; `None` if the item is none.
+/// Reads the era of a record, or returns `None` if the item is not one.
 pub fn read_record_era(item: &Item) -> Option<RecordEra> {
     let (_, kind) = parse_orderer_key(&item.key)?;
     let is_era = kind == OrdererKeyKind::Era;
     is_era.then(|| read_logged(item)).flatten()
 }
 
-/// Reads the value of an item of the nodes' own; one that cannot be read leaves a log line.
+/// Decodes the value of an item, and logs it if that fails.
 fn read_logged<T: DeBin>(item: &Item) -> Option<T> {
     let read = decode(&item.value);
     if let Err(error) = &read {
@@ -184,7 +184,8 @@
     read.ok()
 }
 
-/// Reads an item of the nodes' own; `None` if it is none, or cannot be read.
+/// Reads an item that nodes write about themselves, or returns `None` if it is not one or is
+/// malformed.
 pub fn read_own_item(item: &Item) -> Option<OwnItem> {
     let read_entry = || read_logged::<MemberEntry>(item);
     if item.key.starts_with(MEMBER_PREFIX) {
@@ -198,7 +199,7 @@
     }
 }
 
-/// All known entries.
+/// All known nodes and orderers.
 #[derive(Debug, Default)]
 pub struct Members {
     nodes: BTreeMap<String, MemberEntry>,
@@ -207,7 +208,7 @@
 }
 
 impl Members {
-    /// An item was written.
+    /// Records that an item was written.
     pub fn written(&mut self, key: &str, item: OwnItem) {
         match item {
             OwnItem::Node(entry) => {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The orderer of a shard at the address `peer` said that its term is over.
+    /// Removes the present orderer of a shard if its address is `peer`.
     pub fn resigned(&mut self, shard: Shard, peer: SocketAddr) {
         let is_present = self.orderer(shard).and_then(MemberEntry::peer_address) == Some(peer);
         if is_present {
@@ -230,7 +231,7 @@
         }
     }
 
-    /// A key was removed.
+    /// Records that a key was removed.
     pub fn removed(&mut self, key: &str) {
         self.nodes.remove(key);
         if let Some((shard, OrdererKeyKind::Present)) = parse_orderer_key(key) {
@@ -238,14 +239,14 @@
         }
     }
 
-    /// Keeps just the entries for whose key `keep` holds.
+    /// Retains only the nodes and present orderers whose keys satisfy `keep`.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.nodes.retain(|key, _| keep(key));
         self.orderers
             .retain(|shard, _| keep(&orderer_key(*shard, OrdererKeyKind::Present)));
     }
 
-    /// All of them as items of the store, by key.
+    /// Returns all nodes and orderers as items of the store, with their keys.
     pub fn items(&self) -> impl Iterator<Item = (String, OwnItem)> + '_ {
         let nodes = self.nodes.iter();
         let nodes = nodes.map(|(key, entry)| (key.clone(), OwnItem::Node(entry.clone())));
@@ -260,28 +261,28 @@
         nodes.chain(orderers).chain(last)
     }
 
-    /// The node that holds the key of a shard's orderer.
+    /// Returns the present orderer of a shard.
     pub fn orderer(&self, shard: Shard) -> Option<&MemberEntry> {
         self.orderers.get(&shard)
     }
 
-    /// The present orderers, by shard.
+    /// Returns the present orderers, by shard.
     pub fn orderers(&self) -> impl Iterator<Item = (Shard, &MemberEntry)> {
         self.orderers.iter().map(|(shard, entry)| (*shard, entry))
     }
 
-    /// The node that last could order at a shard.
+    /// Returns the node that was the last orderer of a shard.
     pub fn last_orderer(&self, shard: Shard) -> Option<&MemberEntry> {
         self.last_orderers.get(&shard).map(|last| &last.entry)
     }
 
-    /// The live nodes.
+    /// Returns the live nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &MemberEntry> {
         self.nodes.values()
     }
 
-    /// True if all that is known of who is at an address for other nodes says that it
-    /// understands news of replicas' loads.
+    /// Returns whether the node at a peer address understands updates of replica loads. All known
+    /// entries with that address must agree, and there must be at least one.
     pub fn tell_loads_at(&self, peer: SocketAddr) -> bool {
         let peer = peer.to_string();
         let known = self.nodes().chain(self.orderers.values());
@@ -289,7 +290,7 @@
         known.peek().is_some() && known.all(MemberEntry::tells_loads)
     }
 
-    /// Number of live nodes, at least one.
+    /// Returns the number of live nodes, at least one.
     pub fn node_count(&self) -> usize {
         self.nodes().count().max(1)
     }
@@ -314,7 +315,7 @@
     }
 }
 
-/// The entry of this node. `incarnation` tells this process from a former one.
+/// Returns the entry of this node. `incarnation` distinguishes this process from earlier ones.
 pub fn own_entry<P: Platform>(node: &Node<P>, incarnation: u64) -> MemberEntry {
     let identity = &node.settings.identity;
     MemberEntry {
@@ -327,7 +328,7 @@
     }
 }
 
-/// Keeps this node's entry until it stops.
+/// Maintains this node's entry in the store until the node stops.
 pub async fn keep_entry<P: Platform>(node: Rc<Node<P>>, incarnation: u64) {
     let entry = own_entry(&node, incarnation);
     let key = format!("{}{}", zone_prefix(&entry.zone), entry.name);
@@ -340,7 +341,7 @@
         }
         let present_rises = node.platform.store().era().rises();
         if std::mem::replace(&mut rises, present_rises) != present_rises {
-            // The store may have come back with the lease and without the entry.
+            // The restored store may contain the lease without the entry.
             let share = rand::rng().random_range(0.0..1.0);
             sleep(REWRITE_SPREAD.mul_f64(share)).await;
             lease = None;
@@ -348,7 +349,7 @@
         }
         tokio::select! {
             () = sleep(node.settings.pace.membership_renewal) => {}
-            // Renewals wait by the steady clock, leases run out by the store's.
+            // The sleep is based on the monotonic clock, lease expiry on the store's clock.
             () = node.clock.resumed() => {}
             () = node.stop_requested.notified() => {}
             () = node.view_changed.notified(), if lease.is_none() => {}
@@ -360,7 +361,7 @@
     }
 }
 
-/// Renews the lease, or writes the entry anew under a new one.
+/// Renews the lease. If it is over, writes the entry under a new lease.
 async fn refresh<P: Platform>(node: &Node<P>, lease: Option<u64>, key: &str, value: &Bytes) -> Option<u64> {
     let store = node.store();
     if let Some(lease) = lease {
@@ -387,7 +388,7 @@
     tracing::info!(target: "membership", event = "entry written", ok = written.is_ok(), lease);
     match written {
         Ok(_) => Some(lease),
-        // Without an answer it may stand; it is written again under a new lease.
+        // The write may have succeeded without an answer; it is repeated under a new lease.
         Err(_) => None,
     }
 }
