--- a/crates/croftrill-node/src/settings.rs
+++ b/crates/croftrill-node/src/settings.rs
@@ -1,9 +1,9 @@
-//! The typed settings of a node. Where they come from is the caller's concern.
+//! Typed settings of a node. Reading them from files is up to the caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Who and where a node is.
+/// Name and addresses of a node, and the resources of its machine.
 #[derive(Debug, Clone)]
 pub struct NodeIdentity {
     /// Unique name of the node.
@@ -16,74 +16,74 @@
     pub peer: SocketAddr,
     /// Processor time that it may use, in thousandths of a core.
     pub processor_millicores: u32,
-    /// What its link carries, in bytes a second.
+    /// Bandwidth of its network link, in bytes per second.
     pub link_bytes_per_s: u64,
 }
 
-/// What a link is taken to carry where nobody says: 10 Mbit/s.
+/// Bandwidth assumed for a link if the settings give none: 10 Mbit/s.
 pub const LEAST_LINK_BYTES_PER_S: u64 = 1_250_000;
 
-/// Bounds that hold for all nodes together.
+/// Bounds that apply to all nodes together.
 #[derive(Debug, Clone)]
 pub struct ClusterBounds {
-    /// Time within which one orderer must not follow another at a replica.
+    /// Minimum time between the orders of two machines at one replica.
     pub order_gap: Duration,
-    /// Sliding window of the ceiling on loads from the weight store.
+    /// Sliding window of the limit on model loads from the weight store.
     pub ceiling_window: Duration,
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub retry_ratio: f64,
-    /// Repeats allowed besides in a window.
+    /// Additional retries allowed per window.
     pub retry_slack: f64,
     /// Window of the retry budget.
     pub retry_window: Duration,
     /// Window of the tenants' quotas.
     pub quota_window: Duration,
-    /// Part of its quota that a tenant may be over it in a window.
+    /// Fraction of its quota by which a tenant may exceed it in a window.
     pub quota_overage: f64,
-    /// Units that it may be over that besides.
+    /// Additional units by which a tenant may exceed its quota in a window.
     pub quota_slack: f64,
-    /// Time between the request to stop and the end of the process.
+    /// Time that the process has to end after it was asked to stop.
     pub stop_grace: Duration,
-    /// Time within which a configuration must be in force everywhere.
+    /// Time within which a new configuration must be in force at all nodes.
     pub configuration_deadline: Duration,
     /// Shortest lease that the store grants.
     pub least_lease: Duration,
 }
 
-/// All settings of a node.
+/// Settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Who and where it is.
+    /// Name, addresses and resources of the node.
     pub identity: NodeIdentity,
-    /// Bounds for all nodes.
+    /// Bounds that apply to all nodes together.
     pub bounds: ClusterBounds,
     /// Intervals of the node's own work.
     pub pace: Pace,
-    /// Most requests that the node serves at the same time; what comes beyond
-    /// waits by its group's share. `None`: replicas alone queue and rank.
+    /// Maximum number of requests that the node serves concurrently. Further requests wait and
+    /// are admitted by the shares of their groups. If `None`, only replicas queue requests.
     pub most_in_service: Option<usize>,
-    /// Replicas up to which a relay tells its followers of all of them; of more, of those
-    /// that their requests ask for.
+    /// Maximum number of replicas up to which a relay sends all of them to its followers. With
+    /// more replicas, it sends those that the followers' requests need.
     pub most_replicas_told: usize,
-    /// True where callers are known to compete for too little room at times: nodes tell
-    /// each other how full replicas are, whether or not these tell how fast they work.
+    /// True if callers are expected to compete for scarce capacity at times. Nodes then publish
+    /// the load of replicas to each other even if no replica reports how fast it works.
     pub callers_compete: bool,
-    /// True at the first start of the whole system: no former process of this
-    /// machine can have used its part of the retry budget.
+    /// True at the first start of the entire system, when no earlier process of this machine can
+    /// have used its part of the retry budget.
     pub is_first_start: bool,
 }
 
-/// Usual value of [`NodeSettings::most_replicas_told`]: 512 replicas are some 100 KB, as
-/// much as a configuration, 40 ms over 20 Mbit/s and 0.5 MB of memory.
+/// Default of [`NodeSettings::most_replicas_told`]. 512 replicas take about 100 KB, as much as
+/// a configuration: 40 ms over 20 Mbit/s, and 0.5 MB of memory.
 pub const MOST_REPLICAS_TOLD: usize = 512;
 
-/// Time that a call to the store may take once a node asks by itself: its limit
-/// of 0.9 s, and a margin for the answer to be taken in.
+/// Time reserved for a node's own call to the store: the call's limit of 0.9 s, and a margin
+/// for applying the answer.
 const OWN_CALL: Duration = Duration::from_millis(1000);
 
 impl NodeSettings {
-    /// Time for which a node that lost the relay waits for another one before it
-    /// asks the store: what the configuration's deadline leaves.
+    /// Returns how long a node that lost its relay waits for another one before it reads the
+    /// store: the part of the configuration deadline that remains for this.
     pub fn relay_patience(&self) -> Duration {
         let used = self.pace.relay_lifetime + OWN_CALL;
         self.bounds.configuration_deadline.saturating_sub(used)
@@ -93,29 +93,29 @@
 /// Intervals of a node's own work.
 #[derive(Debug, Clone)]
 pub struct Pace {
-    /// Least time between two watch calls.
+    /// Minimum time between two watch calls.
     pub watch_every: Duration,
-    /// Longest time that one watch call waits.
+    /// Maximum time that a watch call waits for changes.
     pub watch_wait: Duration,
-    /// Least time between two watch calls of the orderer, whose answers all nodes get.
+    /// Minimum time between two watch calls of a node that relays the answers to other nodes.
     pub relay_watch_every: Duration,
-    /// Longest time that one of these waits.
+    /// Maximum time that a watch call of such a node waits for changes.
     pub relay_watch_wait: Duration,
-    /// Time for which what the orderer relays is believed to be complete.
+    /// Time for which relayed changes are trusted to be complete.
     pub relay_lifetime: Duration,
     /// Time to live of the node's own entry.
     pub membership_lease: Duration,
-    /// Time between renewals of it.
+    /// Interval between renewals of the lease of the node's own entry.
     pub membership_renewal: Duration,
     /// Time to live of the orderer's lease.
     pub orderer_lease: Duration,
-    /// Time between renewals of it.
+    /// Interval between renewals of the orderer's lease.
     pub orderer_renewal: Duration,
-    /// Time between two plans of the orderer.
+    /// Interval between two plans of the orderer.
     pub plan_every: Duration,
-    /// Time between reports of demand to the orderer.
+    /// Interval between reports of demand to the orderers.
     pub demand_every: Duration,
-    /// Time between signs of life on a link between nodes.
+    /// Interval between heartbeats on a link between nodes.
     pub peer_heartbeat: Duration,
 }
 
