--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -1,7 +1,7 @@
-//! What a node needs of its surroundings, as traits with typed messages.
+//! Interfaces between a node and its platform, as traits with typed messages.
 //!
 //! An adapter implements them for a platform; tests implement them in memory.
-//! All futures stay on the node's one thread, so none must be `Send`.
+//! All futures run on the node's single thread, so they need not be `Send`.
 #![allow(async_fn_in_trait)]
 
 use std::net::{IpAddr, SocketAddr};
@@ -20,7 +20,7 @@
 use crate::connection::{Arrival, ExchangeError};
 use crate::store_era::{FormerEra, StoreEra};
 
-/// One item of the key-value store.
+/// An item of the key-value store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// Its key.
@@ -46,7 +46,7 @@
 }
 
 impl StoreEvent {
-    /// The key that changed.
+    /// Returns the key that changed.
     pub fn key(&self) -> &str {
         match self {
             StoreEvent::Written(item) => &item.key,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Store revision of the change.
+    /// Returns the store revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
             StoreEvent::Written(item) => item.revision,
@@ -63,12 +63,12 @@
     }
 }
 
-/// How new the answer to a read must be.
+/// Required freshness of the answer to a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// All that was acknowledged before the call.
+    /// Includes all writes that were acknowledged before the call.
     Latest,
-    /// Possibly seconds old; costs the store little.
+    /// May be seconds old, but is cheap for the store.
     MayLag,
 }
 
@@ -77,12 +77,12 @@
 pub struct Snapshot {
     /// The items.
     pub items: Vec<Item>,
-    /// Revision from which a watch misses nothing.
+    /// Revision from which a watch misses no change.
     pub revision: u64,
 }
 
 impl Snapshot {
-    /// Size of all keys and values, in bytes.
+    /// Returns the total size of all keys and values, in bytes.
     pub fn size_bytes(&self) -> u64 {
         let sizes = self.items.iter().map(|item| item.key.len() + item.value.len());
         sizes.sum::<usize>() as u64
@@ -94,14 +94,13 @@
 pub struct Changes {
     /// The changes in order.
     pub events: Vec<StoreEvent>,
-    /// Revision from which the next watch goes on.
+    /// Revision from which the next watch continues.
     pub revision: u64,
 }
 
 impl Changes {
-    /// Without writes that a later one of the same key replaces: what a node has
-    /// to read, and to tell others, goes by what holds and not by how often it
-    /// changed.
+    /// Drops writes that a later write of the same key replaces. The work of reading and
+    /// publishing changes then depends on the number of keys, not on how often they changed.
     pub fn without_replaced(mut self) -> Self {
         retain_last_writes(&mut self.events, |event| match event {
             StoreEvent::Written(item) => Some(&item.key),
@@ -111,69 +110,69 @@
     }
 }
 
-/// One key's new value.
+/// A write of one key.
 #[derive(Debug, Clone)]
 pub struct Write {
     /// The key.
     pub key: String,
     /// The new value.
     pub value: Bytes,
-    /// Lease that the key goes with; 0: it stays.
+    /// Lease with which the key is removed, or 0 if it is bound to none.
     pub lease: u64,
 }
 
-/// A key and the revision at which it must stand.
+/// A key and its expected revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Expectation {
     /// The key.
     pub key: String,
-    /// Its expected revision; 0: it is absent.
+    /// Revision of its last change, or 0 if it must be absent.
     pub revision: u64,
 }
 
-/// Writes that are done all or not at all, and only if every condition holds.
+/// Writes that are applied atomically, and only if all conditions hold.
 #[derive(Debug, Clone)]
 pub struct ConditionalPut {
-    /// What must hold.
+    /// Expected revisions of keys.
     pub conditions: Vec<Expectation>,
-    /// What is written.
+    /// Writes to apply.
     pub writes: Vec<Write>,
 }
 
-/// What became of a conditional put.
+/// Outcome of a conditional put.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It was done, at this revision.
+    /// The writes were applied.
     Done {
         /// Revision of the change.
         revision: u64,
     },
-    /// The condition did not hold.
+    /// A condition did not hold.
     Rejected,
 }
 
 /// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// It could not be reached; nothing was done.
+    /// The store could not be reached; nothing was done.
     #[error("store cannot be reached")]
     Unreachable,
-    /// No answer came; the call may have been done, or may be done later.
+    /// No answer arrived; the call may have been executed, or may be executed later.
     #[error("no answer from the store")]
     NoAnswer,
-    /// The store said that it did nothing.
+    /// The store answered that it did nothing.
     #[error("store is not available")]
     Unavailable,
     /// Too many calls.
     #[error("store is throttling")]
     Throttled,
-    /// The asked-for history is gone; read everything again.
+    /// The store no longer has the requested history; everything must be read again.
     #[error("history is gone")]
     HistoryGone,
-    /// The asked-for history is longer than wanted; read everything again.
+    /// The answer exceeds the size limit; everything must be read again.
     #[error("history is too long")]
     HistoryTooLong,
-    /// The lease is over.
+    /// The lease has expired or was ended.
     #[error("no such lease")]
     NoSuchLease,
     /// The answer could not be understood.
@@ -197,31 +196,32 @@
     }
 }
 
-/// A question for what changed.
+/// A request for changes.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchCall<'a> {
     /// Prefix of the keys.
     pub prefix: &'a str,
-    /// Revision after which changes are told.
+    /// Revision after which changes are returned.
     pub after: u64,
-    /// Longest wait of the store for a change.
+    /// Maximum time that the store waits for a change.
     pub wait: Duration,
-    /// Most bytes of the answer; a longer one fails with
+    /// Maximum size of the answer in bytes; a longer one fails with
     /// [`StoreError::HistoryTooLong`].
     pub most_bytes: u64,
-    /// Shows what has arrived of the answer.
+    /// Records how much of the answer has arrived.
     pub arrival: &'a Arrival,
 }
 
 /// A linearizable key-value store with revisions, leases and watches.
 ///
-/// A store that counts eras notes that of each answer ([`StoreEra::note`]); an answer of a
-/// former one counts as none. Revisions are the store's own.
+/// An implementation for a store with eras records the era of each answer
+/// ([`StoreEra::note`]); an answer of an earlier era counts as no answer. Revisions are the
+/// store's own.
 pub trait KeyValueStore {
-    /// Era of the store, as its answers told it.
+    /// Returns the era of the store, as reported in its answers.
     fn era(&self) -> &StoreEra;
-    /// Reads all items whose key begins with `prefix`; each part of the answer must
-    /// begin within `limit`, and is then waited for as long as it arrives.
+    /// Reads all items whose key begins with `prefix`. Each chunk of the answer must begin to
+    /// arrive within `limit`, and may then take longer as long as data arrives.
     async fn range(
         &self,
         prefix: &str,
@@ -230,85 +230,86 @@
     ) -> Result<Snapshot, StoreError>;
     /// Waits for changes.
     async fn watch(&self, call: WatchCall<'_>) -> Result<Changes, StoreError>;
-    /// A revision that the store has reached: cheap, and possibly seconds old.
+    /// Returns a revision that the store has reached. The call is cheap, but the revision may be
+    /// seconds old.
     async fn reached_revision(&self) -> Result<u64, StoreError>;
 
-    /// Writes under a condition.
+    /// Applies writes if their conditions hold.
     async fn put(&self, put: ConditionalPut) -> Result<PutOutcome, StoreError>;
-    /// Asks for a lease; answers its number.
+    /// Requests a lease and returns its id.
     async fn grant_lease(&self, time_to_live: Duration) -> Result<u64, StoreError>;
     /// Renews a lease.
     async fn renew_lease(&self, lease: u64) -> Result<(), StoreError>;
-    /// Ends a lease; its keys go with it.
+    /// Ends a lease, which removes its keys.
     async fn end_lease(&self, lease: u64) -> Result<(), StoreError>;
 }
 
-/// What an item of the store means to the node.
+/// Decoded item of the store.
 #[derive(Debug, Clone)]
 pub enum Record {
     /// The operators' configuration.
     Configuration(Arc<Configuration>),
-    /// A replica as listed.
+    /// The listing of a replica.
     Replica(ReplicaListing),
-    /// A value that should be one of these but cannot be read.
+    /// A configuration or listing that cannot be decoded, with the reason.
     Malformed(String),
-    /// Something else: a node's own item, or nothing that concerns it.
+    /// Any other item, such as one that nodes write about themselves.
     Other,
 }
 
-/// Reads the store's items.
+/// Decodes the platform's items of the store.
 pub trait RecordReader {
-    /// What an item means.
+    /// Decodes an item.
     fn read(&self, item: &Item) -> Record;
-    /// The key of the operators' configuration.
+    /// Returns the key of the operators' configuration.
     fn configuration_key(&self) -> &str;
-    /// Prefix of the replicas' keys.
+    /// Returns the prefix of the keys of replicas.
     fn replica_prefix(&self) -> &str;
-    /// The replica that a key stands for.
+    /// Returns the replica whose listing is stored under a key.
     fn replica_of(&self, key: &str) -> Option<ReplicaId>;
 }
 
-/// Where an order or question goes.
+/// Recipient of an order or a report request.
 #[derive(Debug, Clone)]
 pub struct EngineAddress {
-    /// The incarnation that is meant.
+    /// The addressed incarnation of the replica.
     pub replica: ReplicaId,
     /// Its address.
     pub address: SocketAddr,
 }
 
-/// An order with its authority.
+/// An order with the lease that authorizes it.
 #[derive(Debug, Clone)]
 pub struct FencedOrder {
-    /// What to do.
+    /// The order.
     pub order: Order,
-    /// Name of the node that orders.
+    /// Name of the node that sends the order and holds the lease.
     pub holder: String,
     /// Fencing token of its lease.
     pub fencing_token: u64,
-    /// Number of orders that the replica must have taken before.
+    /// Number of orders that the replica must have accepted before.
     pub expected_sequence: u64,
 }
 
-/// Orders and questions to model replicas.
+/// Sends orders and report requests to replicas.
 pub trait EngineControl {
     /// Sends an order.
     async fn order(&self, target: &EngineAddress, order: &FencedOrder) -> EngineAnswer<OrderOutcome>;
-    /// Asks for a report; `None` if none came.
+    /// Requests a report; the answer is `None` if none arrived.
     async fn report(&self, target: &EngineAddress) -> EngineAnswer<Option<ReplicaReport>>;
 }
 
-/// What a replica answered to an order or a question, and what it said of itself with it.
+/// Answer of a replica to an order or a report request, with the signals that it contained.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineAnswer<T> {
-    /// The answer, or that none came.
+    /// The answer, or a value that stands for a missing one.
     pub answer: T,
-    /// Nothing, if none came.
+    /// Signals of the replica; empty if no answer arrived.
     pub word: ReplicaSignals,
 }
 
 impl<T> EngineAnswer<T> {
-    /// No answer came, so it said nothing of itself.
+    /// Creates an answer without signals, as no response arrived.
     pub fn without_word(answer: T) -> Self {
         EngineAnswer {
             answer,
@@ -317,139 +318,139 @@
     }
 }
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Hash of the part.
     pub hash: u64,
-    /// Its tokens.
+    /// Number of tokens of the part.
     pub tokens: u64,
 }
 
-/// What the headers of a request tell.
+/// Properties of a request, read from its headers and in some dialects from its body.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestFacts {
     /// The caller's id of this attempt.
     pub id: String,
-    /// Time that the caller will wait.
+    /// Time that the caller is willing to wait.
     pub deadline: Option<Duration>,
-    /// The model, if one is named.
+    /// The requested model, if any.
     pub model: Option<ModelName>,
-    /// An adapter of it.
+    /// The requested adapter of the model, if any.
     pub adapter: Option<AdapterName>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub output_tokens: u64,
-    /// Parts of the prompt in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// The event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub last_event_id: Option<String>,
-    /// Tokens that the request counts for against a quota, if it tells any.
+    /// Number of tokens that count against a quota, if the request declares it.
     pub metered_tokens: Option<u64>,
-    /// The group of callers that the request counts for: the tenant whose key it
-    /// shows, or where no keys are needed the one that it names.
+    /// The group of callers that the request belongs to: the tenant whose key it presents or,
+    /// where no keys are required, the group that it names.
     pub group: Option<String>,
 }
 
-/// Address from which a caller's connection comes; the front sets it as an extension
-/// of each request. For the log: it does not tell who the caller is.
+/// Remote address of a caller's connection, which the front sets as an extension of each
+/// request. It is only used in the log, as it does not identify the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
 /// Why a request's headers cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
-    /// No id.
+    /// The attempt id is missing.
     #[error("the request has no attempt id")]
     NoId,
-    /// A header's value cannot be read.
+    /// The value of a header is malformed.
     #[error("header {0} cannot be read")]
     Header(&'static str),
-    /// The body cannot be read.
+    /// The body is malformed.
     #[error("the body cannot be read: {0}")]
     Body(String),
 }
 
-/// What the system adds to a request for a replica.
+/// Data that the system adds to a request for a replica.
 #[derive(Debug, Clone)]
 pub struct Forwarding<'a> {
-    /// The incarnation that may run it.
+    /// The incarnation that may execute the request.
     pub replica: &'a str,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority, of which 0 is the most urgent.
     pub priority: Option<u8>,
-    /// The tenant whose key the caller showed.
+    /// The tenant whose key the caller presented.
     pub tenant: Option<&'a str>,
-    /// The event after which the stream goes on.
+    /// Id of the event after which the stream resumes.
     pub resume_after: Option<&'a str>,
 }
 
-/// Whether a replica ran the request that it answered.
+/// Whether a replica executed the request that it answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// It says that it did not and will not.
+    /// The replica states that it did not and will not.
     NotExecuted,
-    /// It did, or may have.
+    /// The replica did, or may have.
     Executed,
 }
 
-/// What the head of a replica's answer tells.
+/// Properties of a replica's answer, read from its head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// True if it answers this request and not another.
+    /// True if it answers this request rather than another one.
     pub is_ours: bool,
     /// True if it carries the replica's signature.
     pub is_signed: bool,
     /// True if its body is the replica's own bytes, without an encoding.
     pub is_plain: bool,
-    /// Whether the request ran.
+    /// Whether the replica executed the request.
     pub execution: Execution,
-    /// True if it tells that the replica is another incarnation or lacks the model.
+    /// True if it states that the replica is another incarnation or lacks the model.
     pub is_misdirected: bool,
-    /// Its load, if told.
+    /// The replica's load, if reported.
     pub load: Option<ReplicaLoad>,
-    /// What else the replica says of itself.
+    /// Other signals of the replica.
     pub word: ReplicaSignals,
 }
 
-/// How requests and answers are written on the wire.
+/// Wire format of requests and answers.
 pub trait Dialect {
-    /// Word before the key in a caller's `Authorization`.
+    /// Returns the scheme before the key in a caller's `Authorization` header.
     fn key_scheme(&self) -> &'static str;
     /// Reads a request's headers.
     fn request_facts(&self, head: &request::Parts) -> Result<RequestFacts, BadRequest>;
-    /// Adds what the body tells, in dialects that put the model there.
+    /// Adds what the body contains, in dialects that name the model there.
     fn read_body(&self, _facts: &mut RequestFacts, _body: &Bytes) -> Result<(), BadRequest> {
         Ok(())
     }
-    /// The JSON answer to a call that the node answers by itself.
+    /// Returns the JSON answer to a call that the node answers without a replica.
     fn own_answer(&self, _head: &request::Parts, _configuration: &Configuration) -> Option<String> {
         None
     }
     /// Sets the system's own headers of a request for a replica.
     fn forward(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>);
-    /// Reads the head of a replica's answer to the request with that id.
+    /// Reads the head of a replica's answer to the request `id`.
     fn answer_facts(&self, id: &str, head: &response::Parts) -> AnswerFacts;
 }
 
-/// A platform: the implementations that a node runs on.
+/// The implementations of a platform's interfaces that a node uses.
 pub trait Platform: 'static {
     /// The store.
     type Store: KeyValueStore;
-    /// Reader of its items.
+    /// Decoder of the store's items.
     type Records: RecordReader;
-    /// Orders to replicas.
+    /// Sender of orders to replicas.
     type Engine: EngineControl;
-    /// The wire of requests.
+    /// Wire format of requests.
     type Dialect: Dialect;
-    /// The store.
+    /// Returns the store.
     fn store(&self) -> &Self::Store;
-    /// Reader of its items.
+    /// Returns the decoder of the store's items.
     fn records(&self) -> &Self::Records;
-    /// Orders to replicas.
+    /// Returns the sender of orders to replicas.
     fn engine(&self) -> &Self::Engine;
-    /// The wire of requests.
+    /// Returns the wire format of requests.
     fn dialect(&self) -> &Self::Dialect;
 }
