--- a/crates/croftrill-node/src/metrics.rs
+++ b/crates/croftrill-node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, in the Prometheus text format.
+//! Metrics of a node, in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -14,12 +14,12 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Labels of a counter by outcome.
+/// Labels of a counter by kind and outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// What kind of thing is counted.
+    /// Kind of the counted event.
     pub kind: &'static str,
-    /// How it ended.
+    /// Outcome of the event.
     pub outcome: &'static str,
 }
 
@@ -30,7 +30,7 @@
     pub service: String,
 }
 
-/// A number for each service.
+/// A gauge with one value per service.
 pub type ServiceGauge<N, A> = Family<ServiceLabels, Gauge<N, A>>;
 
 /// All metrics of a node.
@@ -38,63 +38,63 @@
     registry: Registry,
     /// Requests by route kind and outcome.
     pub requests: Family<OutcomeLabels, Counter>,
-    /// Requests that were denied or refused before they counted, by cause.
+    /// Requests denied for their key or a quota, by kind and cause.
     pub denied: Family<OutcomeLabels, Counter>,
-    /// Links to keepers of quotas that ended unwanted.
+    /// Links to keepers of quotas that were lost unexpectedly.
     pub quota_keepers_lost: Counter,
-    /// Sends beyond a request's first, by cause.
+    /// Retries of requests, by route kind and outcome.
     pub retries: Family<OutcomeLabels, Counter>,
-    /// Orders by kind and outcome.
+    /// Orders to replicas by kind and outcome.
     pub orders: Family<OutcomeLabels, Counter>,
-    /// Questions to replicas for their reports, by outcome.
+    /// Report requests to replicas, by outcome.
     pub reports: Family<OutcomeLabels, Counter>,
     /// Requests that crash replicas, and replicas that ended, by outcome.
     pub crashes: Family<OutcomeLabels, Counter>,
-    /// What replicas say of themselves in their answers.
+    /// Signals of replicas in their answers, by kind.
     pub replica_words: Family<OutcomeLabels, Counter>,
-    /// Requests that found all holders of their model full, by what became of them.
+    /// Requests that found all holders of their model full, by outcome.
     pub full_holders: Family<OutcomeLabels, Counter>,
-    /// Calls to replicas that named a limit, by what was said of their turn.
+    /// Calls to replicas that report a limit, by kind and the outcome of their reservation.
     pub limited: Family<OutcomeLabels, Counter>,
-    /// Suspensions of the machine that were noticed.
+    /// Detected suspensions of the machine.
     pub suspensions: Counter,
-    /// Times that the store came back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     pub store_rises: Counter,
     /// Calls to the store by kind and outcome.
     pub store_calls: Family<OutcomeLabels, Counter>,
-    /// Messages of the orderer by kind and what became of them.
+    /// Received messages of orderers and relays, by kind and outcome.
     pub relayed: Family<OutcomeLabels, Counter>,
-    /// Accounts of replicas' loads by where they come from or go to, and what became of them.
+    /// Load samples of replicas by their source or destination, and outcome.
     pub load_news: Family<OutcomeLabels, Counter>,
-    /// Bytes of messages with such accounts that were sent.
+    /// Bytes sent in messages with load samples.
     pub load_news_bytes: Counter,
-    /// Replicas by service of which this node heard lately.
+    /// Replicas of each service whose load was observed recently.
     pub service_replicas_heard: ServiceGauge<i64, AtomicI64>,
-    /// Free places of these.
+    /// Free slots of these replicas.
     pub service_room: ServiceGauge<i64, AtomicI64>,
-    /// Those that are full.
+    /// Number of these replicas that are full.
     pub service_full: ServiceGauge<i64, AtomicI64>,
-    /// Those that are slow.
+    /// Number of these replicas that are slow.
     pub service_slow: ServiceGauge<i64, AtomicI64>,
-    /// Requests of the busiest of them, in times of the mean.
+    /// Requests at the busiest of these replicas, as a multiple of the mean.
     pub service_spread: ServiceGauge<f64, AtomicU64>,
-    /// Seconds from arrival to the head of the answer.
+    /// Seconds from the arrival of a request to the head of its answer.
     pub first_byte_seconds: Histogram,
     /// Size of the answers to the node's own watches, in bytes.
     pub watch_answer_bytes: Histogram,
     /// Version of the configuration in force.
     pub configuration_version: Gauge,
-    /// Replicas known.
+    /// Number of known replicas.
     pub replicas: Gauge,
-    /// 1 while this node may give orders.
+    /// Number of shards whose orderer this node is.
     pub is_orderer: Gauge,
     /// Requests being served.
     pub in_flight: Gauge,
-    /// Requests that wait for their turn in a tenant's quota.
+    /// Requests that wait for a reservation in a tenant's quota.
     pub quota_waiting: Gauge,
-    /// Messages to the orderer that were left out.
+    /// Messages to orderers or the relay that were dropped.
     pub messages_left_out: Counter,
-    /// Log lines that were left out.
+    /// Log lines that were dropped.
     pub log_lines_left_out: Counter,
 }
 
@@ -105,7 +105,7 @@
 const SIZE_BUCKETS: [f64; 6] = [1e3, 1e4, 1e5, 3e5, 1e6, 1e7];
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Creates metrics with all values at zero.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("croftrill");
         let requests = Family::default();
@@ -119,13 +119,13 @@
         let quota_keepers_lost = Counter::default();
         registry.register(
             "quota_keepers_lost",
-            "Links to keepers of quotas that ended unwanted",
+            "Links to keepers of quotas that were lost unexpectedly",
             quota_keepers_lost.clone(),
         );
         let retries = Family::default();
         registry.register(
             "retries",
-            "Sends beyond a request's first, by cause",
+            "Retries of requests by route kind and outcome",
             retries.clone(),
         );
         let orders = Family::default();
@@ -133,7 +133,7 @@
         let reports = Family::default();
         registry.register(
             "reports",
-            "Questions to replicas for their reports, by outcome",
+            "Report requests to replicas by outcome",
             reports.clone(),
         );
         let crashes = Family::default();
@@ -145,31 +145,31 @@
         let replica_words = Family::default();
         registry.register(
             "replica_words",
-            "What replicas say of themselves in their answers",
+            "Signals of replicas in their answers, by kind",
             replica_words.clone(),
         );
         let full_holders = Family::default();
         registry.register(
             "full_holders",
-            "Requests that found all holders of their model full, by what became of them",
+            "Requests that found all holders of their model full, by outcome",
             full_holders.clone(),
         );
         let limited = Family::default();
         registry.register(
             "limited",
-            "Calls to replicas that named a limit, by what was said of their turn",
+            "Calls to replicas that report a limit, by kind and outcome of their reservation",
             limited.clone(),
         );
         let suspensions = Counter::default();
         registry.register(
             "suspensions",
-            "Suspensions of the machine that were noticed",
+            "Detected suspensions of the machine",
             suspensions.clone(),
         );
         let store_rises = Counter::default();
         registry.register(
             "store_rises",
-            "Times that the store came back from an older copy",
+            "Number of times that the store was restored from an older copy",
             store_rises.clone(),
         );
         let store_calls = Family::default();
@@ -181,47 +181,47 @@
         let relayed = Family::default();
         registry.register(
             "relayed",
-            "Messages of the orderer by kind and what became of them",
+            "Received messages of orderers and relays by kind and outcome",
             relayed.clone(),
         );
         let load_news = Family::default();
         registry.register(
             "load_news",
-            "Accounts of replicas' loads by kind and what became of them",
+            "Load samples of replicas by source or destination, and outcome",
             load_news.clone(),
         );
         let load_news_bytes = Counter::default();
         registry.register(
             "load_news_bytes",
-            "Bytes of messages with accounts of replicas' loads that were sent",
+            "Bytes sent in messages with load samples of replicas",
             load_news_bytes.clone(),
         );
         let service_replicas_heard = ServiceGauge::default();
         registry.register(
             "service_replicas_heard",
-            "Replicas by service of which this node heard lately",
+            "Replicas of each service whose load was observed recently",
             service_replicas_heard.clone(),
         );
         let service_room = ServiceGauge::default();
         registry.register(
             "service_room",
-            "Free places of the replicas of which this node heard lately",
+            "Free slots of the replicas whose load was observed recently",
             service_room.clone(),
         );
         let service_full = ServiceGauge::default();
-        registry.register("service_full", "Full replicas of these", service_full.clone());
+        registry.register("service_full", "Full replicas among these", service_full.clone());
         let service_slow = ServiceGauge::default();
-        registry.register("service_slow", "Slow replicas of these", service_slow.clone());
+        registry.register("service_slow", "Slow replicas among these", service_slow.clone());
         let service_spread = ServiceGauge::default();
         registry.register(
             "service_spread",
-            "Requests of the busiest of these replicas, in times of the mean",
+            "Requests at the busiest of these replicas, as a multiple of the mean",
             service_spread.clone(),
         );
         let first_byte_seconds = Histogram::new(LATENCY_BUCKETS);
         registry.register(
             "first_byte_seconds",
-            "Arrival to the answer's head",
+            "Seconds from the arrival of a request to the head of its answer",
             first_byte_seconds.clone(),
         );
         let watch_answer_bytes = Histogram::new(SIZE_BUCKETS);
@@ -233,15 +233,15 @@
         let configuration_version = Gauge::default();
         registry.register(
             "configuration_version",
-            "Version in force",
+            "Version of the configuration in force",
             configuration_version.clone(),
         );
         let replicas = Gauge::default();
-        registry.register("replicas", "Replicas known", replicas.clone());
+        registry.register("replicas", "Known replicas", replicas.clone());
         let is_orderer = Gauge::default();
         registry.register(
             "is_orderer",
-            "1 while this node may give orders",
+            "Number of shards whose orderer this node is",
             is_orderer.clone(),
         );
         let in_flight = Gauge::default();
@@ -249,19 +249,19 @@
         let quota_waiting = Gauge::default();
         registry.register(
             "quota_waiting",
-            "Requests that wait to ask for their turn in a tenant's quota again",
+            "Requests that wait to request a reservation in a tenant's quota again",
             quota_waiting.clone(),
         );
         let messages_left_out = Counter::default();
         registry.register(
             "messages_left_out",
-            "Messages to the orderer left out",
+            "Messages to orderers or the relay that were dropped",
             messages_left_out.clone(),
         );
         let log_lines_left_out = Counter::default();
         registry.register(
             "log_lines_left_out",
-            "Log lines left out",
+            "Log lines that were dropped",
             log_lines_left_out.clone(),
         );
         Metrics {
@@ -299,7 +299,7 @@
         }
     }
 
-    /// Takes in how full the replicas of each service are.
+    /// Sets the gauges of the load of each service.
     pub fn set_service_loads(&self, services: &BTreeMap<ServiceName, ServiceLoad>) {
         self.clear_service_loads();
         for (service, load) in services {
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Services of which nothing was heard lately have no numbers.
+    /// Removes the values of all services, as those without recent samples have none.
     fn clear_service_loads(&self) {
         self.service_replicas_heard.clear();
         self.service_room.clear();
@@ -326,7 +326,7 @@
         self.service_spread.clear();
     }
 
-    /// The metrics as text.
+    /// Returns the metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         if encode(&mut text, &self.registry).is_err() {
@@ -335,12 +335,12 @@
         text
     }
 
-    /// Counts one thing by kind and outcome.
+    /// Counts one event by kind and outcome.
     pub fn count(family: &Family<OutcomeLabels, Counter>, kind: &'static str, outcome: &'static str) {
         Self::count_many(family, kind, outcome, 1);
     }
 
-    /// Counts things by kind and outcome.
+    /// Counts several events by kind and outcome.
     pub fn count_many(
         family: &Family<OutcomeLabels, Counter>,
         kind: &'static str,
