--- a/crates/croftrill-node/src/lib.rs
+++ b/crates/croftrill-node/src/lib.rs
@@ -1,11 +1,11 @@
-//! One node of the serving system.
+//! A node of the serving system.
 //!
-//! A node takes callers' requests and sends them to replicas, follows the
+//! A node accepts callers' requests and sends them to replicas, follows the
 //! configuration and the list of replicas in a key-value store, and may hold
-//! the lease under which orders are given. It runs on one thread: control state
-//! is never shared, and a node has only part of a core.
+//! the lease of an orderer, which authorizes orders to replicas. It runs on one
+//! thread: control state needs no locks, and a node has only part of a core.
 //!
-//! What the surroundings speak is behind the traits of [`ports`].
+//! The protocols of the platform are implemented behind the traits of [`ports`].
 
 pub mod broken_requests;
 pub mod clock;
