--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of a node, and stops it.
+//! Starts the tasks of a node and stops the node.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,9 +14,9 @@
     tree,
 };
 
-/// Longest wait for the node's entries in the store to be withdrawn at the end.
+/// Maximum time that a stopping node waits for the removal of its entries from the store.
 const WITHDRAWAL: Duration = Duration::from_millis(300);
-/// Time between two rounds that close old connections.
+/// Interval at which old idle connections are closed.
 const CLEANING: Duration = Duration::from_secs(5);
 
 /// The running tasks of a node.
@@ -26,9 +26,9 @@
     orderers: Vec<JoinHandle<()>>,
 }
 
-/// Starts a node on two listeners: for callers and for other nodes. Must run
-/// within a `LocalSet`. `started_ns` tells this process from a former one: the time of day
-/// in nanoseconds, of which no order is read.
+/// Starts a node on two listeners, for callers and for other nodes. Must run within a
+/// `LocalSet`. `started_ns` is the time of day in nanoseconds, which distinguishes this process
+/// from earlier ones and is never used as an order.
 pub fn start<P: Platform>(
     node: &Rc<Node<P>>,
     queues: NodeQueues,
@@ -68,7 +68,8 @@
 }
 
 impl<P: Platform> Running<P> {
-    /// Stops the node: takes no new work, ends what it has within its grace.
+    /// Stops the node: finishes the requests in flight within the grace period and removes the
+    /// node's entries from the store.
     pub async fn stop(self) {
         self.node.begin_stop();
         front::finish(&self.node).await;
@@ -82,30 +83,30 @@
     }
 }
 
-/// Follows the store's era, until the process ends.
+/// Reacts to new eras of the store until the process ends.
 async fn watch_store_era<P: Platform>(node: Rc<Node<P>>) {
     let era = node.platform.store().era();
     loop {
         era.risen().await;
         let (newest, first) = (era.newest(), era.first());
-        tracing::warn!(target: "store", event = "a new era: what was written since an older copy is lost", newest, first);
+        tracing::warn!(target: "store", event = "new era: the store was restored from an older copy, later writes are lost", newest, first);
         node.metrics.store_rises.inc();
         crash_reports::republish(&node);
         node.relay_changed.notify_waiters();
     }
 }
 
-/// After a suspension nothing that rested or waited meanwhile is relied on.
+/// Discards idle connections and pending watches after each suspension of the machine.
 async fn watch_suspensions<P: Platform>(node: Rc<Node<P>>) {
     let on_resume = |suspended: Duration| {
         tracing::warn!(target: "node", event = "resumed", suspended_ms = suspended.as_millis() as u64);
         node.metrics.suspensions.inc();
-        // The other sides may have closed them; their word may be lost.
+        // The peers may have closed these connections, and the notice may be lost.
         node.pool.close_resting();
         node.patient_pool.close_resting();
-        // What the relay told is as old as the suspension is long.
+        // Relayed changes are at least as old as the suspension is long.
         node.relay_changed.notify_waiters();
-        // Watches that waited meanwhile may wait for a store that gave them up.
+        // The store may have dropped watches that waited during the suspension.
         node.store_path.call_ended(false);
     };
     node.clock.watch(on_resume).await;
