--- a/crates/croftrill-node/src/step_times.rs
+++ b/crates/croftrill-node/src/step_times.rs
@@ -1,8 +1,8 @@
-//! What a node's one thread was busy with when it was held up.
+//! Times of the long steps of a node's single thread, to explain when it was blocked.
 //!
-//! A node has a part of a core, and whatever it does for long it does in place of all
-//! else: its links fall silent and its callers wait. The steps that grow with the fleet
-//! are timed, and told once the thread could do nothing else for some time.
+//! A node has part of a core, and a long step blocks everything else: its links fall silent
+//! and its callers wait. The steps whose cost grows with the fleet are timed, and their times
+//! are logged after the thread was blocked for some time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,24 +12,24 @@
 
 use tokio::time::sleep;
 
-/// Time between two looks; five wake-ups a second.
+/// Interval between checks, which costs five wake-ups per second.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// A look that comes so late is told: a third of the silence after which links end.
+/// Minimum delay of a check that is logged: a third of the silence after which links end.
 const LEAST_LATE: Duration = Duration::from_millis(400);
 
-/// A kind of step, and what it took since the last look.
+/// Count and total time of one kind of step since the last check.
 #[derive(Debug, Clone, Copy, Default)]
 struct Taken {
     count: u32,
     time: Duration,
 }
 
-/// Time taken by each kind of step since the last look.
+/// Count and total time of each kind of step since the last check.
 #[derive(Debug, Default)]
 pub struct StepTimes(RefCell<BTreeMap<&'static str, Taken>>);
 
 impl StepTimes {
-    /// Carries a step out, which must not wait for anything, and counts the time that it takes.
+    /// Runs a step and adds its time. The step must not wait for anything.
     pub fn time<T>(&self, step: &'static str, carry_out: impl FnOnce() -> T) -> T {
         let begun = Instant::now();
         let result = carry_out();
@@ -45,7 +45,7 @@
     }
 }
 
-/// Steps for one line of the log: name, count, milliseconds.
+/// Steps formatted for a log line: name, count and milliseconds.
 struct Told(BTreeMap<&'static str, Taken>);
 
 impl fmt::Display for Told {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Tells of each time for which the thread was held up, until the process ends.
+/// Logs each time that the thread was blocked, until the process ends.
 pub async fn watch(step_times: Rc<StepTimes>) {
     loop {
         step_times.take();
