--- a/crates/croftrill-daemon/src/settings.rs
+++ b/crates/croftrill-daemon/src/settings.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use croftrill_node::settings::{
-    ClusterBounds, NodeIdentity, NodeSettings, Pace, LEAST_LINK_BYTES_PER_S, MOST_REPLICAS_TOLD,
+    ClusterBounds, NodeIdentity, NodeSettings, Pace, DEFAULT_LINK_BYTES_PER_S,
+    DEFAULT_MAX_REPLICAS_IN_FULL_VIEW,
 };
 use serde::Deserialize;
 
@@ -168,7 +169,7 @@
                 front: self.listen,
                 peer: self.peer,
                 processor_millicores: 1000,
-                link_bytes_per_s: LEAST_LINK_BYTES_PER_S,
+                link_bytes_per_s: DEFAULT_LINK_BYTES_PER_S,
             },
             bounds: ClusterBounds {
                 order_gap: Duration::from_millis(self.order_gap_ms),
@@ -181,15 +182,15 @@
                 quota_slack: self.quota.slack,
                 stop_grace: Duration::from_secs_f64(self.stop_grace_seconds),
                 configuration_deadline: CONFIGURATION_DEADLINE,
-                least_lease: LEAST_LEASE,
+                min_lease: LEAST_LEASE,
             },
             pace: Pace {
-                watch_every: Duration::from_millis(100),
+                watch_interval: Duration::from_millis(100),
                 ..Pace::default()
             },
-            most_replicas_told: MOST_REPLICAS_TOLD,
+            max_replicas_in_full_view: DEFAULT_MAX_REPLICAS_IN_FULL_VIEW,
             callers_compete: self.callers_compete,
-            most_in_service: (self.most_in_service > 0).then_some(self.most_in_service),
+            max_concurrent_requests: (self.most_in_service > 0).then_some(self.most_in_service),
             // Nothing tells a node; the retry budget is small for a window.
             is_first_start: false,
         }
--- a/crates/croftrill-daemon/tests/settings.rs
+++ b/crates/croftrill-daemon/tests/settings.rs
@@ -11,7 +11,7 @@
 fn defaults_fill_what_is_left_out() {
     let settings = Settings::parse(GOOD).expect("good settings");
     assert_eq!(settings.node_settings().bounds.order_gap.as_millis(), 3000);
-    assert_eq!(settings.node_settings().most_in_service, None);
+    assert_eq!(settings.node_settings().max_concurrent_requests, None);
     assert!(!settings.node_settings().callers_compete);
 }
 
--- a/crates/croftrill-node/src/directory/await_relay.rs
+++ b/crates/croftrill-node/src/directory/await_relay.rs
@@ -50,7 +50,8 @@
 /// message. Then the node does not wait for a relay that may have missed the same changes.
 fn is_full_read_cheap<P: Platform>(node: &Node<P>) -> bool {
     let state = node.state.borrow();
-    let is_small = state.replicas.len() <= node.settings.most_replicas_told && !state.tree.is_partial();
+    let is_small =
+        state.replicas.len() <= node.settings.max_replicas_in_full_view && !state.tree.is_partial();
     state.directory.reached() > 0 && is_small
 }
 
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -292,11 +292,11 @@
 fn watch_pause<P: Platform>(node: &Node<P>) -> Duration {
     let pace = &node.settings.pace;
     if is_depended_on(node) {
-        return pace.relay_watch_every;
+        return pace.relay_watch_interval;
     }
     // Many nodes may have no relay at the same time.
     let shared = max_pause(node).min(node.settings.relay_patience());
-    shared.max(pace.watch_every)
+    shared.max(pace.watch_interval)
 }
 
 /// Returns the maximum wait of one watch. It is short for orderers and relays, as each
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -253,7 +253,7 @@
             crash_ledger: CrashLedger::default(),
             broken_requests: BrokenRequests::default(),
             retry_budget,
-            fair_queue: FairQueue::new(settings.most_in_service.unwrap_or(usize::MAX)),
+            fair_queue: FairQueue::new(settings.max_concurrent_requests.unwrap_or(usize::MAX)),
             waiting_requests: WaitingRequests::new(WAITING_BOUNDS),
             demand: DemandBatch::default(),
             directory: FollowedView::new(FollowConfig {
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -92,7 +92,7 @@
         return None;
     }
     let pace = &node.settings.pace;
-    let time_to_live = pace.orderer_lease.max(node.settings.bounds.least_lease);
+    let time_to_live = pace.orderer_lease.max(node.settings.bounds.min_lease);
     let requested_at = node.clock.now();
     let store = node.store();
     let lease = store.grant_lease(time_to_live).await.ok()?;
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -130,7 +130,7 @@
     }
 
     pub(super) async fn serve(&mut self, inbox: &mut mpsc::Receiver<OrdererInput>) {
-        let plan_interval = self.node.settings.pace.plan_every;
+        let plan_interval = self.node.settings.pace.plan_interval;
         let mut tick = tokio::time::interval(plan_interval);
         tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -429,7 +429,7 @@
 /// Sends the node's demand to the orderers at intervals.
 pub async fn send_demand<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        sleep(node.settings.pace.demand_every).await;
+        sleep(node.settings.pace.demand_interval).await;
         let message = node.state.borrow_mut().demand.take();
         if let Some(message) = message {
             node.tell_orderers(&message);
--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -53,7 +53,7 @@
     configuration: &Configuration,
     facts: &RequestFacts,
 ) -> Option<ServiceSlot<P>> {
-    node.settings.most_in_service?;
+    node.settings.max_concurrent_requests?;
     let group: Arc<str> = facts.group.as_deref().unwrap_or(NO_GROUP).into();
     let share = configuration.group_shares.get(&group).copied().unwrap_or(1);
     let cost = cost(facts);
--- a/crates/croftrill-node/src/settings.rs
+++ b/crates/croftrill-node/src/settings.rs
@@ -21,7 +21,7 @@
 }
 
 /// Bandwidth assumed for a link if the settings give none: 10 Mbit/s.
-pub const LEAST_LINK_BYTES_PER_S: u64 = 1_250_000;
+pub const DEFAULT_LINK_BYTES_PER_S: u64 = 1_250_000;
 
 /// Bounds that apply to all nodes together.
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
     /// Time within which a new configuration must be in force at all nodes.
     pub configuration_deadline: Duration,
     /// Shortest lease that the store grants.
-    pub least_lease: Duration,
+    pub min_lease: Duration,
 }
 
 /// Settings of a node.
@@ -61,10 +61,10 @@
     pub pace: Pace,
     /// Maximum number of requests that the node serves concurrently. Further requests wait and
     /// are admitted by the shares of their groups. If `None`, only replicas queue requests.
-    pub most_in_service: Option<usize>,
+    pub max_concurrent_requests: Option<usize>,
     /// Maximum number of replicas up to which a relay sends all of them to its followers. With
     /// more replicas, it sends those that the followers' requests need.
-    pub most_replicas_told: usize,
+    pub max_replicas_in_full_view: usize,
     /// True if callers are expected to compete for scarce capacity at times. Nodes then publish
     /// the load of replicas to each other even if no replica reports how fast it works.
     pub callers_compete: bool,
@@ -73,19 +73,19 @@
     pub is_first_start: bool,
 }
 
-/// Default of [`NodeSettings::most_replicas_told`]. 512 replicas take about 100 KB, as much as
+/// Default of [`NodeSettings::max_replicas_in_full_view`]. 512 replicas take about 100 KB, as much as
 /// a configuration: 40 ms over 20 Mbit/s, and 0.5 MB of memory.
-pub const MOST_REPLICAS_TOLD: usize = 512;
+pub const DEFAULT_MAX_REPLICAS_IN_FULL_VIEW: usize = 512;
 
 /// Time reserved for a node's own call to the store: the call's limit of 0.9 s, and a margin
 /// for applying the answer.
-const OWN_CALL: Duration = Duration::from_millis(1000);
+const STORE_CALL_ALLOWANCE: Duration = Duration::from_millis(1000);
 
 impl NodeSettings {
     /// Returns how long a node that lost its relay waits for another one before it reads the
     /// store: the part of the configuration deadline that remains for this.
     pub fn relay_patience(&self) -> Duration {
-        let used = self.pace.relay_lifetime + OWN_CALL;
+        let used = self.pace.relay_lifetime + STORE_CALL_ALLOWANCE;
         self.bounds.configuration_deadline.saturating_sub(used)
     }
 }
@@ -94,11 +94,11 @@
 #[derive(Debug, Clone)]
 pub struct Pace {
     /// Minimum time between two watch calls.
-    pub watch_every: Duration,
+    pub watch_interval: Duration,
     /// Maximum time that a watch call waits for changes.
     pub watch_wait: Duration,
     /// Minimum time between two watch calls of a node that relays the answers to other nodes.
-    pub relay_watch_every: Duration,
+    pub relay_watch_interval: Duration,
     /// Maximum time that a watch call of such a node waits for changes.
     pub relay_watch_wait: Duration,
     /// Time for which relayed changes are trusted to be complete.
@@ -112,9 +112,9 @@
     /// Interval between renewals of the orderer's lease.
     pub orderer_renewal: Duration,
     /// Interval between two plans of the orderer.
-    pub plan_every: Duration,
+    pub plan_interval: Duration,
     /// Interval between reports of demand to the orderers.
-    pub demand_every: Duration,
+    pub demand_interval: Duration,
     /// Interval between heartbeats on a link between nodes.
     pub peer_heartbeat: Duration,
 }
@@ -122,17 +122,17 @@
 impl Default for Pace {
     fn default() -> Self {
         Pace {
-            watch_every: Duration::from_millis(600),
+            watch_interval: Duration::from_millis(600),
             watch_wait: Duration::from_secs(10),
-            relay_watch_every: Duration::from_millis(400),
+            relay_watch_interval: Duration::from_millis(400),
             relay_watch_wait: Duration::from_millis(600),
             relay_lifetime: Duration::from_millis(1300),
             membership_lease: Duration::from_secs(3),
             membership_renewal: Duration::from_millis(1000),
             orderer_lease: Duration::from_millis(4500),
             orderer_renewal: Duration::from_millis(700),
-            plan_every: Duration::from_millis(40),
-            demand_every: Duration::from_millis(250),
+            plan_interval: Duration::from_millis(40),
+            demand_interval: Duration::from_millis(250),
             peer_heartbeat: Duration::from_millis(400),
         }
     }
--- a/crates/croftrill-node/src/tree/follow.rs
+++ b/crates/croftrill-node/src/tree/follow.rs
@@ -92,7 +92,7 @@
 fn fallback_uplink<P: Platform>(node: &Node<P>) -> Uplink {
     let state = node.state.borrow();
     let is_follower = matches!(role_of(node, &state.members), TreeRole::Follower(_));
-    let is_large = state.tree.is_partial || state.replicas.len() > node.settings.most_replicas_told;
+    let is_large = state.tree.is_partial || state.replicas.len() > node.settings.max_replicas_in_full_view;
     if is_follower && is_large {
         Uplink::Nobody
     } else {
--- a/crates/croftrill-node/src/tree/follower.rs
+++ b/crates/croftrill-node/src/tree/follower.rs
@@ -60,11 +60,11 @@
 
 impl Follower {
     /// Creates the state of a follower that connected. In a fleet of up to
-    /// `most_replicas_told` replicas all are published to it; in a larger one it would
+    /// `max_replicas_in_full_view` replicas all are published to it; in a larger one it would
     /// never use most of them.
     pub(super) fn new<P: Platform>(node: &Node<P>, follow: &WireFollow) -> Self {
         let count = node.state.borrow().replicas.len();
-        let scope = if count <= node.settings.most_replicas_told {
+        let scope = if count <= node.settings.max_replicas_in_full_view {
             WireScope::All
         } else {
             WireScope::ByInterest
@@ -91,7 +91,7 @@
     /// which must then reconnect.
     pub(super) fn is_outgrown<P: Platform>(&self, node: &Node<P>) -> bool {
         let count = node.state.borrow().replicas.len();
-        self.scope == WireScope::All && count > 2 * node.settings.most_replicas_told
+        self.scope == WireScope::All && count > 2 * node.settings.max_replicas_in_full_view
     }
 
     /// Returns true if this node has a full view that is no older than the follower's view,
