--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    fn own_answer(&self, head: &request::Parts, configuration: &Configuration) -> Option<String> {
+    fn local_answer(&self, head: &request::Parts, configuration: &Configuration) -> Option<String> {
         let asked = head.method == http::Method::GET && head.uri.path() == MODELS_PATH;
         asked.then(|| model_list(configuration).to_string())
     }
@@ -192,7 +192,7 @@
             },
             is_misdirected,
             load: text(&head.headers, LOAD_HEADER).and_then(parse_load),
-            word: replica_word(head.status, &head.headers),
+            signals: replica_word(head.status, &head.headers),
         }
     }
 }
--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -90,29 +90,29 @@
     async fn order(&self, target: &EngineAddress, order: &FencedOrder) -> EngineAnswer<OrderOutcome> {
         let body = serde_json::to_vec(&wire_order(order)).unwrap_or_default();
         let Some(request) = request(target, Method::POST, ORDER_PATH, body.into()) else {
-            return EngineAnswer::without_word(OrderOutcome::Rejected);
+            return EngineAnswer::without_signals(OrderOutcome::Rejected);
         };
         match self.pool.exchange(target.address, request, CALL_TIMEOUT).await {
             Ok(answer) => EngineAnswer {
                 answer: outcome(answer.status()),
-                word: replica_word(answer.status(), answer.headers()),
+                signals: replica_word(answer.status(), answer.headers()),
             },
-            Err(error) if error.nothing_sent() => EngineAnswer::without_word(OrderOutcome::Conflict),
-            Err(_) => EngineAnswer::without_word(OrderOutcome::Unknown),
+            Err(error) if error.nothing_sent() => EngineAnswer::without_signals(OrderOutcome::Conflict),
+            Err(_) => EngineAnswer::without_signals(OrderOutcome::Unknown),
         }
     }
 
     async fn report(&self, target: &EngineAddress) -> EngineAnswer<Option<ReplicaReport>> {
         let Some(request) = request(target, Method::GET, REPORT_PATH, Bytes::new()) else {
-            return EngineAnswer::without_word(None);
+            return EngineAnswer::without_signals(None);
         };
         let answer = self.pool.exchange(target.address, request, CALL_TIMEOUT).await;
         let Ok(answer) = answer else {
-            return EngineAnswer::without_word(None);
+            return EngineAnswer::without_signals(None);
         };
         EngineAnswer {
             answer: read_report(&answer),
-            word: replica_word(answer.status(), answer.headers()),
+            signals: replica_word(answer.status(), answer.headers()),
         }
     }
 }
--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -179,7 +179,7 @@
         );
         let limits = AnswerLimits {
             head: call.wait + WATCH_MARGIN,
-            bytes: call.most_bytes,
+            bytes: call.max_bytes,
         };
         let answer: WireItems = self.get_long(&target, limits, call.arrival).await?;
         let events = answer.items.into_iter().map(event).collect::<Result<_, _>>()?;
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -239,14 +239,14 @@
 }
 
 /// Performs one watch of the store.
-async fn watch<P: Platform>(node: &Node<P>, after: u64, most_bytes: u64) -> WatchEnd {
+async fn watch<P: Platform>(node: &Node<P>, after: u64, max_bytes: u64) -> WatchEnd {
     let store = node.store();
     let arrival = Arrival::default();
     let call = WatchCall {
         prefix: ALL_KEYS,
         after,
         wait: watch_wait(node),
-        most_bytes,
+        max_bytes,
         arrival: &arrival,
     };
     tokio::select! {
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -330,7 +330,7 @@
                     credit.iter().for_each(Credit::spend);
                     node.platform.engine().order(&target, &fenced).await
                 }
-                _ => EngineAnswer::without_word(OrderOutcome::Conflict),
+                _ => EngineAnswer::without_signals(OrderOutcome::Conflict),
             };
             let outcome = answered.answer;
             let call = AnsweredCall {
@@ -338,7 +338,7 @@
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            replica_signals::apply(&node, &target.replica, call, answered.word, "order");
+            replica_signals::apply(&node, &target.replica, call, answered.signals, "order");
             tracing::info!(target: "order", replica = &*target.replica, order = ?fenced.order,
                 sequence = fenced.expected_sequence, fencing_token = fenced.fencing_token, ?outcome);
             Metrics::count(
@@ -372,14 +372,14 @@
                     credit.iter().for_each(Credit::spend);
                     node.platform.engine().report(&target).await
                 }
-                ControlReservation::Refused => EngineAnswer::without_word(None),
+                ControlReservation::Refused => EngineAnswer::without_signals(None),
             };
             let call = AnsweredCall {
                 started_ms,
                 sent_at,
                 answered_at: node.clock.now(),
             };
-            replica_signals::apply(&node, &replica, call, answered.word, "report");
+            replica_signals::apply(&node, &replica, call, answered.signals, "report");
             let report = answered.answer;
             let outcome = if report.is_some() { "answered" } else { "no report" };
             Metrics::count(&node.metrics.reports, "report", outcome);
--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -207,7 +207,7 @@
     pub wait: Duration,
     /// Maximum size of the answer in bytes; a longer one fails with
     /// [`StoreError::HistoryTooLong`].
-    pub most_bytes: u64,
+    pub max_bytes: u64,
     /// Records how much of the answer has arrived.
     pub arrival: &'a Arrival,
 }
@@ -305,15 +305,15 @@
     /// The answer, or a value that stands for a missing one.
     pub answer: T,
     /// Signals of the replica; empty if no answer arrived.
-    pub word: ReplicaSignals,
+    pub signals: ReplicaSignals,
 }
 
 impl<T> EngineAnswer<T> {
     /// Creates an answer without signals, as no response arrived.
-    pub fn without_word(answer: T) -> Self {
+    pub fn without_signals(answer: T) -> Self {
         EngineAnswer {
             answer,
-            word: ReplicaSignals::default(),
+            signals: ReplicaSignals::default(),
         }
     }
 }
@@ -412,7 +412,7 @@
     /// The replica's load, if reported.
     pub load: Option<ReplicaLoad>,
     /// Other signals of the replica.
-    pub word: ReplicaSignals,
+    pub signals: ReplicaSignals,
 }
 
 /// Wire format of requests and answers.
@@ -426,7 +426,7 @@
         Ok(())
     }
     /// Returns the JSON answer to a call that the node answers without a replica.
-    fn own_answer(&self, _head: &request::Parts, _configuration: &Configuration) -> Option<String> {
+    fn local_answer(&self, _head: &request::Parts, _configuration: &Configuration) -> Option<String> {
         None
     }
     /// Sets the system's own headers of a request for a replica.
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -90,7 +90,7 @@
     let (head, body) = request.into_parts();
     let own = node
         .configuration()
-        .and_then(|known| node.platform.dialect().own_answer(&head, &known));
+        .and_then(|known| node.platform.dialect().local_answer(&head, &known));
     if let Some(body) = own {
         return json(body);
     }
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -236,7 +236,7 @@
             sent_at: send.sent_at,
             answered_at: self.now(),
         };
-        let mut signals = facts.word;
+        let mut signals = facts.signals;
         if signals.limit == LimitSignal::Unlimited && (facts.is_misdirected || !facts.is_ours) {
             // The answer may come from another replica, or belong to another request.
             signals.limit = LimitSignal::Unspecified;
