--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -154,7 +154,7 @@
                 state.replicas.remove(&id);
                 tracing::info!(target: "directory", event = "replica gone", replica = &*id);
             } else {
-                state.members.removed(key);
+                state.members.apply_removal(key);
             }
             drop(state);
             crash_reports::handle_removed_key(node, key);
@@ -184,8 +184,8 @@
         Record::Other => {
             if let Some(era) = membership::read_record_era(item) {
                 node.platform.store().era().learn_first(era.first);
-            } else if let Some(own) = membership::read_own_item(item) {
-                node.state.borrow_mut().members.written(&item.key, own);
+            } else if let Some(own) = membership::read_cluster_item(item) {
+                node.state.borrow_mut().members.apply_write(&item.key, own);
             }
         }
     }
--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -266,7 +266,7 @@
     message: &ToOrderer,
 ) -> Option<Bytes> {
     let is_loads = matches!(message, ToOrderer::Loads(_));
-    if is_loads && !node.state.borrow().members.tell_loads_at(peer) {
+    if is_loads && !node.state.borrow().members.peer_supports_load_updates(peer) {
         count(node, "message", "not understood");
         return None;
     }
--- a/crates/croftrill-node/src/membership.rs
+++ b/crates/croftrill-node/src/membership.rs
@@ -91,21 +91,21 @@
     /// Processor time that it may use, in thousandths of a core.
     pub processor_millicores: u32,
     /// Distinguishes this process from earlier ones of the same name. Its highest bits are
-    /// [`KEEPS_LIMITS`] and [`TELLS_LOADS`].
+    /// [`SUPPORTS_LIMITS_BIT`] and [`SUPPORTS_LOAD_UPDATES_BIT`].
     pub incarnation: u64,
 }
 
 /// Bit of an incarnation that marks a process that can be the keeper of replica limits. Builds
 /// without such limits forward incarnations unchanged and never set the bit: their own
 /// incarnation is the start time in nanoseconds, which reaches this bit in 2262.
-const KEEPS_LIMITS: u64 = 1 << 63;
+const SUPPORTS_LIMITS_BIT: u64 = 1 << 63;
 /// Bit of an incarnation that marks a process that understands updates of replica loads. Builds
 /// without them never set it: a start time in nanoseconds reaches this bit in 2116.
-const TELLS_LOADS: u64 = 1 << 62;
+const SUPPORTS_LOAD_UPDATES_BIT: u64 = 1 << 62;
 
 /// Returns the incarnation of a process of this build that started at `started_ns`.
 pub(crate) fn incarnation_of(started_ns: u64) -> u64 {
-    started_ns | KEEPS_LIMITS | TELLS_LOADS
+    started_ns | SUPPORTS_LIMITS_BIT | SUPPORTS_LOAD_UPDATES_BIT
 }
 
 impl MemberEntry {
@@ -123,13 +123,13 @@
     }
 
     /// Returns whether the process can be the keeper of replica limits.
-    pub fn keeps_limits(&self) -> bool {
-        self.incarnation & KEEPS_LIMITS != 0
+    pub fn supports_limits(&self) -> bool {
+        self.incarnation & SUPPORTS_LIMITS_BIT != 0
     }
 
     /// Returns whether the process understands updates of replica loads.
-    pub fn tells_loads(&self) -> bool {
-        self.incarnation & TELLS_LOADS != 0
+    pub fn supports_load_updates(&self) -> bool {
+        self.incarnation & SUPPORTS_LOAD_UPDATES_BIT != 0
     }
 
     /// Returns the address for other nodes, or `None` if it is malformed.
@@ -159,7 +159,7 @@
 
 /// An item that nodes write about themselves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OwnItem {
+pub enum ClusterItem {
     /// A live node.
     Node(MemberEntry),
     /// The present orderer of a shard.
@@ -172,11 +172,11 @@
 pub fn read_record_era(item: &Item) -> Option<RecordEra> {
     let (_, kind) = parse_orderer_key(&item.key)?;
     let is_era = kind == OrdererKeyKind::Era;
-    is_era.then(|| read_logged(item)).flatten()
+    is_era.then(|| decode_or_log(item)).flatten()
 }
 
 /// Decodes the value of an item, and logs it if that fails.
-fn read_logged<T: DeBin>(item: &Item) -> Option<T> {
+fn decode_or_log<T: DeBin>(item: &Item) -> Option<T> {
     let read = decode(&item.value);
     if let Err(error) = &read {
         tracing::warn!(target: "membership", event = "item cannot be read", key = item.key, %error);
@@ -186,15 +186,15 @@
 
 /// Reads an item that nodes write about themselves, or returns `None` if it is not one or is
 /// malformed.
-pub fn read_own_item(item: &Item) -> Option<OwnItem> {
-    let read_entry = || read_logged::<MemberEntry>(item);
+pub fn read_cluster_item(item: &Item) -> Option<ClusterItem> {
+    let read_entry = || decode_or_log::<MemberEntry>(item);
     if item.key.starts_with(MEMBER_PREFIX) {
-        return read_entry().map(OwnItem::Node);
+        return read_entry().map(ClusterItem::Node);
     }
     let (shard, kind) = parse_orderer_key(&item.key)?;
     match kind {
-        OrdererKeyKind::Present => read_entry().map(|entry| OwnItem::Orderer(shard, entry)),
-        OrdererKeyKind::Last => read_logged(item).map(|last| OwnItem::LastOrderer(shard, last)),
+        OrdererKeyKind::Present => read_entry().map(|entry| ClusterItem::Orderer(shard, entry)),
+        OrdererKeyKind::Last => decode_or_log(item).map(|last| ClusterItem::LastOrderer(shard, last)),
         OrdererKeyKind::Era => None,
     }
 }
@@ -209,22 +209,22 @@
 
 impl Members {
     /// Records that an item was written.
-    pub fn written(&mut self, key: &str, item: OwnItem) {
+    pub fn apply_write(&mut self, key: &str, item: ClusterItem) {
         match item {
-            OwnItem::Node(entry) => {
+            ClusterItem::Node(entry) => {
                 self.nodes.insert(key.to_string(), entry);
             }
-            OwnItem::Orderer(shard, entry) => {
+            ClusterItem::Orderer(shard, entry) => {
                 self.orderers.insert(shard, entry);
             }
-            OwnItem::LastOrderer(shard, last) => {
+            ClusterItem::LastOrderer(shard, last) => {
                 self.last_orderers.insert(shard, last);
             }
         }
     }
 
     /// Removes the present orderer of a shard if its address is `peer`.
-    pub fn resigned(&mut self, shard: Shard, peer: SocketAddr) {
+    pub fn apply_resignation(&mut self, shard: Shard, peer: SocketAddr) {
         let is_present = self.orderer(shard).and_then(MemberEntry::peer_address) == Some(peer);
         if is_present {
             self.orderers.remove(&shard);
@@ -232,7 +232,7 @@
     }
 
     /// Records that a key was removed.
-    pub fn removed(&mut self, key: &str) {
+    pub fn apply_removal(&mut self, key: &str) {
         self.nodes.remove(key);
         if let Some((shard, OrdererKeyKind::Present)) = parse_orderer_key(key) {
             self.orderers.remove(&shard);
@@ -247,16 +247,16 @@
     }
 
     /// Returns all nodes and orderers as items of the store, with their keys.
-    pub fn items(&self) -> impl Iterator<Item = (String, OwnItem)> + '_ {
+    pub fn items(&self) -> impl Iterator<Item = (String, ClusterItem)> + '_ {
         let nodes = self.nodes.iter();
-        let nodes = nodes.map(|(key, entry)| (key.clone(), OwnItem::Node(entry.clone())));
+        let nodes = nodes.map(|(key, entry)| (key.clone(), ClusterItem::Node(entry.clone())));
         let orderers = self.orderers.iter().map(|(shard, entry)| {
             let key = orderer_key(*shard, OrdererKeyKind::Present);
-            (key, OwnItem::Orderer(*shard, entry.clone()))
+            (key, ClusterItem::Orderer(*shard, entry.clone()))
         });
         let last = self.last_orderers.iter().map(|(shard, last)| {
             let key = orderer_key(*shard, OrdererKeyKind::Last);
-            (key, OwnItem::LastOrderer(*shard, last.clone()))
+            (key, ClusterItem::LastOrderer(*shard, last.clone()))
         });
         nodes.chain(orderers).chain(last)
     }
@@ -283,11 +283,11 @@
 
     /// Returns whether the node at a peer address understands updates of replica loads. All known
     /// entries with that address must agree, and there must be at least one.
-    pub fn tell_loads_at(&self, peer: SocketAddr) -> bool {
+    pub fn peer_supports_load_updates(&self, peer: SocketAddr) -> bool {
         let peer = peer.to_string();
         let known = self.nodes().chain(self.orderers.values());
         let mut known = known.filter(|member| member.peer == peer).peekable();
-        known.peek().is_some() && known.all(MemberEntry::tells_loads)
+        known.peek().is_some() && known.all(MemberEntry::supports_load_updates)
     }
 
     /// Returns the number of live nodes, at least one.
@@ -297,11 +297,11 @@
 }
 
 impl<P: Platform> Fleet for Node<P> {
-    fn keepers(&self, part: QuotaPartition) -> Vec<SocketAddr> {
+    fn keepers(&self, partition: QuotaPartition) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        let fit = |member: &&MemberEntry| !part.covers_replicas() || member.keeps_limits();
+        let fit = |member: &&MemberEntry| !partition.covers_replicas() || member.supports_limits();
         let nodes = state.members.nodes().filter(fit);
-        let order = keeper_order(part, nodes, |member| member.candidate());
+        let order = keeper_order(partition, nodes, |member| member.candidate());
         let addresses = order.into_iter().filter_map(MemberEntry::peer_address);
         addresses.collect()
     }
@@ -329,7 +329,7 @@
 }
 
 /// Maintains this node's entry in the store until the node stops.
-pub async fn keep_entry<P: Platform>(node: Rc<Node<P>>, incarnation: u64) {
+pub async fn maintain_entry<P: Platform>(node: Rc<Node<P>>, incarnation: u64) {
     let entry = own_entry(&node, incarnation);
     let key = format!("{}{}", zone_prefix(&entry.zone), entry.name);
     let value = Bytes::from(SerBin::serialize_bin(&entry));
@@ -337,7 +337,7 @@
     let mut rises = node.platform.store().era().rises();
     while node.lifecycle() != Lifecycle::Stopping {
         if node.lifecycle() == Lifecycle::Ready {
-            lease = refresh(&node, lease, &key, &value).await;
+            lease = renew_or_rewrite(&node, lease, &key, &value).await;
         }
         let present_rises = node.platform.store().era().rises();
         if std::mem::replace(&mut rises, present_rises) != present_rises {
@@ -362,7 +362,12 @@
 }
 
 /// Renews the lease. If it is over, writes the entry under a new lease.
-async fn refresh<P: Platform>(node: &Node<P>, lease: Option<u64>, key: &str, value: &Bytes) -> Option<u64> {
+async fn renew_or_rewrite<P: Platform>(
+    node: &Node<P>,
+    lease: Option<u64>,
+    key: &str,
+    value: &Bytes,
+) -> Option<u64> {
     let store = node.store();
     if let Some(lease) = lease {
         let renewed = store.renew_lease(lease).await;
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -359,7 +359,7 @@
             received_at,
         };
         let mut state = self.state.borrow_mut();
-        state.members.resigned(shard, peer);
+        state.members.apply_resignation(shard, peer);
         state.resignations.insert(shard, heard);
         drop(state);
         self.view_changed.notify_waiters();
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -12,8 +12,8 @@
 use tokio::time::sleep;
 
 use crate::membership::{
-    orderer_key, orderer_prefix, read_own_item, read_record_era, LastOrderer, MemberEntry, OrdererKeyKind,
-    OwnItem, RecordEra,
+    orderer_key, orderer_prefix, read_cluster_item, read_record_era, ClusterItem, LastOrderer, MemberEntry,
+    OrdererKeyKind, RecordEra,
 };
 use crate::node::{Lifecycle, Node};
 use crate::ports::{
@@ -242,9 +242,9 @@
             node.platform.store().era().learn_first(era.first);
             keys.era = Some(era);
         }
-        match read_own_item(item) {
-            Some(OwnItem::LastOrderer(_, value)) => keys.last = Some(Revised { value, revision }),
-            Some(OwnItem::Orderer(_, value)) => keys.present = Some(Revised { value, revision }),
+        match read_cluster_item(item) {
+            Some(ClusterItem::LastOrderer(_, value)) => keys.last = Some(Revised { value, revision }),
+            Some(ClusterItem::Orderer(_, value)) => keys.present = Some(Revised { value, revision }),
             _ => {}
         }
     }
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -48,9 +48,14 @@
     spawn_local(watch_suspensions(node.clone()));
     spawn_local(watch_store_era(node.clone()));
     spawn_local(step_times::watch(node.step_times.clone()));
-    for part in QuotaPartition::all() {
+    for partition in QuotaPartition::all() {
         let own = node.settings.identity.peer;
-        spawn_local(quota::follow_keeper(node.quotas.clone(), node.clone(), part, own));
+        spawn_local(quota::follow_keeper(
+            node.quotas.clone(),
+            node.clone(),
+            partition,
+            own,
+        ));
     }
     let mut orderers = Vec::new();
     spawn_local(tree::follow_relays(node.clone(), queues.to_relay));
@@ -62,7 +67,7 @@
     }
     Running {
         node: node.clone(),
-        membership: spawn_local(membership::keep_entry(node.clone(), incarnation)),
+        membership: spawn_local(membership::maintain_entry(node.clone(), incarnation)),
         orderers,
     }
 }
--- a/crates/croftrill-node/src/tree/full_view.rs
+++ b/crates/croftrill-node/src/tree/full_view.rs
@@ -7,7 +7,7 @@
 use nanoserde::SerBin;
 
 use crate::crash_reports;
-use crate::membership::{Members, OwnItem};
+use crate::membership::{ClusterItem, Members};
 use crate::node::{Node, NodeState};
 use crate::peer::{DirectoryUpdate, RevisedChange, WireChange, WireListing};
 use crate::ports::Platform;
@@ -67,8 +67,8 @@
 fn own_items(members: &Members) -> impl Iterator<Item = WireChange> + '_ {
     members.items().map(|(key, item)| {
         let value = match &item {
-            OwnItem::Node(entry) | OwnItem::Orderer(_, entry) => entry.serialize_bin(),
-            OwnItem::LastOrderer(_, last) => last.serialize_bin(),
+            ClusterItem::Node(entry) | ClusterItem::Orderer(_, entry) => entry.serialize_bin(),
+            ClusterItem::LastOrderer(_, last) => last.serialize_bin(),
         };
         WireChange::Written {
             key,
