--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -273,7 +273,7 @@
 /// only be longer. If the answer stalls, the call's own limits end it.
 async fn interruption<P: Platform>(node: &Node<P>, after: u64, arrival: &Arrival) -> WatchEnd {
     let end = tokio::select! {
-        () = node.store_path.changed() => WatchEnd::Failed(StoreError::NoAnswer),
+        () = node.store_reachability.changed() => WatchEnd::Failed(StoreError::NoAnswer),
         () = node.platform.store().era().risen() => WatchEnd::Failed(StoreError::HistoryGone),
         reached = until_overtaken(node, after) => WatchEnd::Overtaken { reached },
         () = relay::until_role_changes(node) => WatchEnd::RoleChanged,
@@ -330,7 +330,7 @@
             // The connection of the watch may be dead as well.
             Err(error) => {
                 tracing::debug!(target: "directory", event = "audit of a watch failed", %error);
-                node.store_path.call_ended(false);
+                node.store_reachability.record_call(false);
             }
         }
     }
--- a/crates/croftrill-node/src/membership.rs
+++ b/crates/croftrill-node/src/membership.rs
@@ -372,13 +372,13 @@
     if let Some(lease) = lease {
         let renewed = store.renew_lease(lease).await;
         let is_over = renewed == Err(StoreError::NoSuchLease);
-        node.store_path.call_ended(renewed.is_ok() || is_over);
+        node.store_reachability.record_call(renewed.is_ok() || is_over);
         if !is_over {
             return Some(lease);
         }
     }
     let granted = store.grant_lease(node.settings.pace.membership_lease).await;
-    node.store_path.call_ended(granted.is_ok());
+    node.store_reachability.record_call(granted.is_ok());
     let lease = granted.ok()?;
     let write = Write {
         key: key.into(),
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -102,17 +102,17 @@
 /// Whether the store answers. A waiting watch cannot distinguish a store without changes from
 /// a broken connection. Lease renewals, which are short and regular, can.
 #[derive(Debug, Default)]
-pub struct StorePath {
-    is_lost: Cell<bool>,
+pub struct StoreReachability {
+    is_unreachable: Cell<bool>,
     changed: Notify,
 }
 
-impl StorePath {
+impl StoreReachability {
     /// Records the outcome of a short call. While calls fail, and at the first one that
     /// succeeds again, waiting calls are notified to start over.
-    pub fn call_ended(&self, answered: bool) {
-        let was_lost = self.is_lost.replace(!answered);
-        if was_lost || !answered {
+    pub fn record_call(&self, answered: bool) {
+        let was_unreachable = self.is_unreachable.replace(!answered);
+        if was_unreachable || !answered {
             self.changed.notify_waiters();
         }
     }
@@ -153,7 +153,7 @@
     /// Notified when a slot at a replica may have become free.
     pub room_changed: Notify,
     /// Whether the store answers, judged by renewals of the lease of the node's entry.
-    pub store_path: StorePath,
+    pub store_reachability: StoreReachability,
     /// Connections for requests that may be retried, and for orders and reports.
     pub pool: ConnectionPool,
     /// Connections without an idle timeout, for requests that may not be retried.
@@ -286,7 +286,7 @@
             stop_requested: Notify::new(),
             place_freed: Notify::new(),
             room_changed: Notify::new(),
-            store_path: StorePath::default(),
+            store_reachability: StoreReachability::default(),
             pool: ConnectionPool::new(ConnectionConfig::default()),
             patient_pool: ConnectionPool::new(patient),
             quotas,
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -112,7 +112,7 @@
         // Relayed changes are at least as old as the suspension is long.
         node.relay_changed.notify_waiters();
         // The store may have dropped watches that waited during the suspension.
-        node.store_path.call_ended(false);
+        node.store_reachability.record_call(false);
     };
     node.clock.watch(on_resume).await;
 }
