--- a/crates/croftrill-node/src/directory/unreachable.rs
+++ b/crates/croftrill-node/src/directory/unreachable.rs
@@ -26,7 +26,7 @@
 /// requests, and the pause after it grows with the fleet like the pause after failed calls.
 pub async fn read_holdings<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        node.holdings_wanted.notified().await;
+        node.holdings_needed.notified().await;
         if !Shard::all().any(|shard| is_orderer_unreachable(&node, shard)) {
             continue;
         }
--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -165,7 +165,7 @@
     }
     state.replicas.record_load(id, load, now);
     drop(state);
-    node.room_changed.notify_waiters();
+    node.replica_slot_freed.notify_waiters();
     record_work_time(node, load);
     if !is_sure || !is_active(node) {
         return;
@@ -217,7 +217,7 @@
         known.push((id.clone(), *sample));
     }
     if !known.is_empty() {
-        node.room_changed.notify_waiters();
+        node.replica_slot_freed.notify_waiters();
     }
     known
 }
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -140,7 +140,7 @@
     pub relay_changed: Notify,
     /// Notified when a request finds no replica with its model, which a replica of an
     /// unreachable orderer may hold.
-    pub holdings_wanted: Notify,
+    pub holdings_needed: Notify,
     terms_held: Cell<usize>,
     /// Notified when it is known whether a replica at which requests failed has ended.
     pub crash_judged: Notify,
@@ -149,9 +149,9 @@
     /// Notified when the node is asked to stop.
     pub stop_requested: Notify,
     /// Notified when a request ends, so that a waiting one may start.
-    pub place_freed: Notify,
+    pub admission_slot_freed: Notify,
     /// Notified when a slot at a replica may have become free.
-    pub room_changed: Notify,
+    pub replica_slot_freed: Notify,
     /// Whether the store answers, judged by renewals of the lease of the node's entry.
     pub store_reachability: StoreReachability,
     /// Connections for requests that may be retried, and for orders and reports.
@@ -174,7 +174,7 @@
     stop_asked: Cell<Option<Moment>>,
     /// Held while this node tries to become an orderer. It tries one shard at a time, so that
     /// each attempt sees the leases that the node holds already.
-    pub acquiring: Mutex<()>,
+    pub acquisition_lock: Mutex<()>,
     /// Updates for the nodes that follow this one.
     pub followers: broadcast::Sender<RelayedUpdate>,
     to_orderers: Vec<mpsc::Sender<ToOrderer>>,
@@ -278,14 +278,14 @@
             state: RefCell::new(state),
             view_changed: Notify::new(),
             relay_changed: Notify::new(),
-            holdings_wanted: Notify::new(),
+            holdings_needed: Notify::new(),
             terms_held: Cell::new(0),
             crash_judged: Notify::new(),
             crash_report_changed: Notify::new(),
-            acquiring: Mutex::new(()),
+            acquisition_lock: Mutex::new(()),
             stop_requested: Notify::new(),
-            place_freed: Notify::new(),
-            room_changed: Notify::new(),
+            admission_slot_freed: Notify::new(),
+            replica_slot_freed: Notify::new(),
             store_reachability: StoreReachability::default(),
             pool: ConnectionPool::new(ConnectionConfig::default()),
             patient_pool: ConnectionPool::new(patient),
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -82,7 +82,7 @@
     }
     let terms_held = node.terms_held();
     sleep(CANDIDACY_DELAY_STEP * queue_position(node, shard, entry)).await;
-    let _one_at_a_time = node.acquiring.lock().await;
+    let _one_at_a_time = node.acquisition_lock.lock().await;
     if node.terms_held() != terms_held || !may_acquire(node, shard, entry) {
         return None;
     }
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -209,7 +209,7 @@
             return (waited < self.route.objective / REPLICA_WAIT_DIVISOR).then_some(ColdDecision::Wait);
         };
         let ready_in = self.ready_in(&key)?;
-        self.node.holdings_wanted.notify_one();
+        self.node.holdings_needed.notify_one();
         let is_first = self.last_reminder.get().is_none();
         self.remind_orderer(&key);
         let request = ColdRequest {
--- a/crates/croftrill-node/src/request/full.rs
+++ b/crates/croftrill-node/src/request/full.rs
@@ -50,7 +50,7 @@
 impl<P: Platform> Drop for WaitTicket<P> {
     fn drop(&mut self) {
         self.node.state.borrow_mut().waiting_requests.leave(self.id);
-        self.node.room_changed.notify_waiters();
+        self.node.replica_slot_freed.notify_waiters();
     }
 }
 
@@ -182,7 +182,7 @@
         let latest = (self.now() + MAX_CHECK_INTERVAL).min(self.deadline);
         let wake = async {
             tokio::select! {
-                () = self.node.room_changed.notified() => {}
+                () = self.node.replica_slot_freed.notified() => {}
                 () = self.node.view_changed.notified() => {}
                 () = self.node.stop_requested.notified() => {}
             }
--- a/crates/croftrill-node/src/request/guards.rs
+++ b/crates/croftrill-node/src/request/guards.rs
@@ -39,7 +39,7 @@
 impl<P: Platform> Drop for ServiceSlot<P> {
     fn drop(&mut self) {
         self.node.state.borrow_mut().fair_queue.release();
-        self.node.place_freed.notify_waiters();
+        self.node.admission_slot_freed.notify_waiters();
     }
 }
 
@@ -62,7 +62,7 @@
         number: node.state.borrow_mut().fair_queue.enter(&group, share, cost),
     };
     loop {
-        let freed = node.place_freed.notified();
+        let freed = node.admission_slot_freed.notified();
         if node.state.borrow_mut().fair_queue.try_start(ticket.number) {
             return Some(ServiceSlot { node: node.clone() });
         }
@@ -79,7 +79,7 @@
 impl<P: Platform> Drop for QueueTicket<P> {
     fn drop(&mut self) {
         self.node.state.borrow_mut().fair_queue.leave(self.number);
-        self.node.place_freed.notify_waiters();
+        self.node.admission_slot_freed.notify_waiters();
     }
 }
 
@@ -154,6 +154,6 @@
             state.replicas.record_run_time(&self.replica, run_time);
         }
         drop(state);
-        self.node.room_changed.notify_waiters();
+        self.node.replica_slot_freed.notify_waiters();
     }
 }
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -157,7 +157,7 @@
             items.iter().for_each(|item| demand.merge(item));
         }
         ToOrderer::Waiting(model) => {
-            node.holdings_wanted.notify_one();
+            node.holdings_needed.notify_one();
             let now = node.clock.now();
             let is_due = node.state.borrow_mut().tree.should_remind(&model, now);
             if is_due {
