--- a/crates/croftrill-node/src/crash_reports.rs
+++ b/crates/croftrill-node/src/crash_reports.rs
@@ -215,5 +215,5 @@
     let now = node.clock.now();
     let report = node.state.borrow_mut().crash_ledger.own_report(now);
     let wire = WireCrashReport::from_report(&report);
-    node.tell_orderers(&ToOrderer::Crashes(wire));
+    node.send_to_orderers(&ToOrderer::Crashes(wire));
 }
--- a/crates/croftrill-node/src/directory/relay.rs
+++ b/crates/croftrill-node/src/directory/relay.rs
@@ -66,7 +66,7 @@
     };
     tree::publish_span(node, span.update.clone(), span.proven_at);
     if gives_orders {
-        node.inform_orderer_tasks(|| OrdererInput::Watched(span.clone()));
+        node.notify_orderer_tasks(|| OrdererInput::Watched(span.clone()));
     }
 }
 
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -221,5 +221,5 @@
         .replicas
         .set(node.state.borrow().replicas.len() as i64);
     node.view_changed.notify_waiters();
-    node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
+    node.notify_orderer_tasks(|| OrdererInput::DirectoryChanged);
 }
--- a/crates/croftrill-node/src/front.rs
+++ b/crates/croftrill-node/src/front.rs
@@ -113,10 +113,12 @@
 /// Ends when a stopping node must answer what has no answer yet, so that its callers learn
 /// of its end by more than a closed connection. Such a request may have run.
 async fn last_answers<P: Platform>(node: &Node<P>) {
-    while node.stop_asked_at().is_none() {
+    while node.stop_requested_at().is_none() {
         node.stop_requested.notified().await;
     }
-    let Some(asked) = node.stop_asked_at() else { return };
+    let Some(asked) = node.stop_requested_at() else {
+        return;
+    };
     let until = time_to_finish(node).saturating_sub(LAST_ANSWERS);
     node.clock.sleep_until(asked + until).await;
     tracing::info!(target: "request", event = "answered at the end of the node", in_flight = node.in_flight.get());
--- a/crates/croftrill-node/src/load_updates.rs
+++ b/crates/croftrill-node/src/load_updates.rs
@@ -311,7 +311,7 @@
     }
     let uplink = node.state.borrow().tree.uplink;
     match uplink {
-        Uplink::Relay(_) => node.tell_orderers(&loads_message(&samples, now)),
+        Uplink::Relay(_) => node.send_to_orderers(&loads_message(&samples, now)),
         Uplink::Orderers => send_to_each_orderer(node, &samples, is_hello_due, now),
         Uplink::Nobody => {}
     }
@@ -328,7 +328,7 @@
         };
         let of_shard: Vec<LoadSample> = samples.iter().filter(is_of_shard).copied().collect();
         if is_hello || !of_shard.is_empty() {
-            node.tell_orderer(shard, loads_message(&of_shard, now));
+            node.send_to_orderer(shard, loads_message(&of_shard, now));
         }
     }
 }
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -50,7 +50,7 @@
 
 /// Fraction of the common retry budget that nodes use. The remainder covers requests that
 /// the nodes and the platform count differently.
-const RETRY_SAFETY: f64 = 0.8;
+const RETRY_BUDGET_SAFETY_FACTOR: f64 = 0.8;
 /// Bounds on the requests that wait at one node for a slot at a full holder. A node of the
 /// largest fleet sees a few such requests per second, so 256 cover many seconds of overload.
 /// 8 MB of bodies are a fifteenth of a small node's memory.
@@ -59,7 +59,7 @@
     size_bytes: 8 << 20,
 };
 /// Capacity of each queue of messages to an orderer, to the relay or to an orderer task.
-const ORDERER_QUEUE: usize = 1024;
+const ORDERER_QUEUE_CAPACITY: usize = 1024;
 
 /// Mutable state of a node.
 pub struct NodeState {
@@ -165,13 +165,13 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// When it last handed each shard over to a stronger node.
-    pub handed_on_at: [Cell<Option<Moment>>; SHARD_COUNT],
+    pub handed_over_at: [Cell<Option<Moment>>; SHARD_COUNT],
     /// Time that the thread spends on long steps.
     pub step_times: Rc<StepTimes>,
     /// Number of requests being served.
     pub in_flight: Cell<usize>,
     /// When the node was asked to stop.
-    stop_asked: Cell<Option<Moment>>,
+    stop_requested_at: Cell<Option<Moment>>,
     /// Held while this node tries to become an orderer. It tries one shard at a time, so that
     /// each attempt sees the leases that the node holds already.
     pub acquisition_lock: Mutex<()>,
@@ -211,8 +211,8 @@
         let (mut to_orderers, mut orderer_inboxes) = (Vec::new(), Vec::new());
         let mut shards = Vec::new();
         for shard in Shard::all() {
-            let (to_orderer, to_orderer_queue) = mpsc::channel(ORDERER_QUEUE);
-            let (orderer_inbox, orderer_queue) = mpsc::channel(ORDERER_QUEUE);
+            let (to_orderer, to_orderer_queue) = mpsc::channel(ORDERER_QUEUE_CAPACITY);
+            let (orderer_inbox, orderer_queue) = mpsc::channel(ORDERER_QUEUE_CAPACITY);
             to_orderers.push(to_orderer);
             orderer_inboxes.push(orderer_inbox);
             shards.push(ShardQueues {
@@ -221,7 +221,7 @@
                 orderer_inbox: orderer_queue,
             });
         }
-        let (to_relay, to_relay_queue) = mpsc::channel(ORDERER_QUEUE);
+        let (to_relay, to_relay_queue) = mpsc::channel(ORDERER_QUEUE_CAPACITY);
         let bounds = &settings.bounds;
         let keeper_config = KeeperConfig {
             window: bounds.quota_window,
@@ -234,14 +234,14 @@
             ratio: bounds.retry_ratio,
             slack: bounds.retry_slack,
             window: bounds.retry_window,
-            safety: RETRY_SAFETY,
+            safety: RETRY_BUDGET_SAFETY_FACTOR,
         };
-        let budget_begun = if settings.is_first_start {
+        let budget_start = if settings.is_first_start {
             Moment::default()
         } else {
             clock.now()
         };
-        let retry_budget = RetryBudget::new(budget_config, budget_begun);
+        let retry_budget = RetryBudget::new(budget_config, budget_start);
         let mut replicas = ReplicaTable::new();
         if settings.callers_compete {
             replicas.route_all_by_capacity();
@@ -292,10 +292,10 @@
             quotas,
             load_news: LoadUpdates::default(),
             metrics,
-            handed_on_at: Default::default(),
+            handed_over_at: Default::default(),
             step_times: Rc::default(),
             in_flight: Cell::new(0),
-            stop_asked: Cell::new(None),
+            stop_requested_at: Cell::new(None),
             followers: broadcast::channel(FOLLOWER_BACKLOG).0,
             to_orderers,
             to_relay,
@@ -335,12 +335,12 @@
     }
 
     /// Records that this node became the orderer of one more shard.
-    pub fn term_began(&self) {
+    pub fn record_term_start(&self) {
         self.set_terms_held(self.terms_held.get() + 1);
     }
 
     /// Records that this node is the orderer of one shard less.
-    pub fn term_ended(&self) {
+    pub fn record_term_end(&self) {
         self.set_terms_held(self.terms_held.get() - 1);
     }
 
@@ -352,22 +352,22 @@
 
     /// Records that the term of the orderer at `peer` is over. Its resignation is stored for
     /// the node that becomes orderer next.
-    pub fn hear_resignation(&self, shard: Shard, peer: SocketAddr, resignation: Resignation) {
+    pub fn record_resignation(&self, shard: Shard, peer: SocketAddr, resignation: Resignation) {
         let received_at = self.clock.now();
-        let heard = ReceivedResignation {
+        let received = ReceivedResignation {
             resignation,
             received_at,
         };
         let mut state = self.state.borrow_mut();
         state.members.apply_resignation(shard, peer);
-        state.resignations.insert(shard, heard);
+        state.resignations.insert(shard, received);
         drop(state);
         self.view_changed.notify_waiters();
     }
 
     /// Sends a message to all present orderers. It is dropped and counted where a queue is
     /// full or the node has no uplink.
-    pub fn tell_orderers(&self, message: &ToOrderer) {
+    pub fn send_to_orderers(&self, message: &ToOrderer) {
         let queues = match self.state.borrow().tree.uplink {
             Uplink::Orderers => self.to_orderers.as_slice(),
             Uplink::Relay(_) => std::slice::from_ref(&self.to_relay),
@@ -385,14 +385,14 @@
 
     /// Sends a message to the present orderer of a shard, for nodes that have their own links
     /// to the orderers. It is dropped and counted if the queue is full.
-    pub fn tell_orderer(&self, shard: Shard, message: ToOrderer) {
+    pub fn send_to_orderer(&self, shard: Shard, message: ToOrderer) {
         if self.to_orderers[shard.index()].try_send(message).is_err() {
             self.metrics.messages_left_out.inc();
         }
     }
 
     /// Sends an event to all of this node's own orderer tasks.
-    pub fn inform_orderer_tasks(&self, input: impl Fn() -> OrdererInput) {
+    pub fn notify_orderer_tasks(&self, input: impl Fn() -> OrdererInput) {
         if !self.gives_orders() {
             return;
         }
@@ -419,14 +419,14 @@
     }
 
     /// Returns when the node was asked to stop, if it was.
-    pub fn stop_asked_at(&self) -> Option<Moment> {
-        self.stop_asked.get()
+    pub fn stop_requested_at(&self) -> Option<Moment> {
+        self.stop_requested_at.get()
     }
 
     /// Returns whether the node rejects new requests, which begins [`STOP_LINGER`] after it
     /// was asked to stop.
-    pub fn refuses_new(&self) -> bool {
-        self.stop_asked
+    pub fn rejects_new_requests(&self) -> bool {
+        self.stop_requested_at
             .get()
             .is_some_and(|asked| self.clock.now().since(asked) >= STOP_LINGER)
     }
@@ -440,7 +440,7 @@
         }
         state.lifecycle = Lifecycle::Stopping;
         drop(state);
-        self.stop_asked.set(Some(self.clock.now()));
+        self.stop_requested_at.set(Some(self.clock.now()));
         tracing::info!(target: "node", event = "stop requested", in_flight = self.in_flight.get());
         self.stop_requested.notify_waiters();
     }
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -225,7 +225,7 @@
 /// Returns whether this node handed the shard over recently. Either another node has taken it,
 /// or the stronger nodes cannot, and another attempt would only interrupt orders.
 pub(super) fn was_handed_over_recently<P: Platform>(node: &Node<P>, shard: Shard) -> bool {
-    let handed_over_at = node.handed_on_at[shard.index()].get();
+    let handed_over_at = node.handed_over_at[shard.index()].get();
     handed_over_at.is_some_and(|at| node.clock.now().since(at) < MIN_HAND_OVER_INTERVAL)
 }
 
--- a/crates/croftrill-node/src/orderer_task/term.rs
+++ b/crates/croftrill-node/src/orderer_task/term.rs
@@ -125,7 +125,7 @@
         };
         term.update_authority(now);
         term.sync_directory();
-        term.node.term_began();
+        term.node.record_term_start();
         term
     }
 
@@ -191,7 +191,7 @@
         }
         tracing::info!(target: "orderer", event = "handing over to a stronger node",
             shard = self.shard.index(), processor_millicores = self.entry.processor_millicores);
-        node.handed_on_at[self.shard.index()].set(Some(now));
+        node.handed_over_at[self.shard.index()].set(Some(now));
         true
     }
 
@@ -592,12 +592,12 @@
         let _ = self.changes.send(Bytes::from(message.serialize_bin()));
         tracing::info!(target: "orderer", event = "resigned", fencing_token, record = record.revision,
             holds = resignation.hand_over.holds.len());
-        self.node.hear_resignation(self.shard, peer, resignation);
+        self.node.record_resignation(self.shard, peer, resignation);
     }
 
     /// Ends the term: resigns, and releases the lease if it is still held.
     pub(super) async fn end(mut self) {
-        self.node.term_ended();
+        self.node.record_term_end();
         self.node.state.borrow_mut().replicas.orderer_lost(self.shard);
         let lease = self.lease.lease();
         self.lease.clear();
--- a/crates/croftrill-node/src/peer_link.rs
+++ b/crates/croftrill-node/src/peer_link.rs
@@ -412,7 +412,7 @@
     let resignation = relayed.resignation.into_resignation();
     tracing::info!(target: "peer", event = "the orderer resigned", shard = shard.index(),
         fencing_token = resignation.fencing_token, holds = resignation.hand_over.holds.len());
-    node.hear_resignation(shard, orderer, resignation);
+    node.record_resignation(shard, orderer, resignation);
 }
 
 fn apply_placements<P: Platform>(node: &Node<P>, placements: Vec<WirePlacement>) {
@@ -423,7 +423,7 @@
     }
     drop(state);
     node.view_changed.notify_waiters();
-    node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
+    node.notify_orderer_tasks(|| OrdererInput::DirectoryChanged);
 }
 
 /// Sends the node's demand to the orderers at intervals.
@@ -432,7 +432,7 @@
         sleep(node.settings.pace.demand_interval).await;
         let message = node.state.borrow_mut().demand.take();
         if let Some(message) = message {
-            node.tell_orderers(&message);
+            node.send_to_orderers(&message);
         }
     }
 }
--- a/crates/croftrill-node/src/replica_signals.rs
+++ b/crates/croftrill-node/src/replica_signals.rs
@@ -43,6 +43,6 @@
             ?listed);
     }
     if changes != SignalChanges::default() {
-        node.inform_orderer_tasks(|| OrdererInput::DirectoryChanged);
+        node.notify_orderer_tasks(|| OrdererInput::DirectoryChanged);
     }
 }
--- a/crates/croftrill-node/src/request/cold.rs
+++ b/crates/croftrill-node/src/request/cold.rs
@@ -293,7 +293,7 @@
         }
         self.last_reminder.set(Some(now));
         self.node
-            .tell_orderers(&ToOrderer::Waiting(WireModel::from_key(key)));
+            .send_to_orderers(&ToOrderer::Waiting(WireModel::from_key(key)));
     }
 
     pub(super) async fn wait_for_view_change(&self) {
--- a/crates/croftrill-node/src/request/mod.rs
+++ b/crates/croftrill-node/src/request/mod.rs
@@ -98,7 +98,7 @@
         Ok(facts) => facts,
         Err(error) => return refuse(StatusCode::BAD_REQUEST, &error.to_string(), None),
     };
-    if node.refuses_new() {
+    if node.rejects_new_requests() {
         tracing::info!(target: "request", id = facts.id, outcome = "refused", cause = "the node is about to end");
         return refuse(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/croftrill-node/src/tree/own_interests.rs
+++ b/crates/croftrill-node/src/tree/own_interests.rs
@@ -129,7 +129,7 @@
         .map(|(interest, _)| WireModel::from_interest(interest))
         .collect();
     if !due.is_empty() && follows_relay(node) {
-        node.tell_orderers(&ToOrderer::AddInterests(due.into()));
+        node.send_to_orderers(&ToOrderer::AddInterests(due.into()));
     }
     states.iter().all(|state| *state == InterestState::Answered)
 }
--- a/crates/croftrill-node/src/tree/serve.rs
+++ b/crates/croftrill-node/src/tree/serve.rs
@@ -161,7 +161,7 @@
             let now = node.clock.now();
             let is_due = node.state.borrow_mut().tree.should_remind(&model, now);
             if is_due {
-                node.tell_orderers(&ToOrderer::Waiting(model));
+                node.send_to_orderers(&ToOrderer::Waiting(model));
             }
         }
         ToOrderer::Crashes(report) => crash_reports::adopt(node, report),
