--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -15,9 +15,9 @@
 };
 
 /// Maximum time that a stopping node waits for the removal of its entries from the store.
-const WITHDRAWAL: Duration = Duration::from_millis(300);
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which old idle connections are closed.
-const CLEANING: Duration = Duration::from_secs(5);
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The running tasks of a node.
 pub struct Running<P: Platform> {
@@ -78,13 +78,13 @@
     pub async fn stop(self) {
         self.node.begin_stop();
         front::finish(&self.node).await;
-        let withdrawn = async {
+        let withdrawal = async {
             let _ = self.membership.await;
             for orderer in self.orderers {
                 let _ = orderer.await;
             }
         };
-        let _ = tokio::time::timeout(WITHDRAWAL, withdrawn).await;
+        let _ = tokio::time::timeout(WITHDRAWAL_TIMEOUT, withdrawal).await;
     }
 }
 
@@ -119,7 +119,7 @@
 
 async fn close_old_connections<P: Platform>(node: Rc<Node<P>>) {
     loop {
-        tokio::time::sleep(CLEANING).await;
+        tokio::time::sleep(POOL_CLEANUP_INTERVAL).await;
         node.pool.drop_old();
     }
 }
--- a/crates/croftrill-node/src/step_times.rs
+++ b/crates/croftrill-node/src/step_times.rs
@@ -13,45 +13,45 @@
 use tokio::time::sleep;
 
 /// Interval between checks, which costs five wake-ups per second.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Minimum delay of a check that is logged: a third of the silence after which links end.
-const LEAST_LATE: Duration = Duration::from_millis(400);
+const MIN_LOGGED_DELAY: Duration = Duration::from_millis(400);
 
 /// Count and total time of one kind of step since the last check.
 #[derive(Debug, Clone, Copy, Default)]
-struct Taken {
+struct StepTotal {
     count: u32,
     time: Duration,
 }
 
 /// Count and total time of each kind of step since the last check.
 #[derive(Debug, Default)]
-pub struct StepTimes(RefCell<BTreeMap<&'static str, Taken>>);
+pub struct StepTimes(RefCell<BTreeMap<&'static str, StepTotal>>);
 
 impl StepTimes {
     /// Runs a step and adds its time. The step must not wait for anything.
-    pub fn time<T>(&self, step: &'static str, carry_out: impl FnOnce() -> T) -> T {
-        let begun = Instant::now();
-        let result = carry_out();
+    pub fn time<T>(&self, step: &'static str, run: impl FnOnce() -> T) -> T {
+        let started = Instant::now();
+        let result = run();
         let mut steps = self.0.borrow_mut();
-        let taken = steps.entry(step).or_default();
-        taken.count += 1;
-        taken.time += begun.elapsed();
+        let total = steps.entry(step).or_default();
+        total.count += 1;
+        total.time += started.elapsed();
         result
     }
 
-    fn take(&self) -> BTreeMap<&'static str, Taken> {
+    fn take(&self) -> BTreeMap<&'static str, StepTotal> {
         std::mem::take(&mut *self.0.borrow_mut())
     }
 }
 
 /// Steps formatted for a log line: name, count and milliseconds.
-struct Told(BTreeMap<&'static str, Taken>);
+struct FormattedSteps(BTreeMap<&'static str, StepTotal>);
 
-impl fmt::Display for Told {
+impl fmt::Display for FormattedSteps {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (step, taken) in &self.0 {
-            write!(formatter, "{step} {} {}ms, ", taken.count, taken.time.as_millis())?;
+        for (step, total) in &self.0 {
+            write!(formatter, "{step} {} {}ms, ", total.count, total.time.as_millis())?;
         }
         Ok(())
     }
@@ -61,11 +61,11 @@
 pub async fn watch(step_times: Rc<StepTimes>) {
     loop {
         step_times.take();
-        let begun = Instant::now();
-        sleep(LOOK_EVERY).await;
-        let late = begun.elapsed().saturating_sub(LOOK_EVERY);
-        if late >= LEAST_LATE {
-            let steps = Told(step_times.take());
+        let started = Instant::now();
+        sleep(CHECK_INTERVAL).await;
+        let late = started.elapsed().saturating_sub(CHECK_INTERVAL);
+        if late >= MIN_LOGGED_DELAY {
+            let steps = FormattedSteps(step_times.take());
             tracing::warn!(target: "node", event = "held up", late_ms = late.as_millis() as u64, %steps);
         }
     }
