--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -109,7 +109,7 @@
         // The peers may have closed these connections, and the notice may be lost.
         node.pool.close_resting();
         node.patient_pool.close_resting();
-        // Relayed changes are at least as old as the suspension is long.
+        // Relayed changes are outdated by the length of the suspension.
         node.relay_changed.notify_waiters();
         // The store may have dropped watches that waited during the suspension.
         node.store_reachability.record_call(false);
--- a/crates/croftrill-node/src/settings.rs
+++ b/crates/croftrill-node/src/settings.rs
@@ -73,8 +73,8 @@
     pub is_first_start: bool,
 }
 
-/// Default of [`NodeSettings::max_replicas_in_full_view`]. 512 replicas take about 100 KB, as much as
-/// a configuration: 40 ms over 20 Mbit/s, and 0.5 MB of memory.
+/// Default of [`NodeSettings::max_replicas_in_full_view`]. 512 replicas take about 100 KB, as
+/// much as a configuration: 40 ms over 20 Mbit/s, and 0.5 MB of memory.
 pub const DEFAULT_MAX_REPLICAS_IN_FULL_VIEW: usize = 512;
 
 /// Time reserved for a node's own call to the store: the call's limit of 0.9 s, and a margin
