--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -156,7 +156,8 @@
     pub store_reachability: StoreReachability,
     /// Connections for requests that may be retried, and for orders and reports.
     pub pool: ConnectionPool,
-    /// Connections without an idle timeout, for requests that may not be retried.
+    /// Connections that are not ended when the peer is silent, for requests that must not be
+    /// interrupted for that reason alone.
     pub patient_pool: ConnectionPool,
     /// The quotas of tenants, and their keepers.
     pub quotas: Rc<Quotas>,
