--- a/crates/croftrill-node/src/clock.rs
+++ b/crates/croftrill-node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The process's clock.
+//! The process's clock, which advances while the machine is suspended.
 
 use std::cell::Cell;
 use std::fmt;
@@ -11,29 +11,29 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
-/// Tells time that goes on while the machine is suspended.
+/// A source of time that advances while the machine is suspended.
 pub trait TimeSource {
-    /// Time since an arbitrary start; it never goes back.
+    /// Returns the time since an arbitrary start; it never decreases.
     fn elapsed(&self) -> Duration;
 }
 
-/// The time since the machine booted, in which suspensions count. The steady clock
-/// that timers go by stands still meanwhile, so that a node would take a lease for
-/// valid, news for young and callers for patient that are not.
+/// The time since boot, including suspensions. The monotonic clock that timers use
+/// stops during a suspension, so by that clock a node would treat an expired lease as
+/// valid, old updates as recent and callers whose deadline has passed as still waiting.
 #[derive(Debug)]
 struct BootTime;
 
 impl TimeSource for BootTime {
     fn elapsed(&self) -> Duration {
-        // Linux has had this clock since 2.6.39, and it takes no arguments that
-        // could be wrong: without it no lease could be judged.
+        // Linux has this clock since 2.6.39 and the call has no arguments that could
+        // be invalid. Without it the validity of a lease cannot be determined.
         nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME)
             .map(Duration::from)
             .expect("CLOCK_BOOTTIME")
     }
 }
 
-/// Gives moments of a clock that goes on in suspensions, and waits by it.
+/// A clock that advances during suspensions, with timers that follow it.
 #[derive(Clone)]
 pub struct Clock(Rc<Inner>);
 
@@ -41,7 +41,7 @@
     source: Box<dyn TimeSource>,
     source_start: Duration,
     steady_start: Instant,
-    /// Suspensions that were noticed so far.
+    /// Total length of the suspensions detected so far.
     noticed: Cell<Duration>,
     resumed: Notify,
 }
@@ -52,19 +52,20 @@
     }
 }
 
-/// Time between two looks for a suspension: what waits by the clock is late by so
-/// much at most. Ten wake-ups a second cost some 0.01 % of a core.
+/// Interval between checks for a suspension, and so the longest delay of a timer after
+/// one. Ten wake-ups per second cost about 0.01 % of a core.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Shorter differences of the clocks are read between two ticks, and no suspension.
+/// Shorter differences between the clocks arise from reading them one after the other and
+/// are not suspensions.
 const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
 
 impl Clock {
-    /// The machine's clock.
+    /// Returns a clock of the machine's time since boot.
     pub fn start() -> Self {
         Self::with_source(Box::new(BootTime))
     }
 
-    /// A clock that goes by `source`.
+    /// Returns a clock that uses `source`.
     pub fn with_source(source: Box<dyn TimeSource>) -> Self {
         Clock(Rc::new(Inner {
             source_start: source.elapsed(),
@@ -75,15 +76,15 @@
         }))
     }
 
-    /// The present moment. Clocks start well after zero, so that earlier moments
-    /// can be told.
+    /// Returns the current moment. Clocks start well above zero, so that moments before
+    /// the start can be represented.
     pub fn now(&self) -> Moment {
         const EPOCH: Duration = Duration::from_secs(3600);
         let elapsed = self.0.source.elapsed().saturating_sub(self.0.source_start);
         Moment::from_start(EPOCH + elapsed)
     }
 
-    /// Ends at a moment, or as soon as it is found that a suspension has passed it.
+    /// Waits until a moment, or until a suspension that outlasted it is detected.
     pub async fn sleep_until(&self, until: Moment) {
         loop {
             let resumed = self.resumed();
@@ -100,7 +101,7 @@
 
     /// Waits for `future` until a moment.
     ///
-    /// Errors: the moment passed first.
+    /// Returns an error if the moment passes first.
     pub async fn timeout_at<F: Future>(&self, until: Moment, future: F) -> Result<F::Output, Elapsed> {
         tokio::select! {
             biased;
@@ -109,13 +110,13 @@
         }
     }
 
-    /// Ends after the next suspension.
+    /// Waits for the end of the next suspension.
     pub fn resumed(&self) -> impl Future<Output = ()> + '_ {
         self.0.resumed.notified()
     }
 
-    /// Watches for suspensions until the process ends: whoever waits for
-    /// [`Clock::resumed`] is told, and `on_resume` how long each was.
+    /// Detects suspensions until the process ends. Wakes the tasks that wait for
+    /// [`Clock::resumed`] and passes the length of each suspension to `on_resume`.
     pub async fn watch(&self, on_resume: impl Fn(Duration)) {
         loop {
             sleep(LOOK_EVERY).await;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Time by which this clock has gone on while the steady one stood still.
+    /// Returns the time by which this clock has advanced while the monotonic one stood still.
     fn suspended(&self) -> Duration {
         let elapsed = self.0.source.elapsed().saturating_sub(self.0.source_start);
         elapsed.saturating_sub(self.0.steady_start.elapsed())
