--- a/crates/croftrill-node/src/connection.rs
+++ b/crates/croftrill-node/src/connection.rs
@@ -1,7 +1,7 @@
-//! Outgoing HTTP connections: dialling, keeping, and dropping them.
+//! Outgoing HTTP connections: opening, pooling and closing them.
 //!
-//! A dropped [`Connection`] closes its socket at once, which tells the other
-//! side to stop working on the request.
+//! Dropping a [`Connection`] closes its socket at once, so that the peer stops working
+//! on the request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,17 +20,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, Instant};
 
-/// How connections are made and kept.
+/// Settings of a connection pool.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionConfig {
-    /// Longest time for a connection to come up.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Unanswered bytes or probes for so long mean that the other side is gone;
-    /// `None`: wait as long as the operating system does.
+    /// Time without an acknowledgement of data or probes after which the peer counts as
+    /// lost; `None` uses the operating system's default.
     pub silence_limit: Option<Duration>,
-    /// Longest rest of a connection that is used again.
+    /// Longest idle time after which a connection is used again.
     pub longest_rest: Duration,
-    /// Most resting connections to one address.
+    /// Maximum number of idle connections to one address.
     pub most_resting: usize,
 }
 
@@ -48,48 +48,49 @@
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// No connection came up: nothing was sent.
+    /// The connection was not established, so nothing was sent.
     #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection closed before the request was written: nothing was sent.
+    /// The connection closed before the request was written, so nothing was sent.
     #[error("connection closed before the request was sent")]
     NotSent,
-    /// It broke after the request may have been written.
+    /// The connection failed after the request may have been written.
     #[error("connection broke: {0}")]
     Broken(hyper::Error),
-    /// No whole answer in time.
+    /// No complete answer arrived in time.
     #[error("no answer in time")]
     TimedOut,
-    /// The answer is longer than was asked for.
+    /// The answer exceeds the requested size limit.
     #[error("the answer is too long")]
     TooLong,
 }
 
 impl ExchangeError {
-    /// True if the other side cannot have seen the request.
+    /// Returns true if the peer cannot have received the request.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, ExchangeError::Connect(_) | ExchangeError::NotSent)
     }
 }
 
-/// Limits of an exchange whose answer may be long. While it arrives it is waited
-/// for: one that is cut off and asked for again from its start may never come.
+/// Limits of an exchange whose answer may be long. An answer that keeps arriving is not
+/// cut off by a deadline for the call: it would be requested again from its start and
+/// might never complete.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerLimits {
-    /// Longest wait for the head of the answer.
+    /// Timeout for the head of the answer.
     pub head: Duration,
-    /// Most bytes of its body.
+    /// Maximum size of the body, in bytes.
     pub bytes: u64,
 }
 
-/// Longest time without a byte within an answer: as long as a whole short call
-/// may take, so a path that is silent for so long is taken for dead.
+/// Longest time without a byte within an answer. A complete short call may take as
+/// long, so a path that is silent for longer counts as dead.
 const LONGEST_BODY_PAUSE: Duration = Duration::from_millis(900);
-/// Longest time for the body of an answer: 10 MB over 10 Mbit/s, more than any
-/// answer of a store has (pages of a read are of 1 MB).
+/// Timeout for the body of an answer: 10 MB over 10 Mbit/s, more than any answer of a
+/// store (reads are paged at 1 MB).
 const LONGEST_BODY: Duration = Duration::from_secs(8);
 
-/// What has arrived of the answer to a call that is still waited for.
+/// Progress of the answer to a pending call.
 #[derive(Debug, Default)]
 pub struct Arrival {
     bytes: Cell<u64>,
@@ -97,12 +98,12 @@
 }
 
 impl Arrival {
-    /// Bytes of the answer's body that arrived so far.
+    /// Returns the number of bytes of the answer's body received so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
     }
 
-    /// Time since its first byte.
+    /// Returns the time since the first byte of the body.
     pub fn elapsed(&self) -> Duration {
         self.begun.get().map_or(Duration::ZERO, |begun| begun.elapsed())
     }
@@ -113,14 +114,14 @@
     }
 }
 
-/// One connection; its socket closes when it is dropped.
+/// One connection, whose socket closes when it is dropped.
 pub struct Connection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
     resting_since: Instant,
     longest_rest: Duration,
-    /// True once it rested between two requests.
+    /// True once the connection was idle between two requests.
     rested: bool,
 }
 
@@ -131,7 +132,7 @@
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, ExchangeError> {
         if self.sender.ready().await.is_err() {
             return Err(ExchangeError::NotSent);
@@ -146,7 +147,7 @@
     }
 }
 
-/// Opens connections, and keeps some that rest for further use.
+/// Opens connections and retains idle ones for reuse.
 pub struct ConnectionPool {
     config: ConnectionConfig,
     resting: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
@@ -154,7 +155,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Returns a pool without connections.
     pub fn new(config: ConnectionConfig) -> Self {
         ConnectionPool {
             config,
@@ -163,12 +164,12 @@
         }
     }
 
-    /// Connections opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         *self.opened.borrow()
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn dial(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
         let connecting = timeout(self.config.connect_timeout, TcpStream::connect(address));
         let stream = match connecting.await {
@@ -182,7 +183,7 @@
         let (sender, connection) = handshake.await.map_err(|_| ExchangeError::NotSent)?;
         *self.opened.borrow_mut() += 1;
         let driver = tokio::task::spawn_local(async move {
-            // Errors reach the sender of the request.
+            // Errors also reach the sender of the request.
             let _ = connection.await;
         });
         let longest_rest = self.config.longest_rest;
@@ -196,7 +197,7 @@
         })
     }
 
-    /// A resting connection, if a usable one exists.
+    /// Removes a usable idle connection from the pool and returns it.
     pub fn take_resting(&self, address: SocketAddr) -> Option<Connection> {
         let mut resting = self.resting.borrow_mut();
         let connections = resting.get_mut(&address)?;
@@ -209,7 +210,7 @@
         None
     }
 
-    /// A resting connection or a new one.
+    /// Returns an idle connection or opens a new one.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
         match self.take_resting(address) {
             Some(connection) => Ok(connection),
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Takes back a connection whose answer was read whole. `headers`: of that answer.
+    /// Returns a connection to the pool after its answer was read completely. `headers` are
+    /// those of the answer.
     pub fn put_back(&self, mut connection: Connection, headers: &HeaderMap) {
         if connection.sender.is_closed() || closes(headers) {
             return;
@@ -233,24 +235,24 @@
         }
     }
 
-    /// A request on this connection got no whole answer, or none in time. If it had
-    /// rested, the others that rest may be as dead: connections can go silent without
-    /// a reset while new ones work, and each would cost another wait.
+    /// Handles a connection on which a request got no complete answer, or none in time. If
+    /// it was reused, closes the idle connections to its address: connections can become
+    /// silent without a reset while new ones work, and each would cost another timeout.
     pub fn found_silent(&self, connection: &Connection) {
         if !connection.rested {
             return;
         }
         let resting = self.resting.borrow_mut().remove(&connection.address);
         let closed = resting.map_or(0, |connections| connections.len());
-        tracing::debug!(target: "connection", event = "closed with a silent one", address = %connection.address, closed);
+        tracing::debug!(target: "connection", event = "closed idle connections to a silent peer", address = %connection.address, closed);
     }
 
-    /// Closes all resting connections.
+    /// Closes all idle connections.
     pub fn close_resting(&self) {
         self.resting.borrow_mut().clear();
     }
 
-    /// Closes resting connections that are too old to be used again.
+    /// Closes connections that were idle too long to be used again.
     pub fn drop_old(&self) {
         self.resting.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| connection.resting_since.elapsed() < connection.longest_rest);
@@ -258,7 +260,7 @@
         });
     }
 
-    /// Sends a request on a resting or new connection and reads the whole answer.
+    /// Sends a request on an idle or new connection and reads the complete answer.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -270,8 +272,8 @@
             .unwrap_or(Err(ExchangeError::TimedOut))
     }
 
-    /// As [`Self::exchange`] for answers that may be long; what arrives of the
-    /// answer shows in `arrival`.
+    /// Like [`Self::exchange`], for answers that may be long. Records the progress of the
+    /// answer in `arrival`.
     pub async fn exchange_long(
         &self,
         address: SocketAddr,
@@ -302,7 +304,8 @@
         Ok(Response::from_parts(head, body))
     }
 
-    /// Sends a request on a resting or new connection; answers the head of its answer.
+    /// Sends a request on an idle or new connection and returns the head of the answer.
+    /// Sends it again on a new connection if the first one closed before it was written.
     async fn begin(
         &self,
         address: SocketAddr,
@@ -321,7 +324,7 @@
     }
 }
 
-/// A connection in use by a pool's own exchange, which may be given up midway.
+/// A connection in use by an exchange of the pool, which may be cancelled at any time.
 struct Exchange<'a> {
     pool: &'a ConnectionPool,
     connection: Option<Connection>,
@@ -342,7 +345,7 @@
         }
     }
 
-    /// The answer was read whole.
+    /// Returns the connection to the pool after its answer was read completely.
     fn finish(mut self, headers: &HeaderMap) {
         if let Some(connection) = self.connection.take() {
             self.pool.put_back(connection, headers);
@@ -358,7 +361,7 @@
     }
 }
 
-/// Reads a body of up to `most_bytes`, as long as it goes on arriving.
+/// Reads a body of up to `most_bytes` for as long as it keeps arriving.
 async fn read_body(mut body: Incoming, most_bytes: u64, arrival: &Arrival) -> Result<Bytes, ExchangeError> {
     let mut whole = BytesMut::new();
     loop {
@@ -366,7 +369,7 @@
         let Some(frame) = frame.map_err(|_| ExchangeError::TimedOut)? else {
             return Ok(whole.freeze());
         };
-        // Trailers say nothing that a caller of this reads.
+        // No caller needs trailers.
         if let Ok(piece) = frame.map_err(ExchangeError::Broken)?.into_data() {
             arrival.add(piece.len());
             whole.extend_from_slice(&piece);
@@ -377,9 +380,9 @@
     }
 }
 
-/// Largest buffer of one connection, in bytes.
+/// Maximum size of a connection's read buffer.
 const READ_BUFFER: usize = 64 * 1024;
-/// Taken off the rest that the other side allows.
+/// Margin subtracted from the idle time that the peer allows.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
 
 fn closes(headers: &HeaderMap) -> bool {
@@ -389,7 +392,7 @@
     connection.is_some_and(|value| value.to_ascii_lowercase().contains("close"))
 }
 
-/// The rest that an answer's `Keep-Alive` allows, less a margin.
+/// Returns the idle time that an answer's `Keep-Alive` header allows, less a margin.
 fn keep_alive(headers: &HeaderMap) -> Duration {
     let value = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = value.and_then(|value| {
@@ -403,14 +406,14 @@
     })
 }
 
-/// Sets a connection up: no delay of small writes, and an end to one whose other
-/// side is gone without a word; `None`: wait as long as the operating system does.
+/// Configures a socket: disables the delay of small writes and closes the connection if
+/// the peer is lost without a reset. A limit of `None` uses the operating system's default.
 pub(crate) fn tune(stream: &TcpStream, silence_limit: Option<Duration>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let Some(limit) = silence_limit else { return Ok(()) };
     let socket = SockRef::from(stream);
-    // A probe after half of the limit, and another a quarter later. Whole seconds
-    // are the finest that keep-alive probes have.
+    // Sends a probe after half of the limit and another one a quarter later. Keep-alive
+    // probes have a resolution of one second.
     let least = Duration::from_secs(1);
     let keep_alive = TcpKeepalive::new()
         .with_time(least.max(limit / 2))
