--- a/crates/croftrill-node/src/counted_store.rs
+++ b/crates/croftrill-node/src/counted_store.rs
@@ -1,4 +1,4 @@
-//! The store as a node calls it: every call is counted by kind and outcome.
+//! A store that counts every call by kind and outcome.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 };
 use crate::store_era::StoreEra;
 
-/// A store whose calls are counted.
+/// A store that counts its calls in the node's metrics.
 pub struct CountedStore<'a, S> {
     store: S,
     metrics: &'a Metrics,
 }
 
 impl<'a, S> CountedStore<'a, S> {
-    /// Counts the calls to `store` in `metrics`.
+    /// Wraps `store` and counts its calls in `metrics`.
     pub fn new(store: S, metrics: &'a Metrics) -> Self {
         CountedStore { store, metrics }
     }
