--- a/crates/croftrill-node/src/era_store.rs
+++ b/crates/croftrill-node/src/era_store.rs
@@ -1,7 +1,8 @@
-//! A store whose revisions are points in its history ([`crate::store_era`]).
+//! A store with points of its history in place of revisions ([`crate::store_era`]).
 //!
-//! The one place where revisions of the store become points and points revisions. What
-//! belongs to another era than the present one does not reach the store, nor its caller.
+//! This is the only place that converts between the store's revisions and points. Requests
+//! that refer to another era than the current one do not reach the store, and answers of
+//! another era do not reach the caller.
 
 use std::time::Duration;
 
@@ -14,13 +15,13 @@
 /// Revision of a key that is absent.
 const ABSENT: u64 = 0;
 
-/// A store as a node calls it: by points.
+/// A store whose callers use points.
 pub struct EraStore<'a, S> {
     store: &'a S,
 }
 
 impl<'a, S: KeyValueStore> EraStore<'a, S> {
-    /// The store `store`, which speaks of its own revisions.
+    /// Wraps `store`, which uses its own revisions.
     pub fn new(store: &'a S) -> Self {
         EraStore { store }
     }
@@ -42,7 +43,8 @@
         }
     }
 
-    /// The condition as the store knows it; `None` if it names a revision of a former era.
+    /// Returns the condition with the store's own revision, or `None` if it refers to a former
+    /// era.
     fn expectation(&self, expectation: Expectation) -> Option<Expectation> {
         let revision = match expectation.revision {
             ABSENT => ABSENT,
@@ -69,7 +71,7 @@
         let rises = self.era().rises();
         let snapshot = self.store.range(prefix, freshness, limit).await?;
         if self.era().rises() != rises {
-            // Its pages may be of both eras.
+            // The pages of the read may belong to both eras.
             return Err(StoreError::HistoryGone);
         }
         Ok(Snapshot {
@@ -79,7 +81,7 @@
     }
 
     async fn watch(&self, call: WatchCall<'_>) -> Result<Changes, StoreError> {
-        // The store may have a revision of that number all the same, with other contents.
+        // The store may have reused the revision's number for other contents.
         let after = self.era().revision(call.after).ok_or(StoreError::HistoryGone)?;
         let rises = self.era().rises();
         let changes = self.store.watch(WatchCall { after, ..call }).await?;
@@ -113,7 +115,7 @@
         let put = ConditionalPut { conditions, ..put };
         let outcome = self.store.put(put).await?;
         if is_conditional && self.era().rises() != rises {
-            // The conditions may have met revisions that were given out again.
+            // The conditions may have matched revisions whose numbers were reused.
             return Err(StoreError::NoAnswer);
         }
         Ok(match outcome {
--- a/crates/croftrill-node/src/store_era.rs
+++ b/crates/croftrill-node/src/store_era.rs
@@ -1,40 +1,42 @@
-//! Histories of a store that may come back from an older copy.
+//! Eras of a store that may be restored from an older copy.
 //!
-//! Such a store counts its eras: each return begins one, in which revisions go back and
-//! are given out again, with other contents. So a revision alone tells no moment. Inside
-//! a node, and between nodes, revisions stand as *points*: the number of eras since the
-//! system's first one in the high bits, the store's revision in the low ones. Points of
-//! a later era are greater than all of an earlier one, so whatever goes by greater and
-//! smaller (views, relays, fencing tokens) goes by history. In the first era, and at a
-//! store without eras, points are revisions.
+//! Such a store counts its eras: each restore starts a new one, in which revisions go back
+//! and their numbers are reused for other contents. A revision alone therefore does not
+//! identify a state of the store. Inside a node and between nodes, revisions are replaced
+//! by *points*: the number of eras since the system's first one in the high bits, the
+//! store's revision in the low bits. Points of a later era are greater than all of an
+//! earlier one, so everything that compares them (views, relays, fencing tokens) follows
+//! the order of history. In the first era, and with a store without eras, points equal
+//! revisions.
 
 use std::cell::Cell;
 
 use http::HeaderMap;
 use tokio::sync::Notify;
 
-/// Bits of a point that hold the store's revision: 35 years of 1,000 changes a second.
-/// What is left for eras, 8,000 of them, keeps points exact in JSON numbers.
+/// Bits of a point that hold the store's revision, enough for 35 years of 1,000 changes
+/// per second. They leave room for 8,000 eras before points are no longer exact as JSON
+/// numbers.
 const REVISION_BITS: u32 = 40;
 
-/// What the era of an answer is to the newest known.
+/// How the era of an answer compares with the newest known era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEra {
-    /// The same: the answer holds.
+    /// The same era; the answer is valid.
     Current,
-    /// A later one began.
+    /// A later era, so that a new one has started.
     Risen,
-    /// A former one: what the answer tells is void.
+    /// A former era; the contents of the answer are no longer valid.
     Former,
 }
 
-/// Era of the store, as its answers tell it.
+/// The store's era, as its answers report it.
 #[derive(Debug, Default)]
 pub struct StoreEra {
     newest: Cell<Option<u64>>,
-    /// The system's first era, as far as is known.
+    /// The system's first era, as far as it is known.
     first: Cell<Option<u64>>,
-    /// The era before the store ever came back from a copy, if its protocol says so.
+    /// The era of a store that was never restored, if the store's protocol defines one.
     counts_from: Option<u64>,
     has_answered: Cell<bool>,
     rises: Cell<u64>,
@@ -42,7 +44,7 @@
 }
 
 impl StoreEra {
-    /// Eras of a store whose first one is known.
+    /// Returns the era of a store whose protocol defines the first one.
     pub fn counting_from(first: u64) -> Self {
         StoreEra {
             first: Cell::new(Some(first)),
@@ -51,12 +53,12 @@
         }
     }
 
-    /// True if the store is known never to have come back from a copy.
+    /// Returns true if the store reports no era or the one of a store that was never restored.
     pub fn is_first(&self) -> bool {
         self.newest.get().is_none() || self.newest.get() == self.counts_from
     }
 
-    /// Takes in the era that an answer tells, if any; one that tells none is believed.
+    /// Records the era that an answer reports. An answer that reports none counts as current.
     pub fn note(&self, told: Option<u64>) -> AnswerEra {
         let is_first_answer = !self.has_answered.replace(true);
         let Some(told) = told else {
@@ -71,7 +73,7 @@
                 self.learn_first(told);
                 return AnswerEra::Current;
             }
-            // Answers told none before: the store began to count.
+            // Earlier answers reported no era: the store has started to count them.
             None => self.learn_first(told.saturating_sub(1)),
         }
         self.newest.set(Some(told));
@@ -80,7 +82,8 @@
         AnswerEra::Risen
     }
 
-    /// As [`Self::note`], of the header `name` of an answer; an error if what that tells is void.
+    /// Records the era in the header `name` of an answer, as [`Self::note`] does. Returns an
+    /// error if the answer is of a former era.
     pub fn note_header(&self, headers: &HeaderMap, name: &str) -> Result<(), FormerEra> {
         let told = headers.get(name).and_then(|era| era.to_str().ok());
         let told = told.and_then(|era| era.trim().parse().ok());
@@ -97,38 +100,38 @@
         }
     }
 
-    /// The newest era, if the store tells any.
+    /// Returns the newest era, if the store reports any.
     pub fn newest(&self) -> Option<u64> {
         self.newest.get()
     }
 
-    /// The system's first era, as far as is known.
+    /// Returns the system's first era, as far as it is known.
     pub fn first(&self) -> Option<u64> {
         self.first.get()
     }
 
-    /// The system's first era was no later than this one.
+    /// Records that the system's first era was not later than `first`.
     pub fn learn_first(&self, first: u64) {
         let known = self.first.get().unwrap_or(first);
         self.first.set(Some(known.min(first)));
     }
 
-    /// How often it rose while this process ran.
+    /// Returns how often the era has risen since the process started.
     pub fn rises(&self) -> u64 {
         self.rises.get()
     }
 
-    /// Ends when the era rises.
+    /// Waits until the era rises.
     pub async fn risen(&self) {
         self.risen.notified().await;
     }
 
-    /// The point of a revision of the newest era.
+    /// Returns the point of a revision of the newest era.
     pub fn point(&self, revision: u64) -> u64 {
         revision | (self.eras_since_first() << REVISION_BITS)
     }
 
-    /// The revision of a point of the newest era; `None` for one of another.
+    /// Returns the revision of a point of the newest era, or `None` for another era.
     pub fn revision(&self, point: u64) -> Option<u64> {
         let is_current = point >> REVISION_BITS == self.eras_since_first();
         is_current.then_some(point & ((1 << REVISION_BITS) - 1))
@@ -140,12 +143,12 @@
     }
 }
 
-/// An answer is of a former era, and so tells nothing.
+/// An answer belongs to a former era, so that its contents are no longer valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an answer of a former era")]
+#[error("the store's answer belongs to a former era")]
 pub struct FormerEra;
 
-/// True if both points are of one era.
+/// Returns true if both points belong to the same era.
 pub fn same_era(left: u64, right: u64) -> bool {
     left >> REVISION_BITS == right >> REVISION_BITS
 }
