--- a/crates/croftrill-node/src/front.rs
+++ b/crates/croftrill-node/src/front.rs
@@ -18,25 +18,26 @@
 use crate::ports::{CallerAddress, Platform};
 use crate::request;
 
-/// Time before the end in which a stopping node gives its last answers: a few round trips
-/// to the farthest callers.
+/// Time before the exit of a stopping node at which it answers the remaining requests: a
+/// few round trips to the farthest callers.
 const LAST_ANSWERS: Duration = Duration::from_millis(200);
 
-/// Pause after a failed accept, as when descriptors run out.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time after the request to stop in which new connections and requests are
-/// still taken; by then callers have asked for addresses anew. A request that is
-/// taken much later could not be finished within the grace.
+/// Time after the request to stop in which new connections and requests are still
+/// accepted. By its end callers have resolved the nodes' addresses again. A request accepted
+/// much later could not be finished within the grace period.
 pub const STOP_LINGER: Duration = Duration::from_millis(2000);
-/// A caller's connection on which nothing is taken for so long, not even probes,
-/// is closed: longer than callers wait for an answer (15 s on the longest known
-/// route), as a partition that ends sooner loses nothing.
+/// Time without any acknowledgement, even of probes, after which a caller's connection is
+/// closed. It is longer than callers wait for an answer (15 s on the longest known route),
+/// so a shorter network partition loses no answers.
 const CALLER_SILENCE: Duration = Duration::from_secs(20);
-/// Smallest read buffer that the HTTP library takes, in bytes.
+/// Smallest read buffer that the HTTP library accepts.
 const LEAST_BUFFER: usize = 8192;
 
-/// Accepts callers until the process ends, or some time after the node was
-/// asked to stop: whoever comes then still finds the other nodes at once.
+/// Accepts callers until the process ends or, after a request to stop, until
+/// [`STOP_LINGER`] has passed. A caller that connects later is refused at once and can turn
+/// to another node.
 pub async fn accept<P: Platform>(node: Rc<Node<P>>, listener: TcpListener) {
     let closing = lingered(&node);
     tokio::pin!(closing);
@@ -61,7 +62,7 @@
 /// Serves one caller's connection until either side closes it.
 async fn serve_connection<P: Platform>(node: Rc<Node<P>>, stream: TcpStream, caller: CallerAddress) {
     if let Err(error) = tune(&stream, Some(CALLER_SILENCE)) {
-        tracing::debug!(target: "front", event = "connection cannot be set up", %error);
+        tracing::debug!(target: "front", event = "cannot configure the connection", %error);
         return;
     }
     let limits = node
@@ -97,12 +98,12 @@
         _ = connection.as_mut() => return,
         () = lingered(&node) => {}
     }
-    // Resting connections close now; one that is in use closes after its answer.
+    // Closes an idle connection now, and one in use after its answer.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
-/// Ends when the node, asked to stop, takes no new requests any more.
+/// Waits until a stopping node accepts no new requests.
 async fn lingered<P: Platform>(node: &Node<P>) {
     while node.lifecycle() != Lifecycle::Stopping {
         node.stop_requested.notified().await;
@@ -110,8 +111,9 @@
     sleep(STOP_LINGER).await;
 }
 
-/// Ends when a stopping node must answer what has no answer yet, so that its callers learn
-/// of its end by more than a closed connection. Such a request may have run.
+/// Waits until a stopping node must answer the requests that are still in flight, so that
+/// their callers get an answer rather than a closed connection. Such a request may have
+/// been executed.
 async fn last_answers<P: Platform>(node: &Node<P>) {
     while node.stop_requested_at().is_none() {
         node.stop_requested.notified().await;
@@ -121,19 +123,20 @@
     };
     let until = time_to_finish(node).saturating_sub(LAST_ANSWERS);
     node.clock.sleep_until(asked + until).await;
-    tracing::info!(target: "request", event = "answered at the end of the node", in_flight = node.in_flight.get());
+    tracing::info!(target: "request", event = "answered a request before the node's exit", in_flight = node.in_flight.get());
 }
 
-/// Time from the request to stop until the node ends, whatever is in flight.
+/// Returns the time from the request to stop until the node exits even with requests in
+/// flight.
 fn time_to_finish<P: Platform>(node: &Node<P>) -> Duration {
-    /// Part of the grace that is left for the end itself.
+    /// Part of the grace period that is reserved for the exit itself.
     const END_MARGIN: Duration = Duration::from_millis(700);
     node.settings.bounds.stop_grace.saturating_sub(END_MARGIN)
 }
 
-/// Waits until a stopping node may end: nothing is in flight, or the grace is over.
+/// Waits until a stopping node may exit: no request is in flight, or the grace period is
+/// over.
 pub async fn finish<P: Platform>(node: &Node<P>) {
-    /// Time between two looks.
     const LOOK_EVERY: Duration = Duration::from_millis(50);
     let grace = time_to_finish(node);
     let started = node.clock.now();
