--- a/crates/croftrill-node/src/logging.rs
+++ b/crates/croftrill-node/src/logging.rs
@@ -1,8 +1,7 @@
-//! Structured logs to standard output, bounded in volume, never blocking.
+//! Structured logs to standard output, bounded in volume and never blocking.
 //!
-//! Lines are written by a thread of their own from a bounded queue; when the
-//! reader stalls, lines are left out and counted. A budget a second bounds the
-//! volume under load.
+//! A dedicated thread writes the lines from a bounded queue. If the reader stalls, lines
+//! are dropped and counted. A budget per second bounds the volume under load.
 
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -21,9 +20,9 @@
 /// Bounds of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogConfig {
-    /// Most lines in a second.
+    /// Maximum number of lines per second; warnings and errors are not limited.
     pub lines_per_second: u32,
-    /// Lines that may wait for the writer.
+    /// Maximum number of lines that wait for the writer.
     pub queue_lines: usize,
 }
 
@@ -36,7 +35,7 @@
     }
 }
 
-/// Counts lines against a budget for each second.
+/// A budget of log lines for each second.
 #[derive(Debug)]
 pub struct LineBudget {
     per_second: u32,
@@ -47,7 +46,7 @@
 }
 
 impl LineBudget {
-    /// A budget of `per_second` lines in each second.
+    /// Returns a budget of `per_second` lines for each second.
     pub fn new(per_second: u32) -> Self {
         LineBudget {
             per_second,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Takes one line; false if this second's are used up.
+    /// Takes one line from the budget. Returns false if the current second's is used up.
     pub fn take(&self) -> bool {
         let second = self.started.elapsed().as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -71,13 +70,13 @@
         allowed
     }
 
-    /// Lines left out since the last call.
+    /// Returns the number of lines dropped since the last call.
     pub fn take_left_out(&self) -> u64 {
         self.left_out.swap(0, Ordering::Relaxed)
     }
 }
 
-/// Lets lines through within the budget.
+/// Drops lines less severe than INFO, and INFO lines beyond the budget.
 struct BudgetFilter(Arc<LineBudget>);
 
 impl<S: Subscriber> Filter<S> for BudgetFilter {
@@ -90,20 +89,19 @@
     }
 }
 
-/// A log that can be installed, and what must be kept while it runs.
+/// The counters and the writer of a log, which must be retained while the log is in use.
 pub struct Log {
-    /// The budget; tells what was left out.
+    /// The budget, which counts the lines that it drops.
     pub budget: Arc<LineBudget>,
-    /// Lines that did not fit into the queue, counted by the writer.
+    /// Number of lines that did not fit into the queue.
     pub queue_losses: tracing_appender::non_blocking::ErrorCounter,
     _writer: WorkerGuard,
 }
 
-/// Time between two looks at what the log left out.
 const REVIEW_EVERY: Duration = Duration::from_secs(5);
 
 impl Log {
-    /// Says from time to time what the log left out, until the process ends.
+    /// Logs and counts dropped lines at intervals until the process ends.
     pub async fn review<P: Platform>(self, node: Rc<Node<P>>) {
         let mut lost_before = 0;
         loop {
@@ -119,7 +117,7 @@
     }
 }
 
-/// A subscriber that writes to `output` under the bounds of `config`.
+/// Returns a subscriber that writes to `output` within the bounds of `config`.
 pub fn subscriber<W>(output: W, config: LogConfig) -> (impl Subscriber + Send + Sync, Log)
 where
     W: std::io::Write + Send + 'static,
@@ -153,7 +151,7 @@
 /// Installs the process's log on standard output.
 pub fn install(config: LogConfig) -> Log {
     let (subscriber, log) = subscriber(std::io::stdout(), config);
-    // A second call, as in tests, keeps the first log.
+    // A second call, as in tests, leaves the first log installed.
     let _ = tracing::subscriber::set_global_default(subscriber);
     log
 }
