--- a/crates/croftrill-node/src/stream.rs
+++ b/crates/croftrill-node/src/stream.rs
@@ -1,9 +1,8 @@
-//! Bodies of answers: whole ones, and event streams passed on as they come.
+//! Bodies of answers: complete ones, and event streams that are forwarded as they arrive.
 //!
-//! A stream is pumped by a task of its own. When its reader is gone the task
-//! ends, and with it the connection to the replica. A stream that may be
-//! resumed is cut into whole events, so that it can go on at another replica
-//! after the last event that was passed on.
+//! A dedicated task forwards each stream. When the reader closes its end, the task ends and
+//! closes the connection to the replica. A stream that may be resumed is split into
+//! complete events, so that another replica can continue it after the last forwarded event.
 
 use std::io;
 use std::pin::Pin;
@@ -13,37 +12,37 @@
 use http_body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Frames that may wait for a slow reader.
+/// Maximum number of chunks that wait for a slow reader.
 const FRAMES_AHEAD: usize = 8;
 
-/// A part of a stream.
+/// A chunk of a stream.
 #[derive(Debug)]
 pub enum StreamPart {
-    /// Bytes of it.
+    /// Data of the stream.
     Bytes(Bytes),
-    /// It ends whole.
+    /// The end of a complete stream.
     End,
 }
 
-/// The end that feeds a stream; an error breaks the connection off.
+/// The sending end of a stream. An error aborts the connection.
 pub type StreamSender = mpsc::Sender<Result<StreamPart, io::Error>>;
 
 /// The body of an answer to a caller.
 pub enum AnswerBody {
-    /// Everything at once.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// Parts as they come. A feeder that goes without [`StreamPart::End`] breaks
-    /// the connection off, so that what it left does not look whole.
+    /// A stream of chunks. If the sender is dropped before it sends [`StreamPart::End`], the
+    /// connection is aborted, so that a truncated stream does not look complete.
     Stream(mpsc::Receiver<Result<StreamPart, io::Error>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Returns a complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         AnswerBody::Whole(Some(bytes.into()))
     }
 
-    /// A stream, and the end that feeds it.
+    /// Returns a stream and its sending end.
     pub fn stream() -> (StreamSender, Self) {
         let (sender, receiver) = mpsc::channel(FRAMES_AHEAD);
         (sender, AnswerBody::Stream(receiver))
@@ -86,7 +85,7 @@
     }
 }
 
-/// Cuts a stream into whole events and remembers the id of the last one.
+/// Splits a stream into complete events and records the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventCutter {
     partial: BytesMut,
@@ -99,7 +98,7 @@
 const ID_FIELD: &str = "id:";
 
 impl EventCutter {
-    /// A cutter at the start of a stream, or after the event `last_id`.
+    /// Returns a splitter for the start of a stream, or for what follows the event `last_id`.
     pub fn after(last_id: Option<String>) -> Self {
         EventCutter {
             partial: BytesMut::new(),
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Takes in bytes; answers the events that are now whole.
+    /// Adds bytes of the stream. Returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let end = find_last(&self.partial, EVENT_END)? + EVENT_END.len();
@@ -118,17 +117,17 @@
         Some(whole)
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Forgets a partial event, whose stream broke off.
+    /// Discards the partial event of a stream that was cut off.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// What is left after the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
