--- a/crates/croftrill-node/src/clock.rs
+++ b/crates/croftrill-node/src/clock.rs
@@ -40,9 +40,9 @@
 struct Inner {
     source: Box<dyn TimeSource>,
     source_start: Duration,
-    steady_start: Instant,
+    monotonic_start: Instant,
     /// Total length of the suspensions detected so far.
-    noticed: Cell<Duration>,
+    detected_suspension: Cell<Duration>,
     resumed: Notify,
 }
 
@@ -54,10 +54,10 @@
 
 /// Interval between checks for a suspension, and so the longest delay of a timer after
 /// one. Ten wake-ups per second cost about 0.01 % of a core.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Shorter differences between the clocks arise from reading them one after the other and
 /// are not suspensions.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 impl Clock {
     /// Returns a clock of the machine's time since boot.
@@ -70,8 +70,8 @@
         Clock(Rc::new(Inner {
             source_start: source.elapsed(),
             source,
-            steady_start: Instant::now(),
-            noticed: Cell::default(),
+            monotonic_start: Instant::now(),
+            detected_suspension: Cell::default(),
             resumed: Notify::new(),
         }))
     }
@@ -117,22 +117,22 @@
 
     /// Detects suspensions until the process ends. Wakes the tasks that wait for
     /// [`Clock::resumed`] and passes the length of each suspension to `on_resume`.
-    pub async fn watch(&self, on_resume: impl Fn(Duration)) {
+    pub async fn watch_suspensions(&self, on_resume: impl Fn(Duration)) {
         loop {
-            sleep(LOOK_EVERY).await;
-            let suspended = self.suspended();
-            let new = suspended.saturating_sub(self.0.noticed.get());
-            if new >= LEAST_SUSPENSION {
-                self.0.noticed.set(suspended);
-                on_resume(new);
+            sleep(SUSPENSION_CHECK_INTERVAL).await;
+            let total = self.total_suspension();
+            let suspension = total.saturating_sub(self.0.detected_suspension.get());
+            if suspension >= MIN_SUSPENSION {
+                self.0.detected_suspension.set(total);
+                on_resume(suspension);
                 self.0.resumed.notify_waiters();
             }
         }
     }
 
     /// Returns the time by which this clock has advanced while the monotonic one stood still.
-    fn suspended(&self) -> Duration {
+    fn total_suspension(&self) -> Duration {
         let elapsed = self.0.source.elapsed().saturating_sub(self.0.source_start);
-        elapsed.saturating_sub(self.0.steady_start.elapsed())
+        elapsed.saturating_sub(self.0.monotonic_start.elapsed())
     }
 }
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -114,7 +114,7 @@
         // The store may have dropped watches that waited during the suspension.
         node.store_reachability.record_call(false);
     };
-    node.clock.watch(on_resume).await;
+    node.clock.watch_suspensions(on_resume).await;
 }
 
 async fn close_old_connections<P: Platform>(node: Rc<Node<P>>) {
