--- a/crates/croftrill-demo/src/caller.rs
+++ b/crates/croftrill-demo/src/caller.rs
@@ -55,7 +55,7 @@
 pub fn kept_connections() -> ConnectionPool {
     ConnectionPool::new(ConnectionConfig {
         silence_limit: None,
-        longest_rest: CALLER_REST,
+        max_idle_time: CALLER_REST,
         ..ConnectionConfig::default()
     })
 }
--- a/crates/croftrill-node/src/connection.rs
+++ b/crates/croftrill-node/src/connection.rs
@@ -29,9 +29,9 @@
     /// lost; `None` uses the operating system's default.
     pub silence_limit: Option<Duration>,
     /// Longest idle time after which a connection is used again.
-    pub longest_rest: Duration,
+    pub max_idle_time: Duration,
     /// Maximum number of idle connections to one address.
-    pub most_resting: usize,
+    pub max_idle_connections: usize,
 }
 
 impl Default for ConnectionConfig {
@@ -39,8 +39,8 @@
         ConnectionConfig {
             connect_timeout: Duration::from_millis(400),
             silence_limit: Some(Duration::from_millis(1000)),
-            longest_rest: Duration::from_millis(3000),
-            most_resting: 8,
+            max_idle_time: Duration::from_millis(3000),
+            max_idle_connections: 8,
         }
     }
 }
@@ -85,10 +85,10 @@
 
 /// Longest time without a byte within an answer. A complete short call may take as
 /// long, so a path that is silent for longer counts as dead.
-const LONGEST_BODY_PAUSE: Duration = Duration::from_millis(900);
+const MAX_BODY_PAUSE: Duration = Duration::from_millis(900);
 /// Timeout for the body of an answer: 10 MB over 10 Mbit/s, more than any answer of a
 /// store (reads are paged at 1 MB).
-const LONGEST_BODY: Duration = Duration::from_secs(8);
+const BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Progress of the answer to a pending call.
 #[derive(Debug, Default)]
@@ -119,10 +119,10 @@
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
-    resting_since: Instant,
-    longest_rest: Duration,
+    idle_since: Instant,
+    max_idle_time: Duration,
     /// True once the connection was idle between two requests.
-    rested: bool,
+    was_idle: bool,
 }
 
 impl Drop for Connection {
@@ -150,7 +150,7 @@
 /// Opens connections and retains idle ones for reuse.
 pub struct ConnectionPool {
     config: ConnectionConfig,
-    resting: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     opened: RefCell<u64>,
 }
 
@@ -159,7 +159,7 @@
     pub fn new(config: ConnectionConfig) -> Self {
         ConnectionPool {
             config,
-            resting: RefCell::default(),
+            idle: RefCell::default(),
             opened: RefCell::new(0),
         }
     }
@@ -176,9 +176,9 @@
             Ok(connected) => connected.map_err(ExchangeError::Connect)?,
             Err(_) => return Err(ExchangeError::Connect(io::ErrorKind::TimedOut.into())),
         };
-        tune(&stream, self.config.silence_limit).map_err(ExchangeError::Connect)?;
+        configure_socket(&stream, self.config.silence_limit).map_err(ExchangeError::Connect)?;
         let handshake = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(|_| ExchangeError::NotSent)?;
         *self.opened.borrow_mut() += 1;
@@ -186,23 +186,23 @@
             // Errors also reach the sender of the request.
             let _ = connection.await;
         });
-        let longest_rest = self.config.longest_rest;
+        let max_idle_time = self.config.max_idle_time;
         Ok(Connection {
             address,
             sender,
             driver,
-            resting_since: Instant::now(),
-            longest_rest,
-            rested: false,
+            idle_since: Instant::now(),
+            max_idle_time,
+            was_idle: false,
         })
     }
 
     /// Removes a usable idle connection from the pool and returns it.
-    pub fn take_resting(&self, address: SocketAddr) -> Option<Connection> {
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.get_mut(&address)?;
+    pub fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
         while let Some(connection) = connections.pop() {
-            let fresh = connection.resting_since.elapsed() < connection.longest_rest;
+            let fresh = connection.idle_since.elapsed() < connection.max_idle_time;
             if fresh && connection.sender.is_ready() {
                 return Some(connection);
             }
@@ -212,7 +212,7 @@
 
     /// Returns an idle connection or opens a new one.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ExchangeError> {
-        match self.take_resting(address) {
+        match self.take_idle(address) {
             Some(connection) => Ok(connection),
             None => self.dial(address).await,
         }
@@ -221,16 +221,16 @@
     /// Returns a connection to the pool after its answer was read completely. `headers` are
     /// those of the answer.
     pub fn put_back(&self, mut connection: Connection, headers: &HeaderMap) {
-        if connection.sender.is_closed() || closes(headers) {
+        if connection.sender.is_closed() || is_close_requested(headers) {
             return;
         }
-        connection.resting_since = Instant::now();
-        connection.longest_rest = self.config.longest_rest.min(keep_alive(headers));
-        connection.rested = true;
-        let mut resting = self.resting.borrow_mut();
-        let connections = resting.entry(connection.address).or_default();
-        connections.retain(|other| other.resting_since.elapsed() < other.longest_rest);
-        if connections.len() < self.config.most_resting {
+        connection.idle_since = Instant::now();
+        connection.max_idle_time = self.config.max_idle_time.min(keep_alive_timeout(headers));
+        connection.was_idle = true;
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(connection.address).or_default();
+        connections.retain(|other| other.idle_since.elapsed() < other.max_idle_time);
+        if connections.len() < self.config.max_idle_connections {
             connections.push(connection);
         }
     }
@@ -238,24 +238,24 @@
     /// Handles a connection on which a request got no complete answer, or none in time. If
     /// it was reused, closes the idle connections to its address: connections can become
     /// silent without a reset while new ones work, and each would cost another timeout.
-    pub fn found_silent(&self, connection: &Connection) {
-        if !connection.rested {
+    pub fn handle_unresponsive(&self, connection: &Connection) {
+        if !connection.was_idle {
             return;
         }
-        let resting = self.resting.borrow_mut().remove(&connection.address);
-        let closed = resting.map_or(0, |connections| connections.len());
+        let idle = self.idle.borrow_mut().remove(&connection.address);
+        let closed = idle.map_or(0, |connections| connections.len());
         tracing::debug!(target: "connection", event = "closed idle connections to a silent peer", address = %connection.address, closed);
     }
 
     /// Closes all idle connections.
-    pub fn close_resting(&self) {
-        self.resting.borrow_mut().clear();
+    pub fn close_idle(&self) {
+        self.idle.borrow_mut().clear();
     }
 
     /// Closes connections that were idle too long to be used again.
-    pub fn drop_old(&self) {
-        self.resting.borrow_mut().retain(|_, connections| {
-            connections.retain(|connection| connection.resting_since.elapsed() < connection.longest_rest);
+    pub fn drop_expired(&self) {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|connection| connection.idle_since.elapsed() < connection.max_idle_time);
             !connections.is_empty()
         });
     }
@@ -285,7 +285,7 @@
         let (exchange, answer) = begun.unwrap_or(Err(ExchangeError::TimedOut))?;
         let (head, body) = answer.into_parts();
         let reading = read_body(body, limits.bytes, arrival);
-        let body = timeout(LONGEST_BODY, reading)
+        let body = timeout(BODY_TIMEOUT, reading)
             .await
             .unwrap_or(Err(ExchangeError::TimedOut))?;
         exchange.finish(&head.headers);
@@ -356,7 +356,7 @@
 impl Drop for Exchange<'_> {
     fn drop(&mut self) {
         if let Some(connection) = &self.connection {
-            self.pool.found_silent(connection);
+            self.pool.handle_unresponsive(connection);
         }
     }
 }
@@ -365,7 +365,7 @@
 async fn read_body(mut body: Incoming, most_bytes: u64, arrival: &Arrival) -> Result<Bytes, ExchangeError> {
     let mut whole = BytesMut::new();
     loop {
-        let frame = timeout(LONGEST_BODY_PAUSE, body.frame()).await;
+        let frame = timeout(MAX_BODY_PAUSE, body.frame()).await;
         let Some(frame) = frame.map_err(|_| ExchangeError::TimedOut)? else {
             return Ok(whole.freeze());
         };
@@ -381,11 +381,11 @@
 }
 
 /// Maximum size of a connection's read buffer.
-const READ_BUFFER: usize = 64 * 1024;
+const MAX_READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Margin subtracted from the idle time that the peer allows.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
 
-fn closes(headers: &HeaderMap) -> bool {
+fn is_close_requested(headers: &HeaderMap) -> bool {
     let connection = headers
         .get(http::header::CONNECTION)
         .and_then(|value| value.to_str().ok());
@@ -393,13 +393,13 @@
 }
 
 /// Returns the idle time that an answer's `Keep-Alive` header allows, less a margin.
-fn keep_alive(headers: &HeaderMap) -> Duration {
+fn keep_alive_timeout(headers: &HeaderMap) -> Duration {
     let value = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = value.and_then(|value| {
-        let told = value
+        let parameter = value
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="));
-        told.unwrap_or(value).trim().parse::<u64>().ok()
+        parameter.unwrap_or(value).trim().parse::<u64>().ok()
     });
     seconds.map_or(Duration::MAX, |seconds| {
         Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN)
@@ -408,16 +408,16 @@
 
 /// Configures a socket: disables the delay of small writes and closes the connection if
 /// the peer is lost without a reset. A limit of `None` uses the operating system's default.
-pub(crate) fn tune(stream: &TcpStream, silence_limit: Option<Duration>) -> io::Result<()> {
+pub(crate) fn configure_socket(stream: &TcpStream, silence_limit: Option<Duration>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let Some(limit) = silence_limit else { return Ok(()) };
     let socket = SockRef::from(stream);
     // Sends a probe after half of the limit and another one a quarter later. Keep-alive
     // probes have a resolution of one second.
-    let least = Duration::from_secs(1);
+    let min_time = Duration::from_secs(1);
     let keep_alive = TcpKeepalive::new()
-        .with_time(least.max(limit / 2))
-        .with_interval(least.max(limit / 4))
+        .with_time(min_time.max(limit / 2))
+        .with_interval(min_time.max(limit / 4))
         .with_retries(1);
     socket.set_tcp_keepalive(&keep_alive)?;
     socket.set_tcp_user_timeout(Some(limit))
--- a/crates/croftrill-node/src/front.rs
+++ b/crates/croftrill-node/src/front.rs
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::connection::tune;
+use crate::connection::configure_socket;
 use crate::node::{Lifecycle, Node};
 use crate::ports::{CallerAddress, Platform};
 use crate::request;
@@ -61,7 +61,7 @@
 
 /// Serves one caller's connection until either side closes it.
 async fn serve_connection<P: Platform>(node: Rc<Node<P>>, stream: TcpStream, caller: CallerAddress) {
-    if let Err(error) = tune(&stream, Some(CALLER_SILENCE)) {
+    if let Err(error) = configure_socket(&stream, Some(CALLER_SILENCE)) {
         tracing::debug!(target: "front", event = "cannot configure the connection", %error);
         return;
     }
--- a/crates/croftrill-node/src/link.rs
+++ b/crates/croftrill-node/src/link.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use crate::connection::tune;
+use crate::connection::configure_socket;
 
 /// Maximum size of a message between nodes.
 const MAX_MESSAGE_BYTES: usize = 1024 * 1024;
@@ -96,7 +96,7 @@
     /// Creates a link over an open connection. The link counts as dead if no byte passes for
     /// `silence_limit` while one side expects some.
     pub fn new(stream: TcpStream, silence_limit: Duration) -> io::Result<Self> {
-        tune(&stream, Some(silence_limit))?;
+        configure_socket(&stream, Some(silence_limit))?;
         let progress = Progress::new();
         let codec = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_MESSAGE_BYTES)
--- a/crates/croftrill-node/src/request/sending.rs
+++ b/crates/croftrill-node/src/request/sending.rs
@@ -118,11 +118,11 @@
                 return self.handle_send_error(&send, &error);
             }
             Err(_) if self.now() >= self.deadline => {
-                self.node.pool.found_silent(&connection);
+                self.node.pool.handle_unresponsive(&connection);
                 return SendEnd::OutOfTime;
             }
             Err(_) => {
-                self.node.pool.found_silent(&connection);
+                self.node.pool.handle_unresponsive(&connection);
                 send.record(SendOutcome::Failure);
                 return SendEnd::Broken {
                     cause: "the replica is silent",
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -143,7 +143,7 @@
                 () = self.wait_for_silence(last_event), if may_switch => {
                     tracing::info!(target: "send", id = self.facts.id, replica = &*streaming.send.replica,
                         outcome = "stream silent", silent_ms = self.now().since(last_event).as_millis() as u64);
-                    self.node.pool.found_silent(&streaming.connection);
+                    self.node.pool.handle_unresponsive(&streaming.connection);
                     self.report_broken_stream(streaming, last_event);
                     return PumpEnd::Silent;
                 }
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -107,8 +107,8 @@
         tracing::warn!(target: "node", event = "resumed", suspended_ms = suspended.as_millis() as u64);
         node.metrics.suspensions.inc();
         // The peers may have closed these connections, and the notice may be lost.
-        node.pool.close_resting();
-        node.patient_pool.close_resting();
+        node.pool.close_idle();
+        node.patient_pool.close_idle();
         // Relayed changes are outdated by the length of the suspension.
         node.relay_changed.notify_waiters();
         // The store may have dropped watches that waited during the suspension.
@@ -120,6 +120,6 @@
 async fn close_old_connections<P: Platform>(node: Rc<Node<P>>) {
     loop {
         tokio::time::sleep(POOL_CLEANUP_INTERVAL).await;
-        node.pool.drop_old();
+        node.pool.drop_expired();
     }
 }
