--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -5,7 +5,7 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
-use croftrill_node::connection::{AnswerLimits, Arrival, ConnectionConfig, ConnectionPool};
+use croftrill_node::connection::{AnswerLimits, AnswerProgress, ConnectionConfig, ConnectionPool};
 use croftrill_node::ports::{
     Changes, ConditionalPut, Freshness, Item, KeyValueStore, PutOutcome, Snapshot, StoreError, StoreEvent,
     WatchCall,
@@ -83,7 +83,7 @@
         &self,
         target: &str,
         limits: AnswerLimits,
-        arrival: &Arrival,
+        arrival: &AnswerProgress,
     ) -> Result<T, StoreError> {
         let request = self.request(Method::GET, target, Bytes::new())?;
         let exchange = self.pool.exchange_long(self.address, request, limits, arrival);
@@ -153,11 +153,11 @@
         limit: Duration,
     ) -> Result<Snapshot, StoreError> {
         let limits = AnswerLimits {
-            head: limit,
-            bytes: u64::MAX,
+            head_timeout: limit,
+            max_bytes: u64::MAX,
         };
         let target = format!("{ITEMS_PATH}?prefix={}", query(prefix));
-        let answer: WireItems = self.get_long(&target, limits, &Arrival::default()).await?;
+        let answer: WireItems = self.get_long(&target, limits, &AnswerProgress::default()).await?;
         let mut items = Vec::with_capacity(answer.items.len());
         for wire in answer.items {
             if let StoreEvent::Written(item) = event(wire)? {
@@ -178,8 +178,8 @@
             call.wait.as_millis()
         );
         let limits = AnswerLimits {
-            head: call.wait + WATCH_MARGIN,
-            bytes: call.max_bytes,
+            head_timeout: call.wait + WATCH_MARGIN,
+            max_bytes: call.max_bytes,
         };
         let answer: WireItems = self.get_long(&target, limits, call.arrival).await?;
         let events = answer.items.into_iter().map(event).collect::<Result<_, _>>()?;
--- a/crates/croftrill-node/src/connection.rs
+++ b/crates/croftrill-node/src/connection.rs
@@ -78,9 +78,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerLimits {
     /// Timeout for the head of the answer.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Maximum size of the body, in bytes.
-    pub bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// Longest time without a byte within an answer. A complete short call may take as
@@ -92,12 +92,12 @@
 
 /// Progress of the answer to a pending call.
 #[derive(Debug, Default)]
-pub struct Arrival {
+pub struct AnswerProgress {
     bytes: Cell<u64>,
-    begun: Cell<Option<Instant>>,
+    started_at: Cell<Option<Instant>>,
 }
 
-impl Arrival {
+impl AnswerProgress {
     /// Returns the number of bytes of the answer's body received so far.
     pub fn bytes(&self) -> u64 {
         self.bytes.get()
@@ -105,11 +105,14 @@
 
     /// Returns the time since the first byte of the body.
     pub fn elapsed(&self) -> Duration {
-        self.begun.get().map_or(Duration::ZERO, |begun| begun.elapsed())
+        self.started_at
+            .get()
+            .map_or(Duration::ZERO, |started_at| started_at.elapsed())
     }
 
     fn add(&self, bytes: usize) {
-        self.begun.set(self.begun.get().or_else(|| Some(Instant::now())));
+        self.started_at
+            .set(self.started_at.get().or_else(|| Some(Instant::now())));
         self.bytes.set(self.bytes.get() + bytes as u64);
     }
 }
@@ -267,24 +270,24 @@
         request: Request<Full<Bytes>>,
         limit: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        timeout(limit, self.exchange_unbounded(address, request))
+        timeout(limit, self.exchange_without_timeout(address, request))
             .await
             .unwrap_or(Err(ExchangeError::TimedOut))
     }
 
     /// Like [`Self::exchange`], for answers that may be long. Records the progress of the
-    /// answer in `arrival`.
+    /// answer in `progress`.
     pub async fn exchange_long(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
         limits: AnswerLimits,
-        arrival: &Arrival,
+        progress: &AnswerProgress,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let begun = timeout(limits.head, self.begin(address, request)).await;
-        let (exchange, answer) = begun.unwrap_or(Err(ExchangeError::TimedOut))?;
+        let started = timeout(limits.head_timeout, self.start_exchange(address, request)).await;
+        let (exchange, answer) = started.unwrap_or(Err(ExchangeError::TimedOut))?;
         let (head, body) = answer.into_parts();
-        let reading = read_body(body, limits.bytes, arrival);
+        let reading = read_body(body, limits.max_bytes, progress);
         let body = timeout(BODY_TIMEOUT, reading)
             .await
             .unwrap_or(Err(ExchangeError::TimedOut))?;
@@ -292,12 +295,12 @@
         Ok(Response::from_parts(head, body))
     }
 
-    async fn exchange_unbounded(
+    async fn exchange_without_timeout(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let (exchange, answer) = self.begin(address, request).await?;
+        let (exchange, answer) = self.start_exchange(address, request).await?;
         let (head, body) = answer.into_parts();
         let body = body.collect().await.map_err(ExchangeError::Broken)?.to_bytes();
         exchange.finish(&head.headers);
@@ -306,17 +309,17 @@
 
     /// Sends a request on an idle or new connection and returns the head of the answer.
     /// Sends it again on a new connection if the first one closed before it was written.
-    async fn begin(
+    async fn start_exchange(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Result<(Exchange<'_>, Response<Incoming>), ExchangeError> {
-        let again = request.clone();
+        let retry = request.clone();
         let mut exchange = Exchange::new(self, self.connect(address).await?);
         let answer = match exchange.send(request).await {
             Err(ExchangeError::NotSent) => {
                 exchange = Exchange::new(self, self.dial(address).await?);
-                exchange.send(again).await?
+                exchange.send(retry).await?
             }
             other => other?,
         };
@@ -361,20 +364,24 @@
     }
 }
 
-/// Reads a body of up to `most_bytes` for as long as it keeps arriving.
-async fn read_body(mut body: Incoming, most_bytes: u64, arrival: &Arrival) -> Result<Bytes, ExchangeError> {
-    let mut whole = BytesMut::new();
+/// Reads a body of up to `max_bytes` for as long as it keeps arriving.
+async fn read_body(
+    mut body: Incoming,
+    max_bytes: u64,
+    progress: &AnswerProgress,
+) -> Result<Bytes, ExchangeError> {
+    let mut received = BytesMut::new();
     loop {
         let frame = timeout(MAX_BODY_PAUSE, body.frame()).await;
         let Some(frame) = frame.map_err(|_| ExchangeError::TimedOut)? else {
-            return Ok(whole.freeze());
+            return Ok(received.freeze());
         };
         // No caller needs trailers.
         if let Ok(piece) = frame.map_err(ExchangeError::Broken)?.into_data() {
-            arrival.add(piece.len());
-            whole.extend_from_slice(&piece);
+            progress.add(piece.len());
+            received.extend_from_slice(&piece);
         }
-        if arrival.bytes() > most_bytes {
+        if progress.bytes() > max_bytes {
             return Err(ExchangeError::TooLong);
         }
     }
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -21,7 +21,7 @@
 use self::backoff::Backoff;
 pub use self::unreachable::read_holdings;
 use self::view::ViewChange;
-use crate::connection::Arrival;
+use crate::connection::AnswerProgress;
 use crate::node::Node;
 use crate::ports::{Changes, Freshness, KeyValueStore, Platform, StoreError, WatchCall};
 use crate::tree;
@@ -241,7 +241,7 @@
 /// Performs one watch of the store.
 async fn watch<P: Platform>(node: &Node<P>, after: u64, max_bytes: u64) -> WatchEnd {
     let store = node.store();
-    let arrival = Arrival::default();
+    let arrival = AnswerProgress::default();
     let call = WatchCall {
         prefix: ALL_KEYS,
         after,
@@ -271,7 +271,7 @@
 /// Completes when a watch should be restarted, unless its answer is already arriving. An
 /// arriving answer shows that the network path works, and the answer to a new watch would
 /// only be longer. If the answer stalls, the call's own limits end it.
-async fn interruption<P: Platform>(node: &Node<P>, after: u64, arrival: &Arrival) -> WatchEnd {
+async fn interruption<P: Platform>(node: &Node<P>, after: u64, arrival: &AnswerProgress) -> WatchEnd {
     let end = tokio::select! {
         () = node.store_reachability.changed() => WatchEnd::Failed(StoreError::NoAnswer),
         () = node.platform.store().era().risen() => WatchEnd::Failed(StoreError::HistoryGone),
--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -17,7 +17,7 @@
 };
 use http::{request, response, HeaderMap};
 
-use crate::connection::{Arrival, ExchangeError};
+use crate::connection::{AnswerProgress, ExchangeError};
 use crate::store_era::{FormerEra, StoreEra};
 
 /// An item of the key-value store.
@@ -209,7 +209,7 @@
     /// [`StoreError::HistoryTooLong`].
     pub max_bytes: u64,
     /// Records how much of the answer has arrived.
-    pub arrival: &'a Arrival,
+    pub arrival: &'a AnswerProgress,
 }
 
 /// A linearizable key-value store with revisions, leases and watches.
