--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -42,7 +42,7 @@
         StoreClient {
             address,
             pool: ConnectionPool::new(ConnectionConfig::default()),
-            era: StoreEra::counting_from(FIRST_ERA),
+            era: StoreEra::with_initial(FIRST_ERA),
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// The answer, unless its status says that nothing was done, or what it tells is void.
     fn accepted(&self, answer: Response<Bytes>) -> Result<Response<Bytes>, StoreError> {
-        self.era.note_header(answer.headers(), ERA_HEADER)?;
+        self.era.record_header(answer.headers(), ERA_HEADER)?;
         match answer.status() {
             StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::Throttled),
--- a/crates/croftrill-node/src/counted_store.rs
+++ b/crates/croftrill-node/src/counted_store.rs
@@ -20,7 +20,7 @@
         CountedStore { store, metrics }
     }
 
-    fn counted<T>(&self, call: &'static str, result: Result<T, StoreError>) -> Result<T, StoreError> {
+    fn record_call<T>(&self, call: &'static str, result: Result<T, StoreError>) -> Result<T, StoreError> {
         let outcome = match &result {
             Ok(_) => "ok",
             Err(StoreError::Unreachable) => "unreachable",
@@ -52,30 +52,30 @@
             Freshness::Latest => "range",
             Freshness::MayLag => "lagging_range",
         };
-        self.counted(call, self.store.range(prefix, freshness, limit).await)
+        self.record_call(call, self.store.range(prefix, freshness, limit).await)
     }
 
     async fn watch(&self, call: WatchCall<'_>) -> Result<Changes, StoreError> {
-        self.counted("watch", self.store.watch(call).await)
+        self.record_call("watch", self.store.watch(call).await)
     }
 
     async fn reached_revision(&self) -> Result<u64, StoreError> {
-        self.counted("revision", self.store.reached_revision().await)
+        self.record_call("revision", self.store.reached_revision().await)
     }
 
     async fn put(&self, put: ConditionalPut) -> Result<PutOutcome, StoreError> {
-        self.counted("put", self.store.put(put).await)
+        self.record_call("put", self.store.put(put).await)
     }
 
     async fn grant_lease(&self, time_to_live: Duration) -> Result<u64, StoreError> {
-        self.counted("grant_lease", self.store.grant_lease(time_to_live).await)
+        self.record_call("grant_lease", self.store.grant_lease(time_to_live).await)
     }
 
     async fn renew_lease(&self, lease: u64) -> Result<(), StoreError> {
-        self.counted("renew_lease", self.store.renew_lease(lease).await)
+        self.record_call("renew_lease", self.store.renew_lease(lease).await)
     }
 
     async fn end_lease(&self, lease: u64) -> Result<(), StoreError> {
-        self.counted("end_lease", self.store.end_lease(lease).await)
+        self.record_call("end_lease", self.store.end_lease(lease).await)
     }
 }
--- a/crates/croftrill-node/src/directory/mod.rs
+++ b/crates/croftrill-node/src/directory/mod.rs
@@ -274,7 +274,7 @@
 async fn interruption<P: Platform>(node: &Node<P>, after: u64, arrival: &AnswerProgress) -> WatchEnd {
     let end = tokio::select! {
         () = node.store_reachability.changed() => WatchEnd::Failed(StoreError::NoAnswer),
-        () = node.platform.store().era().risen() => WatchEnd::Failed(StoreError::HistoryGone),
+        () = node.platform.store().era().wait_for_rise() => WatchEnd::Failed(StoreError::HistoryGone),
         reached = until_overtaken(node, after) => WatchEnd::Overtaken { reached },
         () = relay::until_role_changes(node) => WatchEnd::RoleChanged,
     };
--- a/crates/croftrill-node/src/directory/view.rs
+++ b/crates/croftrill-node/src/directory/view.rs
@@ -183,7 +183,7 @@
         Record::Other if crash_reports::is_report(&item.key) => crash_reports::apply_report(node, item),
         Record::Other => {
             if let Some(era) = membership::read_record_era(item) {
-                node.platform.store().era().learn_first(era.first);
+                node.platform.store().era().record_first(era.first);
             } else if let Some(own) = membership::read_cluster_item(item) {
                 node.state.borrow_mut().members.apply_write(&item.key, own);
             }
--- a/crates/croftrill-node/src/orderer_task/acquisition.rs
+++ b/crates/croftrill-node/src/orderer_task/acquisition.rs
@@ -239,7 +239,7 @@
     for item in &snapshot.items {
         let revision = item.revision;
         if let Some(era) = read_record_era(item) {
-            node.platform.store().era().learn_first(era.first);
+            node.platform.store().era().record_first(era.first);
             keys.era = Some(era);
         }
         match read_cluster_item(item) {
--- a/crates/croftrill-node/src/ports.rs
+++ b/crates/croftrill-node/src/ports.rs
@@ -215,7 +215,7 @@
 /// A linearizable key-value store with revisions, leases and watches.
 ///
 /// An implementation for a store with eras records the era of each answer
-/// ([`StoreEra::note`]); an answer of an earlier era counts as no answer. Revisions are the
+/// ([`StoreEra::record`]); an answer of an earlier era counts as no answer. Revisions are the
 /// store's own.
 pub trait KeyValueStore {
     /// Returns the era of the store, as reported in its answers.
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -92,7 +92,7 @@
 async fn watch_store_era<P: Platform>(node: Rc<Node<P>>) {
     let era = node.platform.store().era();
     loop {
-        era.risen().await;
+        era.wait_for_rise().await;
         let (newest, first) = (era.newest(), era.first());
         tracing::warn!(target: "store", event = "new era: the store was restored from an older copy, later writes are lost", newest, first);
         node.metrics.store_rises.inc();
--- a/crates/croftrill-node/src/store_era.rs
+++ b/crates/croftrill-node/src/store_era.rs
@@ -25,7 +25,7 @@
     /// The same era; the answer is valid.
     Current,
     /// A later era, so that a new one has started.
-    Risen,
+    Newer,
     /// A former era; the contents of the answer are no longer valid.
     Former,
 }
@@ -37,7 +37,7 @@
     /// The system's first era, as far as it is known.
     first: Cell<Option<u64>>,
     /// The era of a store that was never restored, if the store's protocol defines one.
-    counts_from: Option<u64>,
+    initial: Option<u64>,
     has_answered: Cell<bool>,
     rises: Cell<u64>,
     risen: Notify,
@@ -45,56 +45,56 @@
 
 impl StoreEra {
     /// Returns the era of a store whose protocol defines the first one.
-    pub fn counting_from(first: u64) -> Self {
+    pub fn with_initial(first: u64) -> Self {
         StoreEra {
             first: Cell::new(Some(first)),
-            counts_from: Some(first),
+            initial: Some(first),
             ..StoreEra::default()
         }
     }
 
     /// Returns true if the store reports no era or the one of a store that was never restored.
     pub fn is_first(&self) -> bool {
-        self.newest.get().is_none() || self.newest.get() == self.counts_from
+        self.newest.get().is_none() || self.newest.get() == self.initial
     }
 
     /// Records the era that an answer reports. An answer that reports none counts as current.
-    pub fn note(&self, told: Option<u64>) -> AnswerEra {
+    pub fn record(&self, reported: Option<u64>) -> AnswerEra {
         let is_first_answer = !self.has_answered.replace(true);
-        let Some(told) = told else {
+        let Some(reported) = reported else {
             return AnswerEra::Current;
         };
         match self.newest.get() {
-            Some(newest) if told < newest => return AnswerEra::Former,
-            Some(newest) if told == newest => return AnswerEra::Current,
+            Some(newest) if reported < newest => return AnswerEra::Former,
+            Some(newest) if reported == newest => return AnswerEra::Current,
             Some(_) => {}
             None if is_first_answer => {
-                self.newest.set(Some(told));
-                self.learn_first(told);
+                self.newest.set(Some(reported));
+                self.record_first(reported);
                 return AnswerEra::Current;
             }
             // Earlier answers reported no era: the store has started to count them.
-            None => self.learn_first(told.saturating_sub(1)),
+            None => self.record_first(reported.saturating_sub(1)),
         }
-        self.newest.set(Some(told));
+        self.newest.set(Some(reported));
         self.rises.set(self.rises.get() + 1);
         self.risen.notify_waiters();
-        AnswerEra::Risen
+        AnswerEra::Newer
     }
 
-    /// Records the era in the header `name` of an answer, as [`Self::note`] does. Returns an
+    /// Records the era in the header `name` of an answer, as [`Self::record`] does. Returns an
     /// error if the answer is of a former era.
-    pub fn note_header(&self, headers: &HeaderMap, name: &str) -> Result<(), FormerEra> {
-        let told = headers.get(name).and_then(|era| era.to_str().ok());
-        let told = told.and_then(|era| era.trim().parse().ok());
-        match self.note(told) {
+    pub fn record_header(&self, headers: &HeaderMap, name: &str) -> Result<(), FormerEra> {
+        let reported = headers.get(name).and_then(|era| era.to_str().ok());
+        let reported = reported.and_then(|era| era.trim().parse().ok());
+        match self.record(reported) {
             AnswerEra::Current => Ok(()),
-            AnswerEra::Risen => {
-                tracing::warn!(target: "store", event = "came back from an older copy", era = told);
+            AnswerEra::Newer => {
+                tracing::warn!(target: "store", event = "came back from an older copy", era = reported);
                 Ok(())
             }
             AnswerEra::Former => {
-                tracing::warn!(target: "store", event = "answer of a former era", told, newest = self.newest());
+                tracing::warn!(target: "store", event = "answer of a former era", told = reported, newest = self.newest());
                 Err(FormerEra)
             }
         }
@@ -111,7 +111,7 @@
     }
 
     /// Records that the system's first era was not later than `first`.
-    pub fn learn_first(&self, first: u64) {
+    pub fn record_first(&self, first: u64) {
         let known = self.first.get().unwrap_or(first);
         self.first.set(Some(known.min(first)));
     }
@@ -122,7 +122,7 @@
     }
 
     /// Waits until the era rises.
-    pub async fn risen(&self) {
+    pub async fn wait_for_rise(&self) {
         self.risen.notified().await;
     }
 
