--- a/crates/croftrill-node/src/front.rs
+++ b/crates/croftrill-node/src/front.rs
@@ -20,26 +20,26 @@
 
 /// Time before the exit of a stopping node at which it answers the remaining requests: a
 /// few round trips to the farthest callers.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(200);
 
 /// Delay after a failed accept, for example when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time after the request to stop in which new connections and requests are still
 /// accepted. By its end callers have resolved the nodes' addresses again. A request accepted
 /// much later could not be finished within the grace period.
-pub const STOP_LINGER: Duration = Duration::from_millis(2000);
+pub const STOP_ACCEPT_PERIOD: Duration = Duration::from_millis(2000);
 /// Time without any acknowledgement, even of probes, after which a caller's connection is
 /// closed. It is longer than callers wait for an answer (15 s on the longest known route),
 /// so a shorter network partition loses no answers.
-const CALLER_SILENCE: Duration = Duration::from_secs(20);
+const CALLER_SILENCE_LIMIT: Duration = Duration::from_secs(20);
 /// Smallest read buffer that the HTTP library accepts.
-const LEAST_BUFFER: usize = 8192;
+const MIN_READ_BUFFER_BYTES: usize = 8192;
 
 /// Accepts callers until the process ends or, after a request to stop, until
-/// [`STOP_LINGER`] has passed. A caller that connects later is refused at once and can turn
+/// [`STOP_ACCEPT_PERIOD`] has passed. A caller that connects later is refused at once and can turn
 /// to another node.
 pub async fn accept<P: Platform>(node: Rc<Node<P>>, listener: TcpListener) {
-    let closing = lingered(&node);
+    let closing = wait_until_closed(&node);
     tokio::pin!(closing);
     loop {
         let accepted = tokio::select! {
@@ -53,7 +53,7 @@
             }
             Err(error) => {
                 tracing::warn!(target: "front", event = "accept failed", %error);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -61,7 +61,7 @@
 
 /// Serves one caller's connection until either side closes it.
 async fn serve_connection<P: Platform>(node: Rc<Node<P>>, stream: TcpStream, caller: CallerAddress) {
-    if let Err(error) = configure_socket(&stream, Some(CALLER_SILENCE)) {
+    if let Err(error) = configure_socket(&stream, Some(CALLER_SILENCE_LIMIT)) {
         tracing::debug!(target: "front", event = "cannot configure the connection", %error);
         return;
     }
@@ -76,7 +76,7 @@
         async move {
             let mut response = tokio::select! {
                 response = request::serve(&node, request) => response,
-                () = last_answers(&node) => {
+                () = wait_for_last_answers(&node) => {
                     request::refuse(StatusCode::GATEWAY_TIMEOUT, "the node ends before its answer came", None)
                 }
             };
@@ -91,12 +91,12 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_READ_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = lingered(&node) => {}
+        () = wait_until_closed(&node) => {}
     }
     // Closes an idle connection now, and one in use after its answer.
     connection.as_mut().graceful_shutdown();
@@ -104,49 +104,49 @@
 }
 
 /// Waits until a stopping node accepts no new requests.
-async fn lingered<P: Platform>(node: &Node<P>) {
+async fn wait_until_closed<P: Platform>(node: &Node<P>) {
     while node.lifecycle() != Lifecycle::Stopping {
         node.stop_requested.notified().await;
     }
-    sleep(STOP_LINGER).await;
+    sleep(STOP_ACCEPT_PERIOD).await;
 }
 
 /// Waits until a stopping node must answer the requests that are still in flight, so that
 /// their callers get an answer rather than a closed connection. Such a request may have
 /// been executed.
-async fn last_answers<P: Platform>(node: &Node<P>) {
+async fn wait_for_last_answers<P: Platform>(node: &Node<P>) {
     while node.stop_requested_at().is_none() {
         node.stop_requested.notified().await;
     }
-    let Some(asked) = node.stop_requested_at() else {
+    let Some(requested_at) = node.stop_requested_at() else {
         return;
     };
-    let until = time_to_finish(node).saturating_sub(LAST_ANSWERS);
-    node.clock.sleep_until(asked + until).await;
+    let until = stop_duration(node).saturating_sub(LAST_ANSWER_MARGIN);
+    node.clock.sleep_until(requested_at + until).await;
     tracing::info!(target: "request", event = "answered a request before the node's exit", in_flight = node.in_flight.get());
 }
 
 /// Returns the time from the request to stop until the node exits even with requests in
 /// flight.
-fn time_to_finish<P: Platform>(node: &Node<P>) -> Duration {
+fn stop_duration<P: Platform>(node: &Node<P>) -> Duration {
     /// Part of the grace period that is reserved for the exit itself.
-    const END_MARGIN: Duration = Duration::from_millis(700);
-    node.settings.bounds.stop_grace.saturating_sub(END_MARGIN)
+    const EXIT_MARGIN: Duration = Duration::from_millis(700);
+    node.settings.bounds.stop_grace.saturating_sub(EXIT_MARGIN)
 }
 
 /// Waits until a stopping node may exit: no request is in flight, or the grace period is
 /// over.
-pub async fn finish<P: Platform>(node: &Node<P>) {
-    const LOOK_EVERY: Duration = Duration::from_millis(50);
-    let grace = time_to_finish(node);
+pub async fn drain<P: Platform>(node: &Node<P>) {
+    const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+    let grace = stop_duration(node);
     let started = node.clock.now();
     let elapsed = || node.clock.now().since(started);
     while elapsed() < grace {
         let idle = node.in_flight.get() == 0;
-        if idle && elapsed() >= STOP_LINGER + LOOK_EVERY * 4 {
+        if idle && elapsed() >= STOP_ACCEPT_PERIOD + CHECK_INTERVAL * 4 {
             break;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
     tracing::info!(target: "node", event = "stop", in_flight = node.in_flight.get());
 }
--- a/crates/croftrill-node/src/node.rs
+++ b/crates/croftrill-node/src/node.rs
@@ -25,7 +25,7 @@
 use crate::connection::{ConnectionConfig, ConnectionPool};
 use crate::counted_store::CountedStore;
 use crate::era_store::EraStore;
-use crate::front::STOP_LINGER;
+use crate::front::STOP_ACCEPT_PERIOD;
 use crate::load_updates::{self, LoadUpdates};
 use crate::membership::Members;
 use crate::metrics::Metrics;
@@ -424,16 +424,16 @@
         self.stop_requested_at.get()
     }
 
-    /// Returns whether the node rejects new requests, which begins [`STOP_LINGER`] after it
+    /// Returns whether the node rejects new requests, which begins [`STOP_ACCEPT_PERIOD`] after it
     /// was asked to stop.
     pub fn rejects_new_requests(&self) -> bool {
         self.stop_requested_at
             .get()
-            .is_some_and(|asked| self.clock.now().since(asked) >= STOP_LINGER)
+            .is_some_and(|asked| self.clock.now().since(asked) >= STOP_ACCEPT_PERIOD)
     }
 
     /// Starts to stop the node: it is no longer ready and gives no orders, but still accepts
-    /// requests for [`STOP_LINGER`].
+    /// requests for [`STOP_ACCEPT_PERIOD`].
     pub fn begin_stop(&self) {
         let mut state = self.state.borrow_mut();
         if state.lifecycle == Lifecycle::Stopping {
--- a/crates/croftrill-node/src/runtime.rs
+++ b/crates/croftrill-node/src/runtime.rs
@@ -77,7 +77,7 @@
     /// node's entries from the store.
     pub async fn stop(self) {
         self.node.begin_stop();
-        front::finish(&self.node).await;
+        front::drain(&self.node).await;
         let withdrawal = async {
             let _ = self.membership.await;
             for orderer in self.orderers {
