--- a/crates/croftrill-daemon/src/program.rs
+++ b/crates/croftrill-daemon/src/program.rs
@@ -25,7 +25,7 @@
 /// Runs a daemon until it is asked to stop, and stops it within its grace.
 pub async fn run(path: PathBuf, settings: Settings, clock: Clock, log: logging::Log) -> anyhow::Result<()> {
     let daemon = Daemon::start_with_clock(settings, clock).await?;
-    spawn_local(log.review(daemon.node.clone()));
+    spawn_local(log.report_dropped_lines(daemon.node.clone()));
     spawn_local(check_on_hangup(path));
     let mut stop = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/croftrill-node/src/logging.rs
+++ b/crates/croftrill-node/src/logging.rs
@@ -42,7 +42,7 @@
     started: Instant,
     second: AtomicU64,
     used: AtomicU32,
-    left_out: AtomicU64,
+    dropped: AtomicU64,
 }
 
 impl LineBudget {
@@ -53,7 +53,7 @@
             started: Instant::now(),
             second: AtomicU64::new(0),
             used: AtomicU32::new(0),
-            left_out: AtomicU64::new(0),
+            dropped: AtomicU64::new(0),
         }
     }
 
@@ -65,14 +65,14 @@
         }
         let allowed = self.used.fetch_add(1, Ordering::Relaxed) < self.per_second;
         if !allowed {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         allowed
     }
 
     /// Returns the number of lines dropped since the last call.
-    pub fn take_left_out(&self) -> u64 {
-        self.left_out.swap(0, Ordering::Relaxed)
+    pub fn take_dropped(&self) -> u64 {
+        self.dropped.swap(0, Ordering::Relaxed)
     }
 }
 
@@ -94,24 +94,24 @@
     /// The budget, which counts the lines that it drops.
     pub budget: Arc<LineBudget>,
     /// Number of lines that did not fit into the queue.
-    pub queue_losses: tracing_appender::non_blocking::ErrorCounter,
+    pub queue_drops: tracing_appender::non_blocking::ErrorCounter,
     _writer: WorkerGuard,
 }
 
-const REVIEW_EVERY: Duration = Duration::from_secs(5);
+const DROP_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 impl Log {
     /// Logs and counts dropped lines at intervals until the process ends.
-    pub async fn review<P: Platform>(self, node: Rc<Node<P>>) {
-        let mut lost_before = 0;
+    pub async fn report_dropped_lines<P: Platform>(self, node: Rc<Node<P>>) {
+        let mut dropped_before = 0;
         loop {
-            tokio::time::sleep(REVIEW_EVERY).await;
-            let lost_in_queue = self.queue_losses.dropped_lines();
-            let left_out = self.budget.take_left_out() + (lost_in_queue - lost_before) as u64;
-            lost_before = lost_in_queue;
-            if left_out > 0 {
-                node.metrics.log_lines_left_out.inc_by(left_out);
-                tracing::warn!(target: "log", event = "lines left out", lines = left_out);
+            tokio::time::sleep(DROP_REPORT_INTERVAL).await;
+            let dropped_in_queue = self.queue_drops.dropped_lines();
+            let dropped = self.budget.take_dropped() + (dropped_in_queue - dropped_before) as u64;
+            dropped_before = dropped_in_queue;
+            if dropped > 0 {
+                node.metrics.log_lines_left_out.inc_by(dropped);
+                tracing::warn!(target: "log", event = "lines left out", lines = dropped);
             }
         }
     }
@@ -127,14 +127,14 @@
         .buffered_lines_limit(config.queue_lines)
         .thread_name("log")
         .finish(output);
-    let queue_losses = writer.error_counter();
+    let queue_drops = writer.error_counter();
     let budget = Arc::new(LineBudget::new(config.lines_per_second));
     let layer = layer(writer).with_filter(BudgetFilter(budget.clone()));
     (
         Registry::default().with(layer),
         Log {
             budget,
-            queue_losses,
+            queue_drops,
             _writer: guard,
         },
     )
--- a/crates/croftrill-node/tests/components.rs
+++ b/crates/croftrill-node/tests/components.rs
@@ -32,8 +32,8 @@
     let budget = LineBudget::new(3);
     let taken = (0..10).filter(|_| budget.take()).count();
     assert!(taken >= 3, "a second may pass in between");
-    assert_eq!(budget.take_left_out() + taken as u64, 10);
-    assert_eq!(budget.take_left_out(), 0);
+    assert_eq!(budget.take_dropped() + taken as u64, 10);
+    assert_eq!(budget.take_dropped(), 0);
 }
 
 /// A log reader that blocks until the lock is released.
@@ -65,7 +65,7 @@
         }
     });
     assert!(
-        log.queue_losses.dropped_lines() > 900,
+        log.queue_drops.dropped_lines() > 900,
         "lines beyond the queue are left out and counted"
     );
     drop(stalled);
