--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -304,11 +304,11 @@
 }
 
 fn text(body: String) -> Answer {
-    Response::new(AnswerBody::whole(body))
+    Response::new(AnswerBody::full(body))
 }
 
 fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(serde_json::to_vec(value).unwrap_or_default()));
+    let mut answer = Response::new(AnswerBody::full(serde_json::to_vec(value).unwrap_or_default()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/croftrill-node/src/request/answers.rs
+++ b/crates/croftrill-node/src/request/answers.rs
@@ -35,7 +35,7 @@
                 "failed at the replica"
             },
         );
-        let mut answer = Response::new(AnswerBody::whole(body));
+        let mut answer = Response::new(AnswerBody::full(body));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = head.headers;
         answer
@@ -122,7 +122,7 @@
 
 /// Returns a JSON answer that the node itself gives.
 pub(super) fn json(body: String) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(AnswerBody::full(body));
     let kind = HeaderValue::from_static("application/json");
     answer.headers_mut().insert(header::CONTENT_TYPE, kind);
     answer
@@ -131,7 +131,7 @@
 /// Returns an error answer that the node itself gives.
 pub fn refuse(status: StatusCode, reason: &str, retry_after: Option<Duration>) -> Answer {
     let body = format!("{{\"error\":\"{}\"}}", reason.replace(['"', '\\'], "'"));
-    let mut answer = Response::new(AnswerBody::whole(body));
+    let mut answer = Response::new(AnswerBody::full(body));
     *answer.status_mut() = status;
     let headers = answer.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/croftrill-node/src/request/streaming.rs
+++ b/crates/croftrill-node/src/request/streaming.rs
@@ -14,7 +14,7 @@
 use super::sending::{SendEnd, Streaming};
 use super::{Answer, RequestRun};
 use crate::ports::Platform;
-use crate::stream::{AnswerBody, EventCutter, StreamPart, StreamSender};
+use crate::stream::{AnswerBody, EventSplitter, StreamChunk, StreamSender};
 
 /// Time to choose another holder and connect to it: a handshake over each of two links of 5 ms, and
 /// as long again for a busy node, rounded up.
@@ -68,7 +68,7 @@
         if self.waited() > self.route.objective {
             self.count_late();
         }
-        let mut cutter = EventCutter::after(self.facts.last_event_id.clone());
+        let mut cutter = EventSplitter::after(self.facts.last_event_id.clone());
         let mut current = first;
         let mut may_switch = true;
         loop {
@@ -130,7 +130,7 @@
     pub(super) async fn pump_replica(
         &self,
         streaming: &mut Streaming<P>,
-        cutter: &mut EventCutter,
+        cutter: &mut EventSplitter,
         sender: &StreamSender,
         may_switch: bool,
         longest_pause: &mut Duration,
@@ -170,7 +170,7 @@
                 Some(bytes)
             };
             if let Some(bytes) = bytes {
-                if let Err(end) = self.forward(sender, StreamPart::Bytes(bytes)).await {
+                if let Err(end) = self.forward(sender, StreamChunk::Bytes(bytes)).await {
                     return end;
                 }
             }
@@ -182,14 +182,14 @@
         self.report_broken_request(&streaming.send.replica, Some(answer_duration));
     }
 
-    pub(super) async fn pump_remainder(&self, cutter: &mut EventCutter, sender: &StreamSender) -> PumpEnd {
-        let remainder = cutter.take_rest();
+    pub(super) async fn pump_remainder(&self, cutter: &mut EventSplitter, sender: &StreamSender) -> PumpEnd {
+        let remainder = cutter.take_remaining();
         if !remainder.is_empty() {
-            if let Err(end) = self.forward(sender, StreamPart::Bytes(remainder)).await {
+            if let Err(end) = self.forward(sender, StreamChunk::Bytes(remainder)).await {
                 return end;
             }
         }
-        match self.forward(sender, StreamPart::End).await {
+        match self.forward(sender, StreamChunk::End).await {
             Ok(()) => PumpEnd::Complete,
             Err(end) => end,
         }
@@ -217,7 +217,7 @@
 
     /// Forwards a chunk. The deadline bounds how long a caller that stops reading, or whose
     /// connection went silent, holds up the replica.
-    async fn forward(&self, sender: &StreamSender, chunk: StreamPart) -> Result<(), PumpEnd> {
+    async fn forward(&self, sender: &StreamSender, chunk: StreamChunk) -> Result<(), PumpEnd> {
         match self
             .node
             .clock
@@ -236,7 +236,7 @@
     async fn resume(
         &mut self,
         previous: &ReplicaId,
-        cutter: &EventCutter,
+        cutter: &EventSplitter,
         mut earlier: Option<Streaming<P>>,
     ) -> ResumeOutcome<P> {
         let after = cutter.last_id().map(str::to_string);
--- a/crates/croftrill-node/src/stream.rs
+++ b/crates/croftrill-node/src/stream.rs
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc;
 
 /// Maximum number of chunks that wait for a slow reader.
-const FRAMES_AHEAD: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
 /// A chunk of a stream.
 #[derive(Debug)]
-pub enum StreamPart {
+pub enum StreamChunk {
     /// Data of the stream.
     Bytes(Bytes),
     /// The end of a complete stream.
@@ -25,26 +25,26 @@
 }
 
 /// The sending end of a stream. An error aborts the connection.
-pub type StreamSender = mpsc::Sender<Result<StreamPart, io::Error>>;
+pub type StreamSender = mpsc::Sender<Result<StreamChunk, io::Error>>;
 
 /// The body of an answer to a caller.
 pub enum AnswerBody {
     /// A complete body.
-    Whole(Option<Bytes>),
-    /// A stream of chunks. If the sender is dropped before it sends [`StreamPart::End`], the
+    Full(Option<Bytes>),
+    /// A stream of chunks. If the sender is dropped before it sends [`StreamChunk::End`], the
     /// connection is aborted, so that a truncated stream does not look complete.
-    Stream(mpsc::Receiver<Result<StreamPart, io::Error>>),
+    Stream(mpsc::Receiver<Result<StreamChunk, io::Error>>),
 }
 
 impl AnswerBody {
     /// Returns a complete body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        AnswerBody::Whole(Some(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
+        AnswerBody::Full(Some(bytes.into()))
     }
 
     /// Returns a stream and its sending end.
     pub fn stream() -> (StreamSender, Self) {
-        let (sender, receiver) = mpsc::channel(FRAMES_AHEAD);
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         (sender, AnswerBody::Stream(receiver))
     }
 }
@@ -58,13 +58,13 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
             AnswerBody::Stream(receiver) => receiver.poll_recv(context).map(|received| match received {
-                Some(Ok(StreamPart::Bytes(bytes))) => Some(Ok(Frame::data(bytes))),
-                Some(Ok(StreamPart::End)) => None,
+                Some(Ok(StreamChunk::Bytes(bytes))) => Some(Ok(Frame::data(bytes))),
+                Some(Ok(StreamChunk::End)) => None,
                 Some(Err(error)) => Some(Err(error)),
                 None => Some(Err(io::ErrorKind::ConnectionAborted.into())),
             }),
@@ -72,12 +72,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty))
+        matches!(self, AnswerBody::Full(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             AnswerBody::Stream(_) => SizeHint::default(),
@@ -87,7 +87,7 @@
 
 /// Splits a stream into complete events and records the id of the last one.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     partial: BytesMut,
     last_id: Option<String>,
 }
@@ -97,10 +97,10 @@
 /// Start of the line that gives an event's id.
 const ID_FIELD: &str = "id:";
 
-impl EventCutter {
+impl EventSplitter {
     /// Returns a splitter for the start of a stream, or for what follows the event `last_id`.
     pub fn after(last_id: Option<String>) -> Self {
-        EventCutter {
+        EventSplitter {
             partial: BytesMut::new(),
             last_id,
         }
@@ -110,11 +110,11 @@
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial.extend_from_slice(bytes);
         let end = find_last(&self.partial, EVENT_END)? + EVENT_END.len();
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_event_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_event_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
     /// Returns the id of the last complete event.
@@ -128,7 +128,7 @@
     }
 
     /// Removes and returns the bytes after the last complete event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_remaining(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 }
--- a/crates/croftrill-node/tests/components.rs
+++ b/crates/croftrill-node/tests/components.rs
@@ -7,7 +7,7 @@
 use croftrill_node::logging::{subscriber, LineBudget, LogConfig};
 use croftrill_node::metrics::Metrics;
 use croftrill_node::peer::{DemandBatch, FromOrderer, ToOrderer, WireModel, WirePlacement};
-use croftrill_node::stream::EventCutter;
+use croftrill_node::stream::EventSplitter;
 use croftrill_scheduler::demand::ModelKey;
 use croftrill_scheduler::replica::{HeldModel, Holdings};
 use croftrill_scheduler::replica_table::{Arrival, Placement};
@@ -16,7 +16,7 @@
 
 #[test]
 fn push_passes_only_complete_events_and_records_the_last_id() {
-    let mut cutter = EventCutter::after(None);
+    let mut cutter = EventSplitter::after(None);
     assert_eq!(cutter.push(b"id: 1\nda"), None);
     assert_eq!(
         cutter.push(b"ta: x\n\nid: 2\n\nid: 3").as_deref(),
@@ -24,7 +24,7 @@
     );
     assert_eq!(cutter.last_id(), Some("2"));
     cutter.drop_partial();
-    assert!(cutter.take_rest().is_empty());
+    assert!(cutter.take_remaining().is_empty());
 }
 
 #[test]
--- a/crates/croftrill-standin/src/engine.rs
+++ b/crates/croftrill-standin/src/engine.rs
@@ -17,7 +17,7 @@
 use croftrill_http::records::REPLICA_PREFIX;
 use croftrill_http::store::StoreClient;
 use croftrill_node::ports::{ConditionalPut, KeyValueStore, StoreError, Write};
-use croftrill_node::stream::{AnswerBody, StreamPart};
+use croftrill_node::stream::{AnswerBody, StreamChunk};
 use http::header::HeaderValue;
 use http::{Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
@@ -355,11 +355,11 @@
                 let event = format!(
                     "id: {index}\ndata: {{\"attempt\":\"{attempt}\",\"index\":{index},\"of\":{events}}}\n\n"
                 );
-                if sender.send(Ok(StreamPart::Bytes(event.into()))).await.is_err() {
+                if sender.send(Ok(StreamChunk::Bytes(event.into()))).await.is_err() {
                     break;
                 }
             }
-            for part in [StreamPart::Bytes("data: [DONE]\n\n".into()), StreamPart::End] {
+            for part in [StreamChunk::Bytes("data: [DONE]\n\n".into()), StreamChunk::End] {
                 // The reader may have left; the run ends all the same.
                 let _ = sender.send(Ok(part)).await;
             }
--- a/crates/croftrill-standin/src/http_server.rs
+++ b/crates/croftrill-standin/src/http_server.rs
@@ -59,7 +59,7 @@
 
 /// An answer with a status and no body.
 pub fn status(status: StatusCode) -> Answer {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::new()));
+    let mut answer = Response::new(AnswerBody::full(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
@@ -67,7 +67,7 @@
 /// A JSON answer.
 pub fn json<T: Serialize>(value: &T) -> Answer {
     match serde_json::to_vec(value) {
-        Ok(body) => Response::new(AnswerBody::whole(body)),
+        Ok(body) => Response::new(AnswerBody::full(body)),
         Err(_) => status(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
