--- a/crates/croftrill-node/src/front.rs
+++ b/crates/croftrill-node/src/front.rs
@@ -36,8 +36,8 @@
 const MIN_READ_BUFFER_BYTES: usize = 8192;
 
 /// Accepts callers until the process ends or, after a request to stop, until
-/// [`STOP_ACCEPT_PERIOD`] has passed. A caller that connects later is refused at once and can turn
-/// to another node.
+/// [`STOP_ACCEPT_PERIOD`] has passed. A caller that connects later is refused at once and
+/// can turn to another node.
 pub async fn accept<P: Platform>(node: Rc<Node<P>>, listener: TcpListener) {
     let closing = wait_until_closed(&node);
     tokio::pin!(closing);
