--- a/crates/croftrill-daemon/src/daemon.rs
+++ b/crates/croftrill-daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a node over the product's own wire.
+//! Starts a node that uses Croftrill's own protocols for the store and the replicas.
 
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -14,26 +14,32 @@
 use crate::operator_api;
 use crate::settings::Settings;
 
-/// A node that runs, with the addresses it really listens on.
+/// A running node and the addresses that it is bound to.
 pub struct Daemon {
-    /// The node.
+    /// The running node.
     pub node: Rc<Node<OwnPlatform>>,
-    /// The settings, with free ports filled in.
+    /// Settings in which each port 0 is replaced by the port that was bound.
     pub settings: Settings,
     running: Running<OwnPlatform>,
 }
 
 impl Daemon {
-    /// Starts a node; must run within a `LocalSet`. Ports of 0 are replaced by free ones.
+    /// Starts a node; must run within a `LocalSet`. A port of 0 binds a free port.
     pub async fn start(settings: Settings) -> anyhow::Result<Self> {
         Self::start_with_clock(settings, Clock::start()).await
     }
 
-    /// As [`Daemon::start`], with a clock of its own.
+    /// Starts a node like [`Daemon::start`], but with the given clock.
     pub async fn start_with_clock(mut settings: Settings, clock: Clock) -> anyhow::Result<Self> {
-        let front = TcpListener::bind(settings.listen).await.context("listen")?;
-        let peer = TcpListener::bind(settings.peer).await.context("peer")?;
-        let operator = TcpListener::bind(settings.operator).await.context("operator")?;
+        let front = TcpListener::bind(settings.listen)
+            .await
+            .context("cannot bind the `listen` address")?;
+        let peer = TcpListener::bind(settings.peer)
+            .await
+            .context("cannot bind the `peer` address")?;
+        let operator = TcpListener::bind(settings.operator)
+            .await
+            .context("cannot bind the `operator` address")?;
         settings.listen = front.local_addr()?;
         settings.peer = peer.local_addr()?;
         settings.operator = operator.local_addr()?;
@@ -41,7 +47,8 @@
         let (node, queues) = Node::with_clock(settings.node_settings(), platform, clock);
         tracing::info!(target: "node", event = "start", name = settings.name, listen = %settings.listen,
             operator = %settings.operator, version = env!("CARGO_PKG_VERSION"));
-        // Tells this process from a former one of the same name; no order is read from it.
+        // Distinguishes this process from an earlier one of the same name. Incarnations are not
+        // ordered.
         let incarnation = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |elapsed| elapsed.as_nanos() as u64);
@@ -54,7 +61,7 @@
         })
     }
 
-    /// Stops the node within its grace.
+    /// Stops the node within its configured grace period.
     pub async fn stop(self) {
         self.running.stop().await;
     }
--- a/crates/croftrill-daemon/src/lib.rs
+++ b/crates/croftrill-daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon: settings, the operators' API, and the start of a node.
+//! The daemon: settings, operator API and node startup.
 
 pub mod daemon;
 pub mod operator_api;
--- a/crates/croftrill-daemon/src/main.rs
+++ b/crates/croftrill-daemon/src/main.rs
@@ -14,8 +14,8 @@
 
 Usage: croftrilld --config FILE [--check]
 
-  --config FILE  settings, in TOML
-  --check        check the settings, print every finding, and end
+  --config FILE  settings file, in TOML
+  --check        check the settings, print every error and exit
   --help, --version
 ";
 
--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -1,9 +1,10 @@
-//! The operators' API: status, metrics, and intent, plan, confirmation.
+//! The operator API: status, metrics, and changes to the document by plan and confirmation.
 //!
-//! An operator sends a desired document and gets a plan: the steps it would
-//! take, and the revision of the document it was made for. Nothing changes
-//! until the plan is confirmed; the confirmation is a conditional write at that
-//! revision. If another change came first, it is rejected with a new plan.
+//! An operator sends a desired document and gets a plan: the steps that would
+//! be taken, and the revision of the document that the plan is based on.
+//! Nothing changes until the plan is confirmed. The confirmation is a
+//! conditional write at that revision; if the document has changed since, the
+//! confirmation is rejected and answered with a new plan.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -33,56 +34,56 @@
 
 use crate::status::status;
 
-/// Tells whether the node takes requests.
+/// Returns whether the node accepts requests.
 pub const READY_PATH: &str = "/ready";
-/// Metrics as text.
+/// Returns the metrics in text format.
 pub const METRICS_PATH: &str = "/metrics";
-/// What the node believes.
+/// Returns the node's view of the cluster.
 pub const STATUS_PATH: &str = "/v1/status";
-/// The document in force.
+/// Returns the active document.
 pub const DOCUMENT_PATH: &str = "/v1/document";
-/// Makes a plan for a desired document.
+/// Computes the plan for a desired document.
 pub const PLAN_PATH: &str = "/v1/plan";
-/// Confirms a plan.
+/// Applies a plan.
 pub const CONFIRM_PATH: &str = "/v1/confirm";
-/// Lets a request be sent again under which replicas ended.
+/// Allows a request to be sent again although replicas ended while running it.
 pub const LIFT_PATH: &str = "/v1/lift";
-/// Largest body that operators may send, in bytes.
+/// Maximum size of a request body.
 const MOST_BODY: usize = 4 * 1024 * 1024;
-/// Longest wait for the document.
+/// Maximum time to read the document from the store.
 const READ_LIMIT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept.
+/// Delay after a failed accept, so that a persistent error does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A plan: what would change, and what it was made for.
+/// The steps to a desired document, and the revision that they are based on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlanDocument {
-    /// Revision of the document in force; 0: none.
+    /// Revision of the active document; 0 if there is none.
     pub base_revision: u64,
-    /// The desired document.
+    /// Desired document.
     pub document: Document,
-    /// Steps, in words.
+    /// Steps as text.
     pub steps: Vec<String>,
 }
 
-/// A plan that came into force.
+/// The result of an applied plan.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Confirmed {
-    /// Revision at which it came into force.
+    /// Store revision at which the document was written.
     pub revision: u64,
     /// Version of the document.
     pub version: u64,
 }
 
-/// Why a call failed.
+/// The body of an error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Failure {
-    /// In words.
+    /// Error message.
     pub error: String,
-    /// What is wrong, each with its place.
+    /// Every validation error, each with the path of the invalid field.
     #[serde(default)]
     pub findings: Vec<String>,
-    /// A plan for the present state, if another change came first.
+    /// New plan for the current state, if the document has changed since the plan was made.
     #[serde(default)]
     pub new_plan: Option<PlanDocument>,
 }
@@ -103,7 +104,7 @@
                 let node = node.clone();
                 async move { Ok::<_, Infallible>(answer(&node, request).await) }
             });
-            // A caller that breaks off ends just its own connection.
+            // An error ends only this caller's connection.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -135,10 +136,10 @@
     }
 }
 
-/// The request that an operator lets go on.
+/// The suspect request that an operator clears.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Lift {
-    /// Its fingerprint, as status and log name it.
+    /// Fingerprint as printed in the status and the log.
     pub fingerprint: String,
 }
 
@@ -249,7 +250,8 @@
     }
 }
 
-/// Writes the plan's document at the revision it was made for; `None` if that is past.
+/// Writes the plan's document if the stored one is still at the plan's base revision; returns
+/// `None` if it is not.
 async fn try_confirm(node: &OwnNode, plan: &PlanDocument) -> Result<Option<Confirmed>, StoreError> {
     let version = present(node).await?.map_or(0, |(document, _)| document.version) + 1;
     let document = Document {
@@ -279,7 +281,9 @@
     }
 }
 
-/// After a write without an answer: whether the document stands as it was written.
+/// Reads the document back after a write without an answer, to find out whether it was stored.
+///
+/// Returns [`StoreError::NoAnswer`] if it was not found, as the outcome is then unknown.
 async fn confirmed_after_all(node: &OwnNode, written: &Document) -> Result<Option<Confirmed>, StoreError> {
     match present(node).await? {
         Some((document, revision)) if document == *written => Ok(Some(Confirmed {
--- a/crates/croftrill-daemon/src/program.rs
+++ b/crates/croftrill-daemon/src/program.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program: its settings file, its signals.
+//! The daemon's process: settings file and signal handling.
 
 use std::path::{Path, PathBuf};
 
@@ -13,7 +13,7 @@
 
 /// Reads the settings file.
 ///
-/// Errors: it cannot be read, or all that is wrong in it.
+/// Returns an error if the file cannot be read, or one that lists every invalid setting.
 pub fn read_settings(path: &Path) -> anyhow::Result<Settings> {
     let text = std::fs::read_to_string(path).with_context(|| format!("cannot read {}", path.display()))?;
     match Settings::parse(&text) {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Runs a daemon until it is asked to stop, and stops it within its grace.
+/// Runs a daemon until SIGTERM or SIGINT, then stops it within its grace period.
 pub async fn run(path: PathBuf, settings: Settings, clock: Clock, log: logging::Log) -> anyhow::Result<()> {
     let daemon = Daemon::start_with_clock(settings, clock).await?;
     spawn_local(log.report_dropped_lines(daemon.node.clone()));
@@ -37,16 +37,16 @@
     Ok(())
 }
 
-/// Checks the settings again on SIGHUP. They come into force with a restart.
+/// Validates the settings file on SIGHUP. Changed settings take effect only after a restart.
 async fn check_on_hangup(path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
     while hangup.recv().await.is_some() {
         match read_settings(&path) {
-            Ok(_) => tracing::info!(target: "node", event = "reload", outcome = "settings are good"),
+            Ok(_) => tracing::info!(target: "node", event = "reload", outcome = "settings are valid"),
             Err(error) => {
-                tracing::warn!(target: "node", event = "reload", outcome = "kept the old settings", %error);
+                tracing::warn!(target: "node", event = "reload", outcome = "settings are invalid; keeping the old ones", %error);
             }
         }
     }
--- a/crates/croftrill-daemon/src/settings.rs
+++ b/crates/croftrill-daemon/src/settings.rs
@@ -9,52 +9,52 @@
 };
 use serde::Deserialize;
 
-/// The settings file.
+/// Settings of one node.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Unique name of the node.
     pub name: String,
-    /// Zone it runs in.
+    /// Zone in which the node runs.
     #[serde(default)]
     pub zone: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Address for other nodes.
+    /// Listen address for other nodes.
     pub peer: SocketAddr,
-    /// Address for operators and metrics.
+    /// Listen address for the operator API and metrics.
     pub operator: SocketAddr,
     /// Address of the store.
     pub store: SocketAddr,
-    /// Seconds to finish what is in hand when asked to stop.
+    /// Maximum time to finish requests in flight after a stop signal, in seconds.
     #[serde(default = "usual_stop_grace")]
     pub stop_grace_seconds: f64,
-    /// Least milliseconds between orders of two machines.
+    /// Minimum time between orders from two different machines, in milliseconds.
     #[serde(default = "usual_order_gap")]
     pub order_gap_ms: u64,
-    /// Most requests served at the same time; 0: not bounded.
+    /// Maximum number of requests in service at the same time; 0 for no limit.
     #[serde(default)]
     pub most_in_service: usize,
-    /// True where callers compete for too little room at times.
+    /// Whether callers compete for scarce capacity at times.
     #[serde(default)]
     pub callers_compete: bool,
-    /// Bounds on sends beyond a request's first.
+    /// Retry budget.
     #[serde(default)]
     pub retry: RetrySettings,
-    /// How exactly the quotas of groups are kept.
+    /// Precision with which group quotas are enforced.
     #[serde(default)]
     pub quota: QuotaSettings,
 }
 
-/// How exactly the quotas of groups are kept, for all nodes together.
+/// Precision with which group quotas are enforced, over all nodes together.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaSettings {
-    /// Length of the sliding window.
+    /// Length of the sliding window in which a group's use is counted, in seconds.
     pub window_seconds: f64,
-    /// Part of its quota that a group may be over it in a window.
+    /// Fraction of its quota by which a group may exceed it in a window.
     pub overage: f64,
-    /// Tokens that it may be over that besides.
+    /// Tokens by which a group may exceed its quota in a window, in addition to `overage`.
     pub slack: f64,
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// Bounds on sends beyond a request's first, for all nodes together.
+/// Retry budget of all nodes together.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RetrySettings {
-    /// For each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// In a window besides.
+    /// Retries in a window, in addition to `ratio`.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window, in seconds.
     pub window_seconds: f64,
 }
 
@@ -98,16 +98,16 @@
     3000
 }
 
-/// Time within which a document must be in force everywhere: that of the users'
-/// smaller deployments.
+/// Maximum time until a new document is active on all nodes; the value that users' smaller
+/// deployments require.
 const CONFIGURATION_DEADLINE: Duration = Duration::from_secs(2);
-/// Shortest lease that the store is asked for.
+/// Minimum time to live of a lease.
 const LEAST_LEASE: Duration = Duration::from_secs(1);
-/// Sliding window of the ceiling on loads from the weight store.
+/// Sliding window in which loads from the weight store are limited.
 const CEILING_WINDOW: Duration = Duration::from_secs(5);
 
 impl Settings {
-    /// Reads settings; answers everything that is wrong, each with its place.
+    /// Parses and validates settings; returns every error, each with the path of the setting.
     pub fn parse(text: &str) -> Result<Self, Vec<String>> {
         let settings: Settings =
             toml_edit::de::from_str(text).map_err(|error| vec![error.to_string().trim().to_string()])?;
@@ -160,7 +160,7 @@
         findings
     }
 
-    /// The node's settings.
+    /// Converts to the settings that a [`Node`](croftrill_node::node::Node) takes.
     pub fn node_settings(&self) -> NodeSettings {
         NodeSettings {
             identity: NodeIdentity {
@@ -191,7 +191,8 @@
             max_replicas_in_full_view: DEFAULT_MAX_REPLICAS_IN_FULL_VIEW,
             callers_compete: self.callers_compete,
             max_concurrent_requests: (self.most_in_service > 0).then_some(self.most_in_service),
-            // Nothing tells a node; the retry budget is small for a window.
+            // A node cannot tell a first start from a restart, so its retry budget is small for
+            // one window.
             is_first_start: false,
         }
     }
--- a/crates/croftrill-daemon/src/status.rs
+++ b/crates/croftrill-daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node believes, as operators see it.
+//! A node's view of the cluster, as shown to operators.
 
 use croftrill_node::node::{Lifecycle, Node};
 use croftrill_node::ports::Platform;
@@ -8,44 +8,44 @@
 use croftrill_scheduler::time::Moment;
 use serde::{Deserialize, Serialize};
 
-/// What a node believes of a replica.
+/// A node's view of a replica.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Identity.
+    /// Identity of the replica's incarnation.
     pub id: String,
-    /// Service.
+    /// Service that the replica belongs to.
     pub service: String,
-    /// Address.
+    /// Address to which requests are sent.
     pub address: String,
-    /// Whether it takes requests.
+    /// Whether the replica accepts requests.
     pub ready: bool,
-    /// Models it holds; adapters after a slash.
+    /// Models that the replica holds; an adapter is written as `model/adapter`.
     pub models: Vec<String>,
-    /// Models on their way.
+    /// Models that are being loaded.
     pub arriving: Vec<String>,
-    /// What it told of its load, to this node or to others.
+    /// Last load that the replica reported to any node.
     #[serde(default)]
     pub load: Option<LoadStatus>,
 }
 
-/// What a replica told of its load last, and what it counts as by that.
+/// The load that a replica reported last, and how the scheduler rates it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadStatus {
-    /// Requests running there.
+    /// Requests that are running at the replica.
     pub running: u32,
-    /// Requests waiting there.
+    /// Requests that wait at the replica.
     pub waiting: u32,
-    /// Requests that it runs at the same time.
+    /// Requests that the replica can run at the same time.
     pub slots: u32,
-    /// How fast it usually works; 1: the usual speed of a replica.
+    /// Usual speed; 1.0 is the usual speed of a replica.
     pub speed: f64,
-    /// How fast it works now, as far as that was told lately.
+    /// Current speed, from recent reports.
     pub speed_now: f64,
-    /// How long ago it told, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub told_ms_ago: u64,
-    /// True if it runs all that it can, or requests wait there.
+    /// Whether all slots are in use or requests wait at the replica.
     pub full: bool,
-    /// True if it works at well under the usual speed of replicas now.
+    /// Whether the current speed is well below the usual speed of replicas.
     pub slow: bool,
 }
 
@@ -68,48 +68,48 @@
 /// A request under which replicas ended.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SuspectStatus {
-    /// Identity of its content, as the log names it.
+    /// Fingerprint of the request's content, as printed in the log.
     pub fingerprint: String,
-    /// Replicas that ended under it.
+    /// Number of replicas that ended while running the request.
     pub ends: usize,
-    /// Those of them for which it bears the blame.
+    /// Number of these replicas for whose end the request is blamed.
     pub blamed: usize,
-    /// What becomes of it when it comes: `free`, `one at a time`, `held`, `refused`.
+    /// Treatment of the request: `free`, `one at a time`, `held` or `refused`.
     pub verdict: String,
 }
 
-/// A quota that a node keeps.
+/// A quota for which a node is the keeper.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct QuotaStatus {
-    /// The group.
+    /// Name of the group.
     pub group: String,
-    /// What it has left, in tokens; below zero: a debt.
+    /// Remaining tokens; negative if the group is in debt.
     pub balance: i64,
 }
 
-/// What a node believes.
+/// A node's view of the cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Name of the node.
     pub node: String,
-    /// Where it is in its life.
+    /// Lifecycle state: `starting`, `ready` or `stopping`.
     pub lifecycle: String,
-    /// Version of the configuration in force; 0: none.
+    /// Version of the active configuration; 0 if there is none.
     pub configuration_version: u64,
-    /// The nodes that give orders, one a shard.
+    /// Names of the orderers, one per shard.
     pub orderers: Vec<String>,
-    /// Live nodes.
+    /// Names of the live nodes.
     pub nodes: Vec<String>,
-    /// Requests being served.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Requests that wait for a place.
+    /// Requests that wait for a free slot.
     pub waiting: usize,
-    /// Replicas.
+    /// Replicas that the node knows.
     pub replicas: Vec<ReplicaStatus>,
-    /// Requests under which replicas ended, as all nodes reported.
+    /// Requests under which replicas ended, from the reports of all nodes.
     #[serde(default)]
     pub suspects: Vec<SuspectStatus>,
-    /// Quotas that this node keeps.
+    /// Quotas for which this node is the keeper.
     #[serde(default)]
     pub quotas: Vec<QuotaStatus>,
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// What the node believes now.
+/// Returns the node's current status.
 pub fn status<P: Platform>(node: &Node<P>) -> NodeStatus {
     let suspects = suspects(node);
     let quotas = node
--- a/crates/croftrill-daemon/tests/operators.rs
+++ b/crates/croftrill-daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: status, intent, plan, confirmation, and races between them.
+//! Tests of the operator API: status, plans, confirmations and races between them.
 
 use bytes::Bytes;
 use croftrill_daemon::daemon::Daemon;
@@ -161,7 +161,7 @@
         let answer = fixture.call(Method::POST, "/v1/confirm", Some(&plan)).await;
         assert_eq!(answer.status(), 503);
         let ready = fixture.call::<()>(Method::GET, "/ready", None).await;
-        assert_eq!(ready.status(), 200, "traffic goes on");
+        assert_eq!(ready.status(), 200, "the node still accepts requests");
     });
 }
 
@@ -194,7 +194,7 @@
     });
 }
 
-/// Every metric that the operators' page names is served.
+/// Every metric named in `docs/OPERATIONS.md` is exported.
 #[test]
 fn the_metrics_of_the_page_are_served() {
     run(async {
--- a/crates/croftrill-daemon/tests/settings.rs
+++ b/crates/croftrill-daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the daemon, and its command line.
+//! Tests of the daemon's settings and command line.
 
 use std::process::Command;
 
@@ -46,7 +46,7 @@
     assert!(findings[0].contains("colour"), "{findings:?}");
 }
 
-/// Every setting of the page is one that the daemon knows.
+/// The example in `docs/CONFIGURATION.md` is valid.
 #[test]
 fn the_page_of_settings_matches_the_code() {
     let page = include_str!("../../../docs/CONFIGURATION.md");
