--- a/crates/croftrill-standin/src/engine.rs
+++ b/crates/croftrill-standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in replica's server. It keeps its own entry in the store.
+//! HTTP server of a stand-in replica, which also maintains its own entry in the store.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -29,77 +29,77 @@
 use crate::engine_state::{BeginOutcome, EngineConfig, EngineState, OrderAnswer};
 use crate::http_server::{json, serve, status, Answer};
 
-/// Path of what the replica ran and saw broken.
+/// Path that returns the replica's [`Ledger`].
 pub const LEDGER_PATH: &str = "/standin/ledger";
-/// Time between two heartbeats.
+/// Interval between renewals of the lease on the replica's entry.
 const HEARTBEAT: Duration = Duration::from_millis(300);
 /// Time to live of the replica's entry.
 const ENTRY_TIME_TO_LIVE: Duration = Duration::from_millis(1500);
-/// Replicas of one process tell their times from it.
+/// Reference point of all timestamps, common to the replicas of one process.
 static PROCESS_START: LazyLock<Instant> = LazyLock::new(Instant::now);
-/// Events of an answer without a bound of its own.
+/// Number of events in an answer to a request without `max_tokens`.
 const USUAL_EVENTS: u64 = 8;
 
-/// What a replica ran, and which promises it saw broken.
+/// Requests that a replica ran, and violations that it observed.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Runs by attempt.
+    /// Number of runs by attempt id.
     pub runs: std::collections::BTreeMap<String, u32>,
-    /// Broken promises.
+    /// Violated guarantees of the system.
     pub violations: Vec<String>,
-    /// Runs with the group that the system named, in order.
+    /// Runs with the group that the node sent, in order.
     #[serde(default)]
     pub group_runs: Vec<GroupRun>,
-    /// Requests in order, with what their answers said of the replica.
+    /// Calls in order, with the signals in their answers.
     #[serde(default)]
     pub arrivals: Vec<Arrival>,
-    /// Requests that found no free slot.
+    /// Number of requests that were rejected because no slot was free.
     #[serde(default)]
     pub turned_away: u32,
 }
 
-/// A call as it reached the replica, run or not.
+/// A call that reached the replica, whether it was run or not.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Arrival {
-    /// The attempt; empty for an order or a question for a report.
+    /// Attempt id; empty for an order or a report call.
     pub attempt: String,
-    /// When it came, in milliseconds of the process's life.
+    /// Time of arrival, in milliseconds since the process started.
     pub at_ms: u64,
-    /// True if its answer says that the replica leaves.
+    /// Whether the answer announces that the replica is leaving.
     pub says_leaving: bool,
-    /// Rest that its answer asks for.
+    /// Cooldown that the answer requests, in milliseconds.
     pub rest_ms: Option<u64>,
-    /// Requests a second that its answer says the replica takes from all nodes together.
+    /// Limit in the answer on requests per second from all nodes together.
     pub limit_per_s: Option<f64>,
 }
 
-/// A run as it counts for a group.
+/// A run and its cost for the group's quota.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GroupRun {
-    /// The attempt.
+    /// Attempt id.
     pub attempt: String,
-    /// The group, if one was named.
+    /// Group that the node sent, if any.
     pub group: Option<String>,
-    /// Tokens of the prompt and of the longest answer.
+    /// Tokens of the prompt plus the maximum number of tokens of the answer.
     pub tokens: u64,
-    /// When it began, in milliseconds of the process's life.
+    /// Start time, in milliseconds since the process started.
     pub at_ms: u64,
 }
 
-/// Where a replica stands.
+/// Identity and addresses of a replica.
 #[derive(Debug, Clone)]
 pub struct EngineIdentity {
-    /// Identity of the incarnation.
+    /// Id of the incarnation.
     pub id: String,
-    /// Zone.
+    /// Zone of the replica.
     pub zone: String,
-    /// Address that the system is told, which may be a proxy's.
+    /// Address in the replica's entry, which may be that of a proxy.
     pub address: SocketAddr,
     /// Address of the store.
     pub store: SocketAddr,
 }
 
-/// A replica in memory.
+/// An in-memory replica.
 pub struct EngineStandin {
     identity: EngineIdentity,
     state: RefCell<EngineState>,
@@ -108,15 +108,15 @@
     group_runs: RefCell<Vec<GroupRun>>,
     leaks: RefCell<Vec<String>>,
     arrivals: RefCell<Vec<Arrival>>,
-    /// True once its answers say that it leaves; its entry does not.
+    /// Whether answers announce that the replica is leaving. The entry does not.
     is_leaving: Cell<bool>,
-    /// While it turns requests away: the rest that it asks for.
+    /// Cooldown to request while the replica rejects all requests.
     rest: Cell<Option<Duration>>,
-    /// While it is in need: the limit that its answers name.
+    /// Limit to send in answers while the replica is overloaded.
     limit_per_s: Cell<Option<f64>>,
-    /// True once the store may have lost its entry.
+    /// Whether the entry must be written again because the store may have lost it.
     must_write: Cell<bool>,
-    /// Told when a crashing request ends it.
+    /// Notified when the replica is to end: a crashing request ran, or it has left.
     crashed: Notify,
 }
 
@@ -129,9 +129,9 @@
     prompt: String,
 }
 
-/// Begins the prompt of a request that ends each replica that begins to run it.
+/// Prefix of prompts that crash any replica that starts to run them.
 pub const CRASHING_PROMPT: &str = "crash ";
-/// Time from the beginning of such a request to the replica's end.
+/// Time from the start of such a request to the crash.
 const CRASH_AFTER: Duration = Duration::from_millis(30);
 
 impl EngineStandin {
@@ -169,48 +169,48 @@
         engine
     }
 
-    /// Ends after a request that crashes replicas began here.
+    /// Waits until the replica crashes or leaves.
     pub async fn crashed(&self) {
         self.crashed.notified().await;
     }
 
-    /// The store may have lost its entry, which is to be written again.
+    /// Causes the entry to be written again, as the store may have lost it.
     pub fn write_again(&self) {
         self.must_write.set(true);
     }
 
-    /// From now on its answers say that it leaves.
+    /// Announces in all following answers that the replica is leaving.
     pub fn begin_to_leave(&self) {
         self.is_leaving.set(true);
     }
 
-    /// It has left: whoever restarts replicas does so.
+    /// Reports that the replica has left, so that the caller of [`Self::crashed`] restarts it.
     pub fn leave(&self) {
         self.crashed.notify_one();
     }
 
-    /// From now on it turns requests away and asks for so much rest; `None`: no more.
+    /// Rejects all following requests with a cooldown; `None` accepts them again.
     pub fn turn_away(&self, rest: Option<Duration>) {
         self.rest.set(rest);
     }
 
-    /// From now on its answers name a limit on calls; `None`: no more.
+    /// Sends a limit on calls in all following answers; `None` sends none.
     pub fn limit(&self, per_s: Option<f64>) {
         self.limit_per_s.set(per_s);
     }
 
-    /// From now on its work takes longer than its usual time, or no more.
+    /// Sets whether work takes longer than usual from now on.
     pub fn slow_down(&self, is_slowed: bool) {
         self.state.borrow_mut().slow_down(is_slowed);
     }
 
-    /// Ends the replica: it takes no more connections and keeps its entry no longer.
-    /// Whoever stands before it breaks the present connections.
+    /// Stops accepting connections and renewing the entry. Open connections stay up; the proxy in
+    /// front of the replica has to reset them.
     pub fn end(&self) {
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// What it ran and saw broken.
+    /// Returns the requests that the replica ran and the violations that it observed.
     pub fn ledger(&self) -> Ledger {
         let state = self.state.borrow();
         Ledger {
@@ -322,7 +322,7 @@
         }
     }
 
-    /// Notes for whom a request runs. A caller's key must not come so far.
+    /// Records the group of a request. A caller's key must not reach a replica.
     fn note_group(&self, request: &Request<Bytes>, attempt: &str, completion: &Completion) {
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         if request.headers().contains_key(http::header::AUTHORIZATION) {
@@ -344,7 +344,7 @@
         });
     }
 
-    /// Streams numbered events, then the end mark.
+    /// Streams numbered events followed by the end marker.
     fn stream(self: &Rc<Self>, attempt: String, events: u64) -> Answer {
         let (sender, body) = AnswerBody::stream();
         let engine = self.clone();
@@ -360,7 +360,7 @@
                 }
             }
             for part in [StreamChunk::Bytes("data: [DONE]\n\n".into()), StreamChunk::End] {
-                // The reader may have left; the run ends all the same.
+                // The receiver may be closed already; the run ends in any case.
                 let _ = sender.send(Ok(part)).await;
             }
             engine.state.borrow_mut().end();
@@ -371,7 +371,7 @@
         answer
     }
 
-    /// Repeats the attempt's id and tells the load.
+    /// Adds headers with the request's attempt id and the current load.
     fn stamped(&self, mut answer: Answer, request: &Request<Bytes>) -> Answer {
         if let Some(attempt) = request.headers().get(ATTEMPT_HEADER) {
             answer.headers_mut().insert(ATTEMPT_HEADER, attempt.clone());
@@ -382,7 +382,8 @@
         answer
     }
 
-    /// Keeps the replica's entry in the store: written when it changes, under a lease.
+    /// Maintains the replica's entry in the store: writes each change of it under a lease and
+    /// renews the lease.
     async fn keep_entry(self: Rc<Self>) {
         let store = StoreClient::new(self.identity.store);
         let mut lease = None;
@@ -442,7 +443,7 @@
     answer
 }
 
-/// A value as the store keeps it, for tools that write it directly.
+/// Encodes a value as the store holds it, for tools that write to the store directly.
 pub fn stored_value(value: &[u8]) -> String {
     BASE64_STANDARD.encode(value)
 }
--- a/crates/croftrill-standin/src/engine_state.rs
+++ b/crates/croftrill-standin/src/engine_state.rs
@@ -1,4 +1,4 @@
-//! The state of a stand-in replica: what it holds, what it does, what it ran.
+//! State of a stand-in replica: models it holds, the order in progress, and past runs.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,22 +8,22 @@
 /// Sizes and times of a replica.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
-    /// Requests at the same time.
+    /// Number of requests that can run at the same time.
     pub slots: usize,
-    /// Models that fit at the same time.
+    /// Number of models that fit in memory.
     pub model_places: usize,
-    /// Adapters that fit at the same time.
+    /// Number of adapters that fit in memory.
     pub adapter_places: usize,
-    /// Time of a load from the weight store.
+    /// Time to load a model from the weight store.
     pub store_load: Duration,
-    /// Time of a load from its disk.
+    /// Time to load a model from the replica's disk.
     pub disk_load: Duration,
-    /// Time of an adapter's load.
+    /// Time to load an adapter.
     pub adapter_load: Duration,
-    /// Time of one event of a stream.
+    /// Time between two events of a stream.
     pub event_time: Duration,
-    /// How long its work takes, in percent of the usual time; its answers tell it and its
-    /// slots. `None`: the usual time, and neither is told.
+    /// Duration of work in percent of the usual time, sent in answers along with the slots.
+    /// `None` stands for the usual time, and neither is sent.
     pub work_time_pct: Option<u32>,
 }
 
@@ -42,21 +42,21 @@
     }
 }
 
-/// Work time of a slowed replica, in percent of its own.
+/// Duration of work while a replica is slowed, in percent of its normal duration.
 const SLOWED_PCT: u32 = 250;
 
-/// How an order was taken.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is in progress.
+    /// The order is in progress.
     Accepted,
-    /// It already holds.
+    /// The ordered state already holds or was reached at once.
     AlreadyHolds,
-    /// Another is in progress, or the sequence is not the expected one.
+    /// Another order is in progress, or the sequence number is not the expected one.
     Conflict,
-    /// A newer token was seen.
+    /// An order with a newer fencing token was received before.
     Fenced,
-    /// It cannot be carried out.
+    /// The order cannot be carried out.
     Rejected,
 }
 
@@ -66,10 +66,10 @@
     done_at: Instant,
 }
 
-/// A promise of the system that was broken, as this replica saw it.
+/// A violated guarantee of the system, as observed by this replica.
 pub type Violation = String;
 
-/// What a replica holds, does, and ran.
+/// Models that a replica holds, its order in progress, and its past runs.
 #[derive(Debug)]
 pub struct EngineState {
     config: EngineConfig,
@@ -84,7 +84,7 @@
 }
 
 impl EngineState {
-    /// A replica that holds some models, and copies of others on its disk.
+    /// Creates a replica with `models` in memory and `on_disk` on its disk.
     pub fn new(config: EngineConfig, models: &[String], on_disk: &[String]) -> Self {
         let held = models.iter().map(|model| WireHeldModel {
             model: model.clone(),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes an order.
+    /// Validates an order and starts to carry it out.
     pub fn order(&mut self, order: WireOrder, now: Instant) -> OrderAnswer {
         self.advance(now);
         if order.fencing_token < self.highest_token {
@@ -140,7 +140,7 @@
         OrderAnswer::Accepted
     }
 
-    /// Begins to run a request; false if the model is not there or no slot is free.
+    /// Starts to run a request if the model is present and a slot is free.
     pub fn begin(&mut self, attempt: &str, model: &str, adapter: Option<&str>, now: Instant) -> BeginOutcome {
         self.advance(now);
         let held = self.holdings.models.iter().find(|held| held.model == model);
@@ -159,12 +159,12 @@
         BeginOutcome::Running
     }
 
-    /// A run is over.
+    /// Records the end of a run.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// The report.
+    /// Returns the replica's report.
     pub fn report(&mut self, now: Instant) -> WireReport {
         self.advance(now);
         WireReport {
@@ -178,38 +178,39 @@
         }
     }
 
-    /// What it holds.
+    /// Returns the models and adapters that the replica holds.
     pub fn holdings(&mut self, now: Instant) -> WireHoldings {
         self.advance(now);
         self.holdings.clone()
     }
 
-    /// Runs by attempt.
+    /// Returns the number of runs by attempt id.
     pub fn runs(&self) -> &BTreeMap<String, u32> {
         &self.runs
     }
 
-    /// Promises that were broken here.
+    /// Returns the violations observed so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Requests that found no free slot.
+    /// Returns the number of requests that were rejected for lack of a free slot or because the
+    /// model was being unloaded.
     pub fn turned_away(&self) -> u32 {
         self.turned_away
     }
 
-    /// From now on its work takes longer than its usual time, or no more.
+    /// Sets whether work takes longer than usual from now on.
     pub fn slow_down(&mut self, is_slowed: bool) {
         self.is_slowed = is_slowed;
     }
 
-    /// Time of one event of a stream.
+    /// Returns the time between two events of a stream at the current speed.
     pub fn event_time(&self) -> Duration {
         self.config.event_time * self.work_time_pct().unwrap_or(100) / 100
     }
 
-    /// Its load, as its answers tell it.
+    /// Returns the load in the format of the answers' load header.
     pub fn load(&self) -> String {
         match self.work_time_pct() {
             Some(pct) => format!("{},0,{},{pct}", self.running, self.config.slots),
@@ -291,13 +292,13 @@
     }
 }
 
-/// Whether a request began to run.
+/// Outcome of [`EngineState::begin`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// It runs.
+    /// The request is running.
     Running,
-    /// The model or adapter is not there.
+    /// The replica does not hold the model or adapter.
     Absent,
-    /// No slot is free, or the model is leaving.
+    /// No slot is free, or the model is being unloaded.
     Full,
 }
--- a/crates/croftrill-standin/src/http_server.rs
+++ b/crates/croftrill-standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! Minimal HTTP server for stand-ins.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,11 +16,13 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// Answer of a stand-in.
+/// HTTP response of a stand-in.
 pub type Answer = Response<AnswerBody>;
 
-/// Serves a handler on a listener until the process or local set ends.
-/// Requests come with their whole body; a caller that leaves drops the handler.
+/// Serves requests on a listener until the process or the local set ends.
+///
+/// The handler gets requests with their complete body. Its future is dropped when the caller
+/// disconnects.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Bytes>) -> F + 'static,
@@ -42,7 +44,7 @@
                     Ok::<_, Infallible>(answer)
                 }
             });
-            // A caller that breaks off ends just its own connection.
+            // An error ends only this caller's connection.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -50,21 +52,21 @@
     }
 }
 
-/// Listens on a free port of the loopback address.
+/// Binds a free port of the loopback address.
 pub async fn listen() -> std::io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// An answer with a status and no body.
+/// Creates a response with a status and an empty body.
 pub fn status(status: StatusCode) -> Answer {
     let mut answer = Response::new(AnswerBody::full(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
-/// A JSON answer.
+/// Creates a response with a JSON body.
 pub fn json<T: Serialize>(value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(body) => Response::new(AnswerBody::full(body)),
@@ -72,7 +74,7 @@
     }
 }
 
-/// A parameter of the query, percent-decoded for the characters that the clients escape.
+/// Returns the percent-decoded value of a query parameter.
 pub fn query_value(request: &Request<Bytes>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     let pair = query
--- a/crates/croftrill-standin/src/lib.rs
+++ b/crates/croftrill-standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the store and of model replicas, and a proxy that injects faults.
+//! Stand-ins for the store and for model replicas, and a fault-injecting proxy.
 //!
-//! They speak the product's own wire, keep everything in memory, and run either
-//! within a test's process or as processes of their own.
+//! They use Croftrill's own protocols, hold all state in memory, and run either
+//! inside a test process or as separate processes.
 
 pub mod engine;
 pub mod engine_state;
--- a/crates/croftrill-standin/src/main.rs
+++ b/crates/croftrill-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process: `store` or `engine`.
+//! `croftrill-standin`: runs one stand-in, `store` or `engine`, as a process.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,13 @@
 use tokio::task::LocalSet;
 
 const HELP: &str = "\
-Runs a stand-in of the platform, for trials and tests.
+Runs a stand-in for a part of the platform, for trials and tests.
 
 Usage: croftrill-standin store  --listen IP:PORT
        croftrill-standin engine --listen IP:PORT --store IP:PORT --id ID
                                 [--told IP:PORT] [--zone ZONE] [--models A,B] [--disk C,D]
+
+  --told IP:PORT  address in the replica's entry; default: the listen address
 ";
 
 #[derive(Default)]
--- a/crates/croftrill-standin/src/proxy.rs
+++ b/crates/croftrill-standin/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that injects faults between two processes.
+//! TCP proxy that injects faults between two processes.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// What the proxy does to its connections, present and new.
+/// Faults that the proxy injects into existing and new connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     None,
-    /// Holds each piece back for a time.
+    /// Delays each chunk.
     Delay(Duration),
-    /// Closes all connections, and new ones at once.
+    /// Closes all connections, new ones as soon as they are accepted.
     Reset,
-    /// Passes nothing on in either direction, and keeps connections open.
+    /// Forwards nothing in either direction, but leaves connections open.
     Silence,
-    /// Passes on what callers send, and nothing back.
+    /// Forwards from callers to the upstream, but not back.
     NoAnswers,
 }
 
-/// Bytes passed on at once.
+/// Maximum size of a forwarded chunk.
 const PIECE: usize = 16 * 1024;
 
-/// A proxy before one address.
+/// A proxy in front of one upstream address.
 pub struct Proxy {
     address: Option<SocketAddr>,
     upstream: Cell<SocketAddr>,
@@ -39,11 +39,11 @@
     fault: Cell<Fault>,
     changed: Notify,
     accepted: Cell<u64>,
-    /// Connections with a lower number are silent for good.
+    /// Connections with a lower number never forward anything again.
     silent_below: Cell<u64>,
 }
 
-/// Direction of a pump.
+/// Direction of forwarded data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Request,
@@ -67,8 +67,7 @@
         proxy
     }
 
-    /// As if the process behind it had ended: all connections break, new ones are
-    /// refused.
+    /// Simulates the end of the upstream process: resets all connections and refuses new ones.
     pub fn end(&self) {
         self.set(Fault::Reset);
         if let Some(accepting) = self.accepting.take() {
@@ -76,9 +75,9 @@
         }
     }
 
-    /// Another process serves behind it, at its old address.
+    /// Listens again on the same address, in front of a new upstream.
     ///
-    /// Errors: the address cannot be listened on.
+    /// Returns an error if the address cannot be bound.
     pub async fn begin_anew(self: &Rc<Self>, upstream: SocketAddr) -> std::io::Result<()> {
         let address = self.address.ok_or(std::io::ErrorKind::AddrNotAvailable)?;
         let listener = TcpListener::bind(address).await?;
@@ -89,18 +88,18 @@
         Ok(())
     }
 
-    /// Where it listens, if the operating system told.
+    /// Returns the listen address, if the operating system reported it.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Sets the fault, for present and new connections.
+    /// Sets the fault for existing and new connections.
     pub fn set(&self, fault: Fault) {
         self.fault.set(fault);
         self.changed.notify_waiters();
     }
 
-    /// From now on the present connections pass nothing on and stay open; new ones work.
+    /// Stops forwarding on all existing connections and leaves them open. New ones work.
     pub fn silence_present(&self) {
         self.silent_below.set(self.accepted.get());
         self.changed.notify_waiters();
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Passes pieces on until either side closes or the fault cuts it.
+    /// Forwards chunks until either side closes or a fault cuts the connection.
     async fn pump(&self, number: u64, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) {
         let mut piece = vec![0; PIECE];
         loop {
@@ -147,7 +146,7 @@
         }
     }
 
-    /// Waits until a piece may pass; false if the connection is to be cut.
+    /// Waits until a chunk may be forwarded. Returns false if the connection must be cut.
     async fn pass(&self, number: u64, direction: Direction) -> bool {
         loop {
             let changed = self.changed.notified();
--- a/crates/croftrill-standin/src/store.rs
+++ b/crates/croftrill-standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in store's server.
+//! HTTP server of the stand-in store.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,26 +18,26 @@
 use crate::http_server::{json, query_value, serve, status, Answer};
 use crate::store_state::{StoreState, TransactionOutcome};
 
-/// Time between two looks for leases that are over.
+/// Interval between checks for expired leases.
 const EXPIRY_EVERY: Duration = Duration::from_millis(50);
-/// Time after which a lost answer's connection would be given up by anyone.
+/// Delay of an answer that must not arrive; longer than any caller waits.
 const NEVER: Duration = Duration::from_secs(3600);
 
-/// How the store misbehaves.
+/// Faults that the store can simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Refuses every call; nothing is done.
+    /// Refuses every call without executing it.
     Refusing,
-    /// Does writes, and never answers them.
+    /// Executes writes, but never answers them.
     LosingWriteAnswers,
-    /// Never answers anything.
+    /// Never answers any call.
     Silent,
 }
 
-/// A store in memory.
+/// An in-memory store.
 pub struct StoreStandin {
     state: RefCell<StoreState>,
     changed: Notify,
@@ -62,30 +62,30 @@
         store
     }
 
-    /// Sets how the store misbehaves from now on.
+    /// Sets the simulated fault.
     pub fn set_fault(&self, fault: StoreFault) {
         self.fault.set(fault);
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the number of calls received so far.
     pub fn calls(&self) -> u64 {
         self.calls.get()
     }
 
-    /// Changes the state directly, as an operator's tool might.
+    /// Changes the state directly, without a call over the wire.
     pub fn with_state<T>(&self, change: impl FnOnce(&mut StoreState) -> T) -> T {
         let result = change(&mut self.state.borrow_mut());
         self.changed.notify_waiters();
         result
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current state.
     pub fn copy(&self) -> StoreState {
         self.state.borrow().clone()
     }
 
-    /// Comes back from a copy: a new era begins.
+    /// Restores the state from a copy and starts a new era.
     pub fn restore(&self, copy: &StoreState) {
         self.era.set(self.era.get() + 1);
         self.with_state(|state| state.restore(copy, Instant::now()));
--- a/crates/croftrill-standin/src/store_state.rs
+++ b/crates/croftrill-standin/src/store_state.rs
@@ -1,11 +1,11 @@
-//! The state of the stand-in store: items, leases, history.
+//! State of the stand-in store: items, leases and history.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use croftrill_http::store_wire::{WireItem, WireItems, WireTransaction};
 
-/// Changes that watches can still be told.
+/// Maximum number of past changes that watches can read.
 const HISTORY: usize = 4096;
 
 #[derive(Debug, Clone)]
@@ -21,22 +21,22 @@
     expires: Instant,
 }
 
-/// Why watched changes cannot be told.
+/// Error of a watch whose start revision is no longer in the history, or not yet reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HistoryGone;
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// Done, at this revision.
+    /// Applied at this revision.
     Done(u64),
     /// A condition did not hold.
     Rejected,
-    /// A lease was over.
+    /// A write names a lease that does not exist or has ended.
     NoSuchLease,
 }
 
-/// Items with revisions and leases.
+/// Items with revisions, leases and the history of changes.
 #[derive(Debug, Default, Clone)]
 pub struct StoreState {
     revision: u64,
@@ -48,16 +48,16 @@
 }
 
 impl StoreState {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Comes back from a copy of itself: what was done since is gone. Leases of the copy run
-    /// on from now.
+    /// Restores an earlier copy; all changes since then are lost. Leases in the copy run for
+    /// their full time to live from `now`.
     pub fn restore(&mut self, copy: &StoreState, now: Instant) {
         *self = StoreState {
-            // Numbers of leases are not given out again.
+            // Lease ids are never reused.
             next_lease: self.next_lease,
             ..copy.clone()
         };
@@ -67,12 +67,12 @@
         }
     }
 
-    /// The present revision.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All items under a prefix.
+    /// Returns all items under a prefix.
     pub fn items(&self, prefix: &str) -> WireItems {
         let under = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
         let items = under.map(|(key, stored)| WireItem {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Changes under a prefix after a revision.
+    /// Returns the changes under a prefix after a revision.
     pub fn changes(&self, prefix: &str, after: u64) -> Result<WireItems, HistoryGone> {
         if after < self.forgotten_up_to || after > self.revision {
             return Err(HistoryGone);
@@ -101,13 +101,13 @@
         })
     }
 
-    /// Forgets all history.
+    /// Discards the history.
     pub fn compact(&mut self) {
         self.history.clear();
         self.forgotten_up_to = self.revision;
     }
 
-    /// Does a transaction, all or nothing.
+    /// Applies a transaction atomically.
     pub fn transact(&mut self, transaction: &WireTransaction) -> TransactionOutcome {
         let holds = transaction.conditions.iter().all(|condition| {
             self.items.get(&condition.key).map_or(0, |stored| stored.revision) == condition.revision
@@ -132,7 +132,7 @@
         TransactionOutcome::Done(self.revision)
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant(&mut self, time_to_live: Duration, now: Instant) -> u64 {
         self.next_lease += 1;
         self.leases.insert(
@@ -145,7 +145,7 @@
         self.next_lease
     }
 
-    /// Renews a lease; false if it is over.
+    /// Renews a lease. Returns false if it does not exist.
     pub fn renew(&mut self, lease: u64, now: Instant) -> bool {
         let Some(known) = self.leases.get_mut(&lease) else {
             return false;
@@ -154,7 +154,7 @@
         true
     }
 
-    /// Ends a lease; its keys go.
+    /// Ends a lease and removes its keys. Returns false if it does not exist.
     pub fn end(&mut self, lease: u64) -> bool {
         if self.leases.remove(&lease).is_none() {
             return false;
@@ -175,7 +175,8 @@
         true
     }
 
-    /// Ends the leases whose time is over; true if keys may have gone.
+    /// Ends all expired leases. Returns true if there were any, so that keys may have been
+    /// removed.
     pub fn expire(&mut self, now: Instant) -> bool {
         let over: Vec<u64> = self
             .leases
--- a/crates/croftrill-standin/tests/proxy.rs
+++ b/crates/croftrill-standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy.
+//! Tests of the fault proxy.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const SHORT: Duration = Duration::from_millis(100);
 const LONG: Duration = Duration::from_secs(10);
 
-/// An upstream that repeats what it gets, behind a proxy.
+/// Starts a proxy in front of an echo server.
 async fn echo() -> (std::rc::Rc<Proxy>, std::net::SocketAddr) {
     let (upstream, address) = listen().await.expect("a port");
     spawn_local(async move {
@@ -52,8 +52,8 @@
         let mut byte = [0];
         timeout(LONG, stream.read_exact(&mut byte))
             .await
-            .expect("it was held back")
-            .expect("and not lost");
+            .expect("the byte arrives after the fault")
+            .expect("the byte is not lost");
         proxy.set(Fault::NoAnswers);
         assert_eq!(repeats(&mut stream, SHORT).await, None);
         proxy.set(Fault::Reset);
--- a/crates/croftrill-standin/tests/silent_connections.rs
+++ b/crates/croftrill-standin/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent without a reset, while new ones work.
+//! Connections that stop forwarding without a reset, while new ones work.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use croftrill_standin::store::StoreStandin;
 use tokio::task::LocalSet;
 
-/// Calls at the same time, and so connections that rest afterwards.
+/// Number of concurrent calls, and so of idle connections afterwards.
 const CALLS: usize = 4;
 
 async fn client_behind_proxy() -> (Rc<Proxy>, StoreClient) {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Each connection that rested cost one more call its whole limit: a node could
-/// miss the renewals of a lease one after the other.
+/// If each dead idle connection made one call wait until its timeout, a node could miss several
+/// renewals of a lease in a row.
 #[test]
 fn call_after_all_resting_connections_went_silent_fails_once() {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/croftrill-standin/tests/store.rs
+++ b/crates/croftrill-standin/tests/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in store's promises.
+//! Tests of the stand-in store's guarantees.
 
 use std::time::{Duration, Instant};
 
