--- a/crates/croftrill-cli/src/client.rs
+++ b/crates/croftrill-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a node's operators' API.
+//! Client of a node's operator API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use http::{Method, Request, Response};
 use http_body_util::Full;
 
-/// Longest wait for an answer.
+/// Maximum time to wait for a response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Calls one node; must run within a `LocalSet`.
+/// Sends one request to a node; must run within a `LocalSet`.
 pub async fn call(
     node: SocketAddr,
     method: Method,
--- a/crates/croftrill-cli/src/lib.rs
+++ b/crates/croftrill-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: what it asks of a node, and how it shows the answers.
+//! Parts of the operators' command line: requests to a node and rendering of the responses.
 
 pub mod client;
 pub mod render;
--- a/crates/croftrill-cli/src/main.rs
+++ b/crates/croftrill-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `croftrill`: the operators' command line.
+//! `croftrill`: the operators' command-line client.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 use tokio::task::LocalSet;
 
 const HELP: &str = "\
-Asks a node what it believes, and changes what the system serves.
+Shows the status of a node and changes which models the system serves.
 
 Usage: croftrill --node IP:PORT status [--json]
        croftrill --node IP:PORT lift FINGERPRINT
@@ -22,11 +22,11 @@
        croftrill --node IP:PORT confirm PLAN.json
        croftrill digest < KEY
 
-  --node IP:PORT  operators' address of a node
-  --json          the answer as it came
-  digest          what a document says in place of a key
-  lift            lets a request be sent again under which replicas ended
-  --out FILE      where the plan is kept for its confirmation; default: plan.json
+  --node IP:PORT  operator address of a node
+  --json          print the response as JSON
+  digest          print the digest that stands for a key in a document
+  lift            allow a request to be sent again although replicas ended under it
+  --out FILE      file for the plan, to be confirmed later; default: plan.json
   --help, --version
 ";
 
@@ -71,7 +71,7 @@
     LocalSet::new().block_on(&runtime, run(arguments))
 }
 
-/// Prints the digest of the key on standard input, without the line's end.
+/// Reads a key from standard input, without its line ending, and prints its digest.
 fn print_digest() -> anyhow::Result<()> {
     let key = std::io::read_to_string(std::io::stdin())?;
     let key = key.trim_end_matches(['\r', '\n']);
--- a/crates/croftrill-cli/src/render.rs
+++ b/crates/croftrill-cli/src/render.rs
@@ -1,10 +1,10 @@
-//! Tables for operators.
+//! Formats responses as text for operators.
 
 use std::fmt::Write;
 
 use serde_json::Value;
 
-/// A node's status as a table.
+/// Formats a node's status as a table.
 pub fn status(status: &Value) -> String {
     let text = |name: &str| status[name].as_str().unwrap_or("-").to_string();
     let list = |value: &Value| {
@@ -66,7 +66,7 @@
     table
 }
 
-/// What a replica told of its load, and what it counts as by that; nothing if it told none.
+/// Formats the load that a replica reported and how the node rates it; empty if it reported none.
 fn load(load: &Value) -> String {
     if load.is_null() {
         return String::new();
@@ -86,7 +86,7 @@
     )
 }
 
-/// A plan as a list of steps.
+/// Formats a plan as a list of steps.
 pub fn plan(plan: &Value) -> String {
     let steps: Vec<&str> = plan["steps"]
         .as_array()
@@ -103,7 +103,7 @@
     })
 }
 
-/// A failure, with everything that was found.
+/// Formats an error with all of its findings.
 pub fn failure(failure: &Value) -> String {
     let mut text = failure["error"].as_str().unwrap_or("failed").to_string();
     for finding in failure["findings"]
--- a/crates/croftrill-cli/tests/commands.rs
+++ b/crates/croftrill-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Tests of the operators' command line.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -53,7 +53,7 @@
     }
 }
 
-/// Which replica is full or slow, and by what evidence.
+/// The table shows which replicas are full or slow, with the reported load.
 #[test]
 fn a_status_tells_what_replicas_told_of_their_load() {
     let load = json!({
@@ -81,7 +81,7 @@
     assert_eq!(render::failure(&failure), "bad\n  models[0]: x\n  models[1]: y");
 }
 
-/// A key given as an argument would stand in the list of processes.
+/// The key is read from standard input because arguments are visible in the process list.
 #[test]
 fn digest_of_a_key_on_standard_input() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_croftrill"))
