--- a/crates/croftrill-demo/src/caller.rs
+++ b/crates/croftrill-demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the completions API.
+//! Test client of the completions API.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,49 +9,49 @@
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 
-/// One call.
+/// Parameters of one call.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Id of the attempt.
+    /// Attempt id.
     pub attempt: String,
-    /// Model, with an adapter after a slash.
+    /// Name of the model; an adapter is written as `model/adapter`.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Events of the answer.
+    /// Number of events in the answer.
     pub events: u64,
-    /// Time to wait.
+    /// Maximum time to wait for the complete answer.
     pub deadline: Duration,
     /// Group of the caller.
     pub group: Option<String>,
-    /// Key that it shows.
+    /// API key of the caller.
     pub key: Option<String>,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The whole answer to this very call.
+    /// The complete answer to this call.
     Whole,
-    /// Refused; it has not run. The time to come back, if told.
+    /// The call was refused and has not run.
     Refused {
-        /// Time to come back.
+        /// Delay before a retry, if the node sent one.
         retry_after: Option<Duration>,
     },
-    /// Another failure.
+    /// Any other error status.
     Failed(StatusCode),
-    /// An answer that is not whole, or not this call's, passed off as a success.
+    /// A success status with an incomplete answer or the answer to another call.
     Wrong(String),
-    /// No answer, or a broken one.
+    /// No answer in time, or the connection broke.
     Broken,
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
 }
 
-/// Longest rest of a caller's connection: nodes close those that rest, callers do not.
+/// Maximum idle time of a caller's connection. Nodes close idle connections; callers do not.
 const CALLER_REST: Duration = Duration::from_secs(3600);
 
-/// The connections of a caller that keeps them for as long as the node does.
+/// Creates the connection pool of a caller that leaves it to the node to close idle connections.
 pub fn kept_connections() -> ConnectionPool {
     ConnectionPool::new(ConnectionConfig {
         silence_limit: None,
@@ -60,13 +60,13 @@
     })
 }
 
-/// Calls a node over a connection of its own, and checks that the answer is whole
-/// and its own.
+/// Calls a node over a new connection and checks that the answer is complete and belongs to the
+/// call.
 pub async fn call(node: SocketAddr, call: &Call) -> (CallEnd, Duration) {
     call_over(&kept_connections(), node, call).await
 }
 
-/// As [`call`], over a connection that rests in `pool`, if there is one.
+/// Calls a node like [`call`], but over an idle connection of `pool` if there is one.
 pub async fn call_over(pool: &ConnectionPool, node: SocketAddr, call: &Call) -> (CallEnd, Duration) {
     let started = Instant::now();
     let Some(request) = request(node, call) else {
--- a/crates/croftrill-demo/src/lib.rs
+++ b/crates/croftrill-demo/src/lib.rs
@@ -1,4 +1,4 @@
-//! A whole system in one process: stand-ins of the platform, nodes, and a caller.
+//! A complete system in one process: stand-ins for the platform, nodes and a test client.
 
 pub mod caller;
 pub mod system;
--- a/crates/croftrill-demo/src/main.rs
+++ b/crates/croftrill-demo/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs a whole system on loopback, calls it, and stays up.
+//! Runs a complete system on the loopback address, calls it, and keeps it running.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 
 const HELP: &str = "\
 Runs a store, three model replicas and two nodes on loopback, calls every model
-once, prints what happened, and stays up until it is interrupted.
+once, prints the outcomes, and keeps running until it is interrupted.
 
 Usage: croftrill-demo [--once]
 
-  --once  end after the calls
+  --once  exit after the calls
 ";
 
 fn main() -> anyhow::Result<()> {
--- a/crates/croftrill-demo/src/system.rs
+++ b/crates/croftrill-demo/src/system.rs
@@ -1,4 +1,4 @@
-//! Builds the system: a store, replicas, nodes, and a first document.
+//! Builds the system: a store, replicas, nodes and an initial document.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,24 +16,24 @@
 use croftrill_standin::http_server::listen;
 use croftrill_standin::store::StoreStandin;
 
-/// Models of the demo; more than the replicas can hold at the same time.
+/// Models of the demo; more than fit into the replicas' memory at the same time.
 pub const MODELS: [&str; 6] = ["maple", "birch", "cedar", "alder", "hazel", "rowan"];
-/// Least gap between orders of two machines in the demo.
+/// Minimum time between orders from two different machines.
 const ORDER_GAP: Duration = Duration::from_millis(500);
 
 /// A running system.
 pub struct System {
-    /// The store.
+    /// Stand-in store.
     pub store: Rc<StoreStandin>,
-    /// Its address.
+    /// Address of the store.
     pub store_address: SocketAddr,
-    /// The replicas.
+    /// Stand-in replicas.
     pub engines: Vec<Rc<EngineStandin>>,
-    /// The nodes.
+    /// Running nodes.
     pub nodes: Vec<Daemon>,
 }
 
-/// The document of the demo.
+/// Returns the demo's document.
 pub fn document() -> Document {
     let models = MODELS.iter().map(|name| ModelDocument {
         name: (*name).to_string(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Settings of a node on free ports of the loopback address.
+/// Returns the settings of a node on free ports of the loopback address.
 pub fn node_settings(name: &str, store: SocketAddr) -> Settings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
@@ -86,7 +86,7 @@
 }
 
 impl System {
-    /// Starts everything; must run within a `LocalSet`.
+    /// Starts the store, replicas and nodes, and waits until they are ready; must run within a `LocalSet`.
     pub async fn start(engines: usize, nodes: usize) -> anyhow::Result<Self> {
         let (listener, store_address) = listen().await?;
         let store = StoreStandin::start(listener);
@@ -150,7 +150,7 @@
     ))
 }
 
-/// Writes a document straight into the store.
+/// Writes a document directly into the store.
 pub fn write_document(store: &StoreStandin, document: &Document) {
     let value = serde_json::to_vec(document).unwrap_or_default();
     let write = WireWrite {
--- a/crates/croftrill-demo/tests/demo.rs
+++ b/crates/croftrill-demo/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo's system serves every model, warm or not.
+//! The demo system serves every model, whether it is loaded or not.
 
 use std::time::Duration;
 
