--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -49,11 +49,11 @@
 /// Allows a request to be sent again although replicas ended while running it.
 pub const LIFT_PATH: &str = "/v1/lift";
 /// Maximum size of a request body.
-const MOST_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Maximum time to read the document from the store.
-const READ_LIMIT: Duration = Duration::from_secs(2);
+const DOCUMENT_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// Delay after a failed accept, so that a persistent error does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The steps to a desired document, and the revision that they are based on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -95,14 +95,14 @@
 pub async fn serve(node: OwnNode, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let node = node.clone();
         spawn_local(async move {
             let service = service_fn(move |request| {
                 let node = node.clone();
-                async move { Ok::<_, Infallible>(answer(&node, request).await) }
+                async move { Ok::<_, Infallible>(handle_request(&node, request).await) }
             });
             // An error ends only this caller's connection.
             let _ = http1::Builder::new()
@@ -112,10 +112,10 @@
     }
 }
 
-async fn answer(node: &OwnNode, request: Request<Incoming>) -> Answer {
+async fn handle_request(node: &OwnNode, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, MOST_BODY).collect().await else {
-        return failure(
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
+        return error_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body cannot be taken",
             Vec::new(),
@@ -125,14 +125,16 @@
     let body = body.to_bytes();
     match (&head.method, head.uri.path()) {
         (&Method::GET, READY_PATH) if node.lifecycle() == Lifecycle::Ready => text("ready".to_string()),
-        (&Method::GET, READY_PATH) => failure(StatusCode::SERVICE_UNAVAILABLE, "not ready", Vec::new(), None),
+        (&Method::GET, READY_PATH) => {
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "not ready", Vec::new(), None)
+        }
         (&Method::GET, METRICS_PATH) => text(node.metrics_text()),
         (&Method::GET, STATUS_PATH) => json(StatusCode::OK, &status(node)),
-        (&Method::GET, DOCUMENT_PATH) => document(node).await,
+        (&Method::GET, DOCUMENT_PATH) => get_document(node).await,
         (&Method::POST, PLAN_PATH) => make_plan(node, &body).await,
         (&Method::POST, LIFT_PATH) => lift(node, &body),
         (&Method::POST, CONFIRM_PATH) => confirm(node, &body).await,
-        _ => failure(StatusCode::NOT_FOUND, "no such call", Vec::new(), None),
+        _ => error_response(StatusCode::NOT_FOUND, "no such call", Vec::new(), None),
     }
 }
 
@@ -151,13 +153,13 @@
     });
     match fingerprint {
         Ok(fingerprint) if crash_reports::lift(node, fingerprint) => text("lifted".to_string()),
-        Ok(_) => failure(
+        Ok(_) => error_response(
             StatusCode::NOT_FOUND,
             "no replica ended under this request",
             Vec::new(),
             None,
         ),
-        Err(finding) => failure(
+        Err(finding) => error_response(
             StatusCode::BAD_REQUEST,
             "the request cannot be read",
             vec![finding],
@@ -166,10 +168,10 @@
     }
 }
 
-async fn present(node: &OwnNode) -> Result<Option<(Document, u64)>, StoreError> {
+async fn stored_document(node: &OwnNode) -> Result<Option<(Document, u64)>, StoreError> {
     let snapshot = node
         .store()
-        .range(DOCUMENT_KEY, Freshness::Latest, READ_LIMIT)
+        .range(DOCUMENT_KEY, Freshness::Latest, DOCUMENT_READ_TIMEOUT)
         .await?;
     let item = snapshot.items.into_iter().find(|item| item.key == DOCUMENT_KEY);
     item.map(|item: Item| {
@@ -180,11 +182,11 @@
     .transpose()
 }
 
-async fn document(node: &OwnNode) -> Answer {
-    match present(node).await {
+async fn get_document(node: &OwnNode) -> Answer {
+    match stored_document(node).await {
         Ok(Some((document, _))) => json(StatusCode::OK, &document),
-        Ok(None) => failure(StatusCode::NOT_FOUND, "no document yet", Vec::new(), None),
-        Err(error) => store_failure(&error),
+        Ok(None) => error_response(StatusCode::NOT_FOUND, "no document yet", Vec::new(), None),
+        Err(error) => store_error_response(&error),
     }
 }
 
@@ -193,7 +195,7 @@
         Ok(desired) => desired,
         Err(error) => {
             let findings = vec![error.to_string()];
-            return failure(
+            return error_response(
                 StatusCode::BAD_REQUEST,
                 "the document cannot be read",
                 findings,
@@ -203,7 +205,7 @@
     };
     let findings = desired.findings();
     if !findings.is_empty() {
-        return failure(
+        return error_response(
             StatusCode::BAD_REQUEST,
             "the document has findings",
             findings,
@@ -212,12 +214,12 @@
     }
     match plan_for(node, desired).await {
         Ok(plan) => json(StatusCode::OK, &plan),
-        Err(error) => store_failure(&error),
+        Err(error) => store_error_response(&error),
     }
 }
 
 async fn plan_for(node: &OwnNode, desired: Document) -> Result<PlanDocument, StoreError> {
-    let (present, base_revision) = match present(node).await? {
+    let (present, base_revision) = match stored_document(node).await? {
         Some((document, revision)) => (document.configuration(), revision),
         None => (Default::default(), 0),
     };
@@ -225,7 +227,7 @@
     Ok(PlanDocument {
         base_revision,
         document: desired,
-        steps: steps.iter().map(in_words).collect(),
+        steps: steps.iter().map(step_text).collect(),
     })
 }
 
@@ -234,7 +236,7 @@
         Ok(plan) => plan,
         Err(error) => {
             let findings = vec![error.to_string()];
-            return failure(StatusCode::BAD_REQUEST, "the plan cannot be read", findings, None);
+            return error_response(StatusCode::BAD_REQUEST, "the plan cannot be read", findings, None);
         }
     };
     match try_confirm(node, &plan).await {
@@ -242,18 +244,21 @@
         Ok(None) => match plan_for(node, plan.document).await {
             Ok(new_plan) => {
                 let reason = "another change came first; here is a plan for the present state";
-                failure(StatusCode::CONFLICT, reason, Vec::new(), Some(new_plan))
+                error_response(StatusCode::CONFLICT, reason, Vec::new(), Some(new_plan))
             }
-            Err(error) => store_failure(&error),
+            Err(error) => store_error_response(&error),
         },
-        Err(error) => store_failure(&error),
+        Err(error) => store_error_response(&error),
     }
 }
 
 /// Writes the plan's document if the stored one is still at the plan's base revision; returns
 /// `None` if it is not.
 async fn try_confirm(node: &OwnNode, plan: &PlanDocument) -> Result<Option<Confirmed>, StoreError> {
-    let version = present(node).await?.map_or(0, |(document, _)| document.version) + 1;
+    let version = stored_document(node)
+        .await?
+        .map_or(0, |(document, _)| document.version)
+        + 1;
     let document = Document {
         version,
         ..plan.document.clone()
@@ -276,7 +281,7 @@
             Ok(Some(Confirmed { revision, version }))
         }
         Ok(PutOutcome::Rejected) => Ok(None),
-        Err(StoreError::NoAnswer) => confirmed_after_all(node, &document).await,
+        Err(StoreError::NoAnswer) => verify_unanswered_write(node, &document).await,
         Err(error) => Err(error),
     }
 }
@@ -284,8 +289,11 @@
 /// Reads the document back after a write without an answer, to find out whether it was stored.
 ///
 /// Returns [`StoreError::NoAnswer`] if it was not found, as the outcome is then unknown.
-async fn confirmed_after_all(node: &OwnNode, written: &Document) -> Result<Option<Confirmed>, StoreError> {
-    match present(node).await? {
+async fn verify_unanswered_write(
+    node: &OwnNode,
+    written: &Document,
+) -> Result<Option<Confirmed>, StoreError> {
+    match stored_document(node).await? {
         Some((document, revision)) if document == *written => Ok(Some(Confirmed {
             revision,
             version: document.version,
@@ -294,7 +302,7 @@
     }
 }
 
-fn in_words(step: &PlannedStep) -> String {
+fn step_text(step: &PlannedStep) -> String {
     match step {
         PlannedStep::AddModel { model, .. } => {
             format!("add model {model}; it is loaded when first asked for")
@@ -317,7 +325,12 @@
     answer
 }
 
-fn failure(status: StatusCode, error: &str, findings: Vec<String>, new_plan: Option<PlanDocument>) -> Answer {
+fn error_response(
+    status: StatusCode,
+    error: &str,
+    findings: Vec<String>,
+    new_plan: Option<PlanDocument>,
+) -> Answer {
     json(
         status,
         &Failure {
@@ -328,8 +341,8 @@
     )
 }
 
-fn store_failure(error: &StoreError) -> Answer {
-    failure(
+fn store_error_response(error: &StoreError) -> Answer {
+    error_response(
         StatusCode::SERVICE_UNAVAILABLE,
         &format!("nothing is known to have changed: {error}"),
         Vec::new(),
