--- a/crates/croftrill-daemon/src/settings.rs
+++ b/crates/croftrill-daemon/src/settings.rs
@@ -27,10 +27,10 @@
     /// Address of the store.
     pub store: SocketAddr,
     /// Maximum time to finish requests in flight after a stop signal, in seconds.
-    #[serde(default = "usual_stop_grace")]
+    #[serde(default = "default_stop_grace_seconds")]
     pub stop_grace_seconds: f64,
     /// Minimum time between orders from two different machines, in milliseconds.
-    #[serde(default = "usual_order_gap")]
+    #[serde(default = "default_order_gap_ms")]
     pub order_gap_ms: u64,
     /// Maximum number of requests in service at the same time; 0 for no limit.
     #[serde(default)]
@@ -90,11 +90,11 @@
     }
 }
 
-fn usual_stop_grace() -> f64 {
+fn default_stop_grace_seconds() -> f64 {
     8.0
 }
 
-fn usual_order_gap() -> u64 {
+fn default_order_gap_ms() -> u64 {
     3000
 }
 
@@ -102,7 +102,7 @@
 /// deployments require.
 const CONFIGURATION_DEADLINE: Duration = Duration::from_secs(2);
 /// Minimum time to live of a lease.
-const LEAST_LEASE: Duration = Duration::from_secs(1);
+const MIN_LEASE: Duration = Duration::from_secs(1);
 /// Sliding window in which loads from the weight store are limited.
 const CEILING_WINDOW: Duration = Duration::from_secs(5);
 
@@ -129,19 +129,19 @@
             ("retry.window_seconds", self.retry.window_seconds),
             ("quota.window_seconds", self.quota.window_seconds),
         ];
-        for (place, value) in positive {
+        for (key, value) in positive {
             if value.is_nan() || value <= 0.0 {
-                findings.push(format!("{place}: must be above zero"));
+                findings.push(format!("{key}: must be above zero"));
             }
         }
-        for (place, value) in [
+        for (key, value) in [
             ("retry.ratio", self.retry.ratio),
             ("retry.slack", self.retry.slack),
             ("quota.slack", self.quota.slack),
             ("quota.overage", self.quota.overage),
         ] {
             if value.is_nan() || value < 0.0 {
-                findings.push(format!("{place}: must not be below zero"));
+                findings.push(format!("{key}: must not be below zero"));
             }
         }
         let addresses = [
@@ -149,12 +149,12 @@
             ("peer", self.peer),
             ("operator", self.operator),
         ];
-        for (index, (place, address)) in addresses.iter().enumerate() {
+        for (index, (key, address)) in addresses.iter().enumerate() {
             let taken = addresses[..index]
                 .iter()
                 .find(|(_, other)| other == address && address.port() != 0);
             if let Some((other, _)) = taken {
-                findings.push(format!("{place}: the same address as {other}"));
+                findings.push(format!("{key}: the same address as {other}"));
             }
         }
         findings
@@ -182,7 +182,7 @@
                 quota_slack: self.quota.slack,
                 stop_grace: Duration::from_secs_f64(self.stop_grace_seconds),
                 configuration_deadline: CONFIGURATION_DEADLINE,
-                min_lease: LEAST_LEASE,
+                min_lease: MIN_LEASE,
             },
             pace: Pace {
                 watch_interval: Duration::from_millis(100),
