--- a/crates/croftrill-daemon/src/main.rs
+++ b/crates/croftrill-daemon/src/main.rs
@@ -24,7 +24,7 @@
     check: bool,
 }
 
-fn arguments() -> anyhow::Result<Option<Arguments>> {
+fn parse_arguments() -> anyhow::Result<Option<Arguments>> {
     let (mut config, mut check) = (None, false);
     let mut parser = lexopt::Parser::from_env();
     while let Some(argument) = parser.next()? {
@@ -47,7 +47,7 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    let Some(arguments) = arguments()? else {
+    let Some(arguments) = parse_arguments()? else {
         return Ok(());
     };
     let settings = read_settings(&arguments.config)?;
--- a/crates/croftrill-daemon/src/program.rs
+++ b/crates/croftrill-daemon/src/program.rs
@@ -26,7 +26,7 @@
 pub async fn run(path: PathBuf, settings: Settings, clock: Clock, log: logging::Log) -> anyhow::Result<()> {
     let daemon = Daemon::start_with_clock(settings, clock).await?;
     spawn_local(log.report_dropped_lines(daemon.node.clone()));
-    spawn_local(check_on_hangup(path));
+    spawn_local(validate_on_hangup(path));
     let mut stop = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -38,7 +38,7 @@
 }
 
 /// Validates the settings file on SIGHUP. Changed settings take effect only after a restart.
-async fn check_on_hangup(path: PathBuf) {
+async fn validate_on_hangup(path: PathBuf) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
     };
--- a/crates/croftrill-daemon/src/status.rs
+++ b/crates/croftrill-daemon/src/status.rs
@@ -51,16 +51,16 @@
 
 impl LoadStatus {
     fn of(entry: &ReplicaEntry, now: Moment) -> Option<Self> {
-        let judged = ObservedLoad::of(entry, now)?;
+        let observed = ObservedLoad::of(entry, now)?;
         Some(LoadStatus {
-            running: judged.load.running,
-            waiting: judged.load.waiting,
-            slots: judged.slots,
-            speed: judged.speed,
-            speed_now: judged.speed_now,
-            told_ms_ago: now.since(judged.at).as_millis() as u64,
-            full: judged.is_full(),
-            slow: judged.is_slow(),
+            running: observed.load.running,
+            waiting: observed.load.waiting,
+            slots: observed.slots,
+            speed: observed.speed,
+            speed_now: observed.speed_now,
+            told_ms_ago: now.since(observed.at).as_millis() as u64,
+            full: observed.is_full(),
+            slow: observed.is_slow(),
         })
     }
 }
@@ -150,8 +150,8 @@
     let now = node.clock.now();
     let state = node.state.borrow();
     let replicas = state.replicas.iter().map(|entry| {
-        let held = entry.listing.holdings.models.iter();
-        let models = held.flat_map(|held| {
+        let held_models = entry.listing.holdings.models.iter();
+        let models = held_models.flat_map(|held| {
             let adapters = held
                 .adapters
                 .iter()
--- a/crates/croftrill-standin/src/main.rs
+++ b/crates/croftrill-standin/src/main.rs
@@ -39,7 +39,7 @@
         .collect()
 }
 
-fn arguments() -> anyhow::Result<Option<Arguments>> {
+fn parse_arguments() -> anyhow::Result<Option<Arguments>> {
     let mut parsed = Arguments::default();
     let mut parser = lexopt::Parser::from_env();
     while let Some(argument) = parser.next()? {
@@ -63,7 +63,7 @@
 }
 
 fn main() -> anyhow::Result<()> {
-    let Some(arguments) = arguments()? else {
+    let Some(arguments) = parse_arguments()? else {
         return Ok(());
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
