--- a/crates/croftrill-cli/src/main.rs
+++ b/crates/croftrill-cli/src/main.rs
@@ -33,7 +33,7 @@
 #[derive(Default)]
 struct Arguments {
     node: Option<SocketAddr>,
-    words: Vec<String>,
+    operands: Vec<String>,
     json: bool,
     out: Option<PathBuf>,
 }
@@ -54,7 +54,7 @@
                 println!("croftrill {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            lexopt::Arg::Value(word) => parsed.words.push(word.string()?),
+            lexopt::Arg::Value(operand) => parsed.operands.push(operand.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
@@ -83,14 +83,14 @@
 }
 
 async fn run(arguments: Arguments) -> anyhow::Result<()> {
-    if arguments.words == ["digest"] {
+    if arguments.operands == ["digest"] {
         return print_digest();
     }
     let node = arguments.node.context("--node IP:PORT is missing; see --help")?;
-    let words: Vec<&str> = arguments.words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+    let operands: Vec<&str> = arguments.operands.iter().map(String::as_str).collect();
+    match operands.as_slice() {
         ["status"] => {
-            let status = ask(node, Method::GET, "/v1/status", Bytes::new()).await?;
+            let status = send_request(node, Method::GET, "/v1/status", Bytes::new()).await?;
             print!(
                 "{}",
                 if arguments.json {
@@ -102,17 +102,17 @@
         }
         ["lift", fingerprint] => {
             let body = serde_json::json!({ "fingerprint": fingerprint }).to_string();
-            ask(node, Method::POST, "/v1/lift", body.into()).await?;
+            send_request(node, Method::POST, "/v1/lift", body.into()).await?;
             println!("lifted: {fingerprint}");
         }
         ["document"] => {
-            let document = ask(node, Method::GET, "/v1/document", Bytes::new()).await?;
+            let document = send_request(node, Method::GET, "/v1/document", Bytes::new()).await?;
             println!("{}", serde_json::to_string_pretty(&document)?);
         }
         ["plan", file] => {
             let text = std::fs::read_to_string(file).with_context(|| format!("cannot read {file}"))?;
             let desired: Value = toml_edit::de::from_str(&text).with_context(|| file.to_string())?;
-            let plan = ask(
+            let plan = send_request(
                 node,
                 Method::POST,
                 "/v1/plan",
@@ -129,7 +129,7 @@
         }
         ["confirm", file] => {
             let plan = std::fs::read(file).with_context(|| format!("cannot read {file}"))?;
-            let confirmed = ask(node, Method::POST, "/v1/confirm", plan.into()).await?;
+            let confirmed = send_request(node, Method::POST, "/v1/confirm", plan.into()).await?;
             println!(
                 "in force: version {} at revision {}",
                 confirmed["version"], confirmed["revision"]
@@ -140,7 +140,7 @@
     Ok(())
 }
 
-async fn ask(node: SocketAddr, method: Method, path: &str, body: Bytes) -> anyhow::Result<Value> {
+async fn send_request(node: SocketAddr, method: Method, path: &str, body: Bytes) -> anyhow::Result<Value> {
     let answer = client::call(node, method, path, body).await?;
     let value: Value = serde_json::from_slice(answer.body()).unwrap_or_default();
     if answer.status().is_success() {
--- a/crates/croftrill-cli/src/render.rs
+++ b/crates/croftrill-cli/src/render.rs
@@ -71,12 +71,12 @@
     if load.is_null() {
         return String::new();
     }
-    let words = [("full", "full, "), ("slow", "slow, ")];
-    let words = words.iter().filter(|(name, _)| load[name] == true);
-    let words: String = words.map(|(_, word)| *word).collect();
+    let flags = [("full", "full, "), ("slow", "slow, ")];
+    let flags = flags.iter().filter(|(name, _)| load[name] == true);
+    let flags: String = flags.map(|(_, label)| *label).collect();
     let speed = |name: &str| load[name].as_f64().unwrap_or(1.0);
     format!(
-        "  ({words}{}+{} of {}, speed {:.2}, now {:.2}, told {} ms ago)",
+        "  ({flags}{}+{} of {}, speed {:.2}, now {:.2}, told {} ms ago)",
         load["running"],
         load["waiting"],
         load["slots"],
