--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use croftrill_demo::caller::{call, call_over, kept_connections, Call, CallEnd};
-use croftrill_standin::engine::{Ledger, CRASHING_PROMPT};
+use croftrill_standin::engine::{Ledger, CRASH_PROMPT_PREFIX};
 use futures::future::join_all;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -45,7 +45,7 @@
         let drawn = Call {
             attempt: crash.attempt(seed, number),
             model: MODELS[crash.number % MODELS.len()].to_string(),
-            prompt: format!("{CRASHING_PROMPT}{}", crash.number),
+            prompt: format!("{CRASH_PROMPT_PREFIX}{}", crash.number),
             events: 8,
             deadline: DEADLINE,
             group: None,
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -13,7 +13,7 @@
 use croftrill_http::records::DOCUMENT_KEY;
 use croftrill_http::store_wire::{WireTransaction, WireWrite};
 use croftrill_node::connection::{ConnectionConfig, ConnectionPool};
-use croftrill_standin::engine::{stored_value, EngineIdentity, EngineStandin, Ledger};
+use croftrill_standin::engine::{encode_value, EngineIdentity, EngineStandin, Ledger};
 use croftrill_standin::engine_state::EngineConfig;
 use croftrill_standin::http_server::listen;
 use croftrill_standin::proxy::{Fault, Proxy};
@@ -306,7 +306,7 @@
         let value = serde_json::to_vec(&*self.document.borrow()).expect("a document");
         let write = WireWrite {
             key: DOCUMENT_KEY.to_string(),
-            value: stored_value(&value),
+            value: encode_value(&value),
             lease: 0,
         };
         let transaction = WireTransaction {
--- a/crates/croftrill-demo/src/system.rs
+++ b/crates/croftrill-demo/src/system.rs
@@ -11,7 +11,7 @@
 use croftrill_http::store_wire::{WireTransaction, WireWrite};
 use croftrill_node::node::Lifecycle;
 use croftrill_scheduler::shard::Shard;
-use croftrill_standin::engine::{stored_value, EngineIdentity, EngineStandin};
+use croftrill_standin::engine::{encode_value, EngineIdentity, EngineStandin};
 use croftrill_standin::engine_state::EngineConfig;
 use croftrill_standin::http_server::listen;
 use croftrill_standin::store::StoreStandin;
@@ -155,7 +155,7 @@
     let value = serde_json::to_vec(document).unwrap_or_default();
     let write = WireWrite {
         key: DOCUMENT_KEY.to_string(),
-        value: stored_value(&value),
+        value: encode_value(&value),
         lease: 0,
     };
     store.with_state(|state| {
--- a/crates/croftrill-standin/src/engine.rs
+++ b/crates/croftrill-standin/src/engine.rs
@@ -32,13 +32,13 @@
 /// Path that returns the replica's [`Ledger`].
 pub const LEDGER_PATH: &str = "/standin/ledger";
 /// Interval between renewals of the lease on the replica's entry.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 /// Time to live of the replica's entry.
 const ENTRY_TIME_TO_LIVE: Duration = Duration::from_millis(1500);
 /// Reference point of all timestamps, common to the replicas of one process.
 static PROCESS_START: LazyLock<Instant> = LazyLock::new(Instant::now);
 /// Number of events in an answer to a request without `max_tokens`.
-const USUAL_EVENTS: u64 = 8;
+const DEFAULT_EVENTS: u64 = 8;
 
 /// Requests that a replica ran, and violations that it observed.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -106,7 +106,7 @@
     slots: u32,
     tasks: RefCell<Vec<JoinHandle<()>>>,
     group_runs: RefCell<Vec<GroupRun>>,
-    leaks: RefCell<Vec<String>>,
+    key_leaks: RefCell<Vec<String>>,
     arrivals: RefCell<Vec<Arrival>>,
     /// Whether answers announce that the replica is leaving. The entry does not.
     is_leaving: Cell<bool>,
@@ -130,9 +130,9 @@
 }
 
 /// Prefix of prompts that crash any replica that starts to run them.
-pub const CRASHING_PROMPT: &str = "crash ";
+pub const CRASH_PROMPT_PREFIX: &str = "crash ";
 /// Time from the start of such a request to the crash.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
 impl EngineStandin {
     /// Starts a replica on a listener; must run within a `LocalSet`.
@@ -151,7 +151,7 @@
             slots,
             tasks: RefCell::default(),
             group_runs: RefCell::default(),
-            leaks: RefCell::default(),
+            key_leaks: RefCell::default(),
             arrivals: RefCell::default(),
             is_leaving: Cell::new(false),
             rest: Cell::new(None),
@@ -164,7 +164,7 @@
             let engine = served.clone();
             async move { engine.answer(&request) }
         }));
-        let listed = spawn_local(engine.clone().keep_entry());
+        let listed = spawn_local(engine.clone().maintain_entry());
         engine.tasks.borrow_mut().extend([serving, listed]);
         engine
     }
@@ -215,7 +215,7 @@
         let state = self.state.borrow();
         Ledger {
             runs: state.runs().clone(),
-            violations: [state.violations(), &self.leaks.borrow()].concat(),
+            violations: [state.violations(), &self.key_leaks.borrow()].concat(),
             group_runs: self.group_runs.borrow().clone(),
             arrivals: self.arrivals.borrow().clone(),
             turned_away: state.turned_away(),
@@ -223,7 +223,7 @@
     }
 
     fn answer(self: &Rc<Self>, request: &Request<Bytes>) -> Answer {
-        let mut answer = self.answer_without_word(request);
+        let mut answer = self.answer_without_signals(request);
         if self.is_leaving.get() {
             let value = HeaderValue::from_static(LEAVING_VALUE);
             answer.headers_mut().insert(LEAVING_HEADER, value);
@@ -235,7 +235,7 @@
         answer
     }
 
-    fn note_arrival(&self, attempt: &str) {
+    fn record_arrival(&self, attempt: &str) {
         self.arrivals.borrow_mut().push(Arrival {
             attempt: attempt.to_string(),
             at_ms: PROCESS_START.elapsed().as_millis() as u64,
@@ -245,7 +245,7 @@
         });
     }
 
-    fn answer_without_word(self: &Rc<Self>, request: &Request<Bytes>) -> Answer {
+    fn answer_without_signals(self: &Rc<Self>, request: &Request<Bytes>) -> Answer {
         let path = request.uri().path();
         if path == LEDGER_PATH {
             return json(&self.ledger());
@@ -255,15 +255,15 @@
             .get(INCARNATION_HEADER)
             .and_then(|value| value.to_str().ok());
         if expected.is_some_and(|expected| expected != self.identity.id) {
-            return self.stamped(status(StatusCode::MISDIRECTED_REQUEST), request);
+            return self.with_attempt_and_load(status(StatusCode::MISDIRECTED_REQUEST), request);
         }
         match path {
             REPORT_PATH => {
-                self.note_arrival("");
+                self.record_arrival("");
                 json(&self.state.borrow_mut().report(Instant::now()))
             }
             ORDER_PATH => {
-                self.note_arrival("");
+                self.record_arrival("");
                 self.order(request)
             }
             path if COMPLETION_PATHS.contains(&path) => self.complete(request),
@@ -293,10 +293,10 @@
         let (Some(attempt), Ok(completion)) = (attempt, completion) else {
             return not_executed(status(StatusCode::BAD_REQUEST));
         };
-        self.note_arrival(attempt);
+        self.record_arrival(attempt);
         if let Some(rest) = self.rest.get() {
             let refusal = not_executed(status(StatusCode::SERVICE_UNAVAILABLE));
-            return self.stamped(asking_for_rest(refusal, rest), request);
+            return self.with_attempt_and_load(with_retry_after(refusal, rest), request);
         }
         let (model, adapter) = match completion.model.split_once('/') {
             Some((model, adapter)) => (model, Some(adapter)),
@@ -307,27 +307,29 @@
             .borrow_mut()
             .begin(attempt, model, adapter, Instant::now());
         match begun {
-            BeginOutcome::Absent => self.stamped(status(StatusCode::MISDIRECTED_REQUEST), request),
+            BeginOutcome::Absent => {
+                self.with_attempt_and_load(status(StatusCode::MISDIRECTED_REQUEST), request)
+            }
             BeginOutcome::Full => {
-                self.stamped(not_executed(status(StatusCode::SERVICE_UNAVAILABLE)), request)
+                self.with_attempt_and_load(not_executed(status(StatusCode::SERVICE_UNAVAILABLE)), request)
             }
             BeginOutcome::Running => {
-                self.note_group(request, attempt, &completion);
-                if completion.prompt.starts_with(CRASHING_PROMPT) {
-                    self.clone().crash_soon();
+                self.record_group_run(request, attempt, &completion);
+                if completion.prompt.starts_with(CRASH_PROMPT_PREFIX) {
+                    self.clone().schedule_crash();
                 }
-                let events = completion.max_tokens.unwrap_or(USUAL_EVENTS);
-                self.stamped(self.stream(attempt.to_string(), events), request)
+                let events = completion.max_tokens.unwrap_or(DEFAULT_EVENTS);
+                self.with_attempt_and_load(self.stream(attempt.to_string(), events), request)
             }
         }
     }
 
     /// Records the group of a request. A caller's key must not reach a replica.
-    fn note_group(&self, request: &Request<Bytes>, attempt: &str, completion: &Completion) {
+    fn record_group_run(&self, request: &Request<Bytes>, attempt: &str, completion: &Completion) {
         let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok());
         if request.headers().contains_key(http::header::AUTHORIZATION) {
             let leak = format!("the key of {attempt} reached a replica");
-            self.leaks.borrow_mut().push(leak);
+            self.key_leaks.borrow_mut().push(leak);
         }
         self.group_runs.borrow_mut().push(GroupRun {
             attempt: attempt.to_string(),
@@ -337,9 +339,9 @@
         });
     }
 
-    fn crash_soon(self: Rc<Self>) {
+    fn schedule_crash(self: Rc<Self>) {
         spawn_local(async move {
-            sleep(CRASH_AFTER).await;
+            sleep(CRASH_DELAY).await;
             self.crashed.notify_one();
         });
     }
@@ -372,7 +374,7 @@
     }
 
     /// Adds headers with the request's attempt id and the current load.
-    fn stamped(&self, mut answer: Answer, request: &Request<Bytes>) -> Answer {
+    fn with_attempt_and_load(&self, mut answer: Answer, request: &Request<Bytes>) -> Answer {
         if let Some(attempt) = request.headers().get(ATTEMPT_HEADER) {
             answer.headers_mut().insert(ATTEMPT_HEADER, attempt.clone());
         }
@@ -384,7 +386,7 @@
 
     /// Maintains the replica's entry in the store: writes each change of it under a lease and
     /// renews the lease.
-    async fn keep_entry(self: Rc<Self>) {
+    async fn maintain_entry(self: Rc<Self>) {
         let store = StoreClient::new(self.identity.store);
         let mut lease = None;
         let mut written = None;
@@ -412,7 +414,7 @@
                 }
             }
             lease = known;
-            sleep(HEARTBEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -436,7 +438,7 @@
     answer
 }
 
-fn asking_for_rest(mut answer: Answer, rest: Duration) -> Answer {
+fn with_retry_after(mut answer: Answer, rest: Duration) -> Answer {
     if let Ok(value) = HeaderValue::from_str(&rest.as_secs_f64().to_string()) {
         answer.headers_mut().insert(http::header::RETRY_AFTER, value);
     }
@@ -444,6 +446,6 @@
 }
 
 /// Encodes a value as the store holds it, for tools that write to the store directly.
-pub fn stored_value(value: &[u8]) -> String {
+pub fn encode_value(value: &[u8]) -> String {
     BASE64_STANDARD.encode(value)
 }
