--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -332,7 +332,7 @@
         let each = (0..self.engine_proxies.len()).map(|index| async move {
             loop {
                 let engine = self.engines.borrow()[index].clone();
-                engine.crashed().await;
+                engine.wait_for_end().await;
                 engine.end();
                 let proxy = &self.engine_proxies[index];
                 proxy.end();
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -429,10 +429,10 @@
         }
         Injection::Restore(age, away) => restore(cluster, *age, *away).await,
         Injection::Replace(nodes, program, gap) => replace(cluster, *nodes, *program, *gap).await,
-        Injection::Slowed(engine) => cluster.engine(*engine).slow_down(true),
-        Injection::Limit(engine, per_s) => cluster.engine(*engine).limit(Some(*per_s)),
-        Injection::Leaving(engine) => cluster.engine(*engine).begin_to_leave(),
-        Injection::Rest(engine, rest) => cluster.engine(*engine).turn_away(Some(*rest)),
+        Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(true),
+        Injection::Limit(engine, per_s) => cluster.engine(*engine).set_limit(Some(*per_s)),
+        Injection::Leaving(engine) => cluster.engine(*engine).announce_leaving(),
+        Injection::Rest(engine, rest) => cluster.engine(*engine).set_cooldown(Some(*rest)),
         Injection::Changes(count, gap) => {
             for _ in 0..*count {
                 change(cluster);
@@ -473,7 +473,7 @@
         .engines
         .borrow()
         .iter()
-        .for_each(|engine| engine.write_again());
+        .for_each(|engine| engine.rewrite_entry());
 }
 
 /// Has nodes run another program, one after the other.
@@ -498,11 +498,11 @@
         Injection::Pause(node) => cluster.nodes[*node].signal("CONT"),
         Injection::Limit(engine, _) => {
             sleep(NEED).await;
-            cluster.engine(*engine).limit(None);
+            cluster.engine(*engine).set_limit(None);
         }
-        Injection::Slowed(engine) => cluster.engine(*engine).slow_down(false),
-        Injection::Leaving(engine) => cluster.engine(*engine).leave(),
-        Injection::Rest(engine, _) => cluster.engine(*engine).turn_away(None),
+        Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(false),
+        Injection::Leaving(engine) => cluster.engine(*engine).finish_leaving(),
+        Injection::Rest(engine, _) => cluster.engine(*engine).set_cooldown(None),
         _ => {}
     }
 }
--- a/crates/croftrill-standin/src/engine.rs
+++ b/crates/croftrill-standin/src/engine.rs
@@ -111,13 +111,13 @@
     /// Whether answers announce that the replica is leaving. The entry does not.
     is_leaving: Cell<bool>,
     /// Cooldown to request while the replica rejects all requests.
-    rest: Cell<Option<Duration>>,
+    cooldown: Cell<Option<Duration>>,
     /// Limit to send in answers while the replica is overloaded.
     limit_per_s: Cell<Option<f64>>,
     /// Whether the entry must be written again because the store may have lost it.
-    must_write: Cell<bool>,
+    must_rewrite_entry: Cell<bool>,
     /// Notified when the replica is to end: a crashing request ran, or it has left.
-    crashed: Notify,
+    end_requested: Notify,
 }
 
 #[derive(Debug, Deserialize)]
@@ -154,10 +154,10 @@
             key_leaks: RefCell::default(),
             arrivals: RefCell::default(),
             is_leaving: Cell::new(false),
-            rest: Cell::new(None),
+            cooldown: Cell::new(None),
             limit_per_s: Cell::new(None),
-            must_write: Cell::new(false),
-            crashed: Notify::new(),
+            must_rewrite_entry: Cell::new(false),
+            end_requested: Notify::new(),
         });
         let served = engine.clone();
         let serving = spawn_local(serve(listener, move |request| {
@@ -170,38 +170,38 @@
     }
 
     /// Waits until the replica crashes or leaves.
-    pub async fn crashed(&self) {
-        self.crashed.notified().await;
+    pub async fn wait_for_end(&self) {
+        self.end_requested.notified().await;
     }
 
     /// Causes the entry to be written again, as the store may have lost it.
-    pub fn write_again(&self) {
-        self.must_write.set(true);
+    pub fn rewrite_entry(&self) {
+        self.must_rewrite_entry.set(true);
     }
 
     /// Announces in all following answers that the replica is leaving.
-    pub fn begin_to_leave(&self) {
+    pub fn announce_leaving(&self) {
         self.is_leaving.set(true);
     }
 
-    /// Reports that the replica has left, so that the caller of [`Self::crashed`] restarts it.
-    pub fn leave(&self) {
-        self.crashed.notify_one();
+    /// Reports that the replica has left, so that the caller of [`Self::wait_for_end`] restarts it.
+    pub fn finish_leaving(&self) {
+        self.end_requested.notify_one();
     }
 
     /// Rejects all following requests with a cooldown; `None` accepts them again.
-    pub fn turn_away(&self, rest: Option<Duration>) {
-        self.rest.set(rest);
+    pub fn set_cooldown(&self, cooldown: Option<Duration>) {
+        self.cooldown.set(cooldown);
     }
 
     /// Sends a limit on calls in all following answers; `None` sends none.
-    pub fn limit(&self, per_s: Option<f64>) {
+    pub fn set_limit(&self, per_s: Option<f64>) {
         self.limit_per_s.set(per_s);
     }
 
     /// Sets whether work takes longer than usual from now on.
-    pub fn slow_down(&self, is_slowed: bool) {
-        self.state.borrow_mut().slow_down(is_slowed);
+    pub fn set_slowed(&self, is_slowed: bool) {
+        self.state.borrow_mut().set_slowed(is_slowed);
     }
 
     /// Stops accepting connections and renewing the entry. Open connections stay up; the proxy in
@@ -240,7 +240,7 @@
             attempt: attempt.to_string(),
             at_ms: PROCESS_START.elapsed().as_millis() as u64,
             says_leaving: self.is_leaving.get(),
-            rest_ms: self.rest.get().map(|rest| rest.as_millis() as u64),
+            rest_ms: self.cooldown.get().map(|cooldown| cooldown.as_millis() as u64),
             limit_per_s: self.limit_per_s.get(),
         });
     }
@@ -294,9 +294,9 @@
             return not_executed(status(StatusCode::BAD_REQUEST));
         };
         self.record_arrival(attempt);
-        if let Some(rest) = self.rest.get() {
+        if let Some(cooldown) = self.cooldown.get() {
             let refusal = not_executed(status(StatusCode::SERVICE_UNAVAILABLE));
-            return self.with_attempt_and_load(with_retry_after(refusal, rest), request);
+            return self.with_attempt_and_load(with_retry_after(refusal, cooldown), request);
         }
         let (model, adapter) = match completion.model.split_once('/') {
             Some((model, adapter)) => (model, Some(adapter)),
@@ -342,7 +342,7 @@
     fn schedule_crash(self: Rc<Self>) {
         spawn_local(async move {
             sleep(CRASH_DELAY).await;
-            self.crashed.notify_one();
+            self.end_requested.notify_one();
         });
     }
 
@@ -392,7 +392,7 @@
         let mut written = None;
         loop {
             let entry = self.entry();
-            if self.must_write.take() {
+            if self.must_rewrite_entry.take() {
                 written = None;
             }
             let known = match lease {
@@ -438,8 +438,8 @@
     answer
 }
 
-fn with_retry_after(mut answer: Answer, rest: Duration) -> Answer {
-    if let Ok(value) = HeaderValue::from_str(&rest.as_secs_f64().to_string()) {
+fn with_retry_after(mut answer: Answer, cooldown: Duration) -> Answer {
+    if let Ok(value) = HeaderValue::from_str(&cooldown.as_secs_f64().to_string()) {
         answer.headers_mut().insert(http::header::RETRY_AFTER, value);
     }
     answer
--- a/crates/croftrill-standin/src/engine_state.rs
+++ b/crates/croftrill-standin/src/engine_state.rs
@@ -201,7 +201,7 @@
     }
 
     /// Sets whether work takes longer than usual from now on.
-    pub fn slow_down(&mut self, is_slowed: bool) {
+    pub fn set_slowed(&mut self, is_slowed: bool) {
         self.is_slowed = is_slowed;
     }
 
