--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -32,7 +32,7 @@
     Conditions {
         engine: |index| EngineConfig {
             slots: SLOTS,
-            event_time: EVENT_TIME,
+            event_interval: EVENT_TIME,
             work_time_pct: Some(WORK_TIMES_PCT[index % WORK_TIMES_PCT.len()]),
             ..EngineConfig::default()
         },
--- a/crates/croftrill-standin/src/engine.rs
+++ b/crates/croftrill-standin/src/engine.rs
@@ -26,7 +26,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-use crate::engine_state::{BeginOutcome, EngineConfig, EngineState, OrderAnswer};
+use crate::engine_state::{EngineConfig, EngineState, OrderAnswer, StartOutcome};
 use crate::http_server::{json, serve, status, Answer};
 
 /// Path that returns the replica's [`Ledger`].
@@ -218,7 +218,7 @@
             violations: [state.violations(), &self.key_leaks.borrow()].concat(),
             group_runs: self.group_runs.borrow().clone(),
             arrivals: self.arrivals.borrow().clone(),
-            turned_away: state.turned_away(),
+            turned_away: state.rejected_requests(),
         }
     }
 
@@ -302,18 +302,18 @@
             Some((model, adapter)) => (model, Some(adapter)),
             None => (completion.model.as_str(), None),
         };
-        let begun = self
+        let outcome = self
             .state
             .borrow_mut()
-            .begin(attempt, model, adapter, Instant::now());
-        match begun {
-            BeginOutcome::Absent => {
+            .start_run(attempt, model, adapter, Instant::now());
+        match outcome {
+            StartOutcome::Absent => {
                 self.with_attempt_and_load(status(StatusCode::MISDIRECTED_REQUEST), request)
             }
-            BeginOutcome::Full => {
+            StartOutcome::Full => {
                 self.with_attempt_and_load(not_executed(status(StatusCode::SERVICE_UNAVAILABLE)), request)
             }
-            BeginOutcome::Running => {
+            StartOutcome::Running => {
                 self.record_group_run(request, attempt, &completion);
                 if completion.prompt.starts_with(CRASH_PROMPT_PREFIX) {
                     self.clone().schedule_crash();
@@ -350,7 +350,7 @@
     fn stream(self: &Rc<Self>, attempt: String, events: u64) -> Answer {
         let (sender, body) = AnswerBody::stream();
         let engine = self.clone();
-        let pause = self.state.borrow().event_time();
+        let pause = self.state.borrow().event_interval();
         spawn_local(async move {
             for index in 0..events {
                 sleep(pause).await;
@@ -365,7 +365,7 @@
                 // The receiver may be closed already; the run ends in any case.
                 let _ = sender.send(Ok(part)).await;
             }
-            engine.state.borrow_mut().end();
+            engine.state.borrow_mut().end_run();
         });
         let mut answer = Response::new(body);
         let kind = HeaderValue::from_static("text/event-stream");
--- a/crates/croftrill-standin/src/engine_state.rs
+++ b/crates/croftrill-standin/src/engine_state.rs
@@ -11,9 +11,9 @@
     /// Number of requests that can run at the same time.
     pub slots: usize,
     /// Number of models that fit in memory.
-    pub model_places: usize,
+    pub model_capacity: usize,
     /// Number of adapters that fit in memory.
-    pub adapter_places: usize,
+    pub adapter_capacity: usize,
     /// Time to load a model from the weight store.
     pub store_load: Duration,
     /// Time to load a model from the replica's disk.
@@ -21,7 +21,7 @@
     /// Time to load an adapter.
     pub adapter_load: Duration,
     /// Time between two events of a stream.
-    pub event_time: Duration,
+    pub event_interval: Duration,
     /// Duration of work in percent of the usual time, sent in answers along with the slots.
     /// `None` stands for the usual time, and neither is sent.
     pub work_time_pct: Option<u32>,
@@ -31,12 +31,12 @@
     fn default() -> Self {
         EngineConfig {
             slots: 16,
-            model_places: 2,
-            adapter_places: 4,
+            model_capacity: 2,
+            adapter_capacity: 4,
             store_load: Duration::from_millis(600),
             disk_load: Duration::from_millis(200),
             adapter_load: Duration::from_millis(20),
-            event_time: Duration::from_millis(5),
+            event_interval: Duration::from_millis(5),
             work_time_pct: None,
         }
     }
@@ -80,7 +80,7 @@
     runs: BTreeMap<String, u32>,
     violations: Vec<Violation>,
     is_slowed: bool,
-    turned_away: u32,
+    rejected_requests: u32,
 }
 
 impl EngineState {
@@ -104,7 +104,7 @@
             runs: BTreeMap::new(),
             violations: Vec::new(),
             is_slowed: false,
-            turned_away: 0,
+            rejected_requests: 0,
         }
     }
 
@@ -135,32 +135,38 @@
             self.apply(&order);
             return OrderAnswer::AlreadyHolds;
         }
-        let done_at = now + self.time_of(&order);
+        let done_at = now + self.duration_of(&order);
         self.in_progress = Some(InProgress { order, done_at });
         OrderAnswer::Accepted
     }
 
     /// Starts to run a request if the model is present and a slot is free.
-    pub fn begin(&mut self, attempt: &str, model: &str, adapter: Option<&str>, now: Instant) -> BeginOutcome {
+    pub fn start_run(
+        &mut self,
+        attempt: &str,
+        model: &str,
+        adapter: Option<&str>,
+        now: Instant,
+    ) -> StartOutcome {
         self.advance(now);
         let held = self.holdings.models.iter().find(|held| held.model == model);
         let present = held.is_some_and(|held| {
             adapter.is_none_or(|adapter| held.adapters.iter().any(|present| present == adapter))
         });
         if !present {
-            return BeginOutcome::Absent;
+            return StartOutcome::Absent;
         }
-        if self.running >= self.config.slots || self.is_leaving(model) {
-            self.turned_away += 1;
-            return BeginOutcome::Full;
+        if self.running >= self.config.slots || self.is_unloading(model) {
+            self.rejected_requests += 1;
+            return StartOutcome::Full;
         }
         self.running += 1;
         *self.runs.entry(attempt.to_string()).or_default() += 1;
-        BeginOutcome::Running
+        StartOutcome::Running
     }
 
     /// Records the end of a run.
-    pub fn end(&mut self) {
+    pub fn end_run(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
@@ -196,8 +202,8 @@
 
     /// Returns the number of requests that were rejected for lack of a free slot or because the
     /// model was being unloaded.
-    pub fn turned_away(&self) -> u32 {
-        self.turned_away
+    pub fn rejected_requests(&self) -> u32 {
+        self.rejected_requests
     }
 
     /// Sets whether work takes longer than usual from now on.
@@ -206,8 +212,8 @@
     }
 
     /// Returns the time between two events of a stream at the current speed.
-    pub fn event_time(&self) -> Duration {
-        self.config.event_time * self.work_time_pct().unwrap_or(100) / 100
+    pub fn event_interval(&self) -> Duration {
+        self.config.event_interval * self.work_time_pct().unwrap_or(100) / 100
     }
 
     /// Returns the load in the format of the answers' load header.
@@ -233,7 +239,7 @@
         }
     }
 
-    fn is_leaving(&self, model: &str) -> bool {
+    fn is_unloading(&self, model: &str) -> bool {
         self.in_progress.as_ref().is_some_and(|progress| {
             progress.order.operation == Operation::Unload && progress.order.model == model
         })
@@ -253,12 +259,12 @@
         let adapters: usize = self.holdings.models.iter().map(|held| held.adapters.len()).sum();
         match (order.operation, &order.adapter) {
             (Operation::Unload, _) => true,
-            (Operation::Load, None) => self.holdings.models.len() < self.config.model_places,
-            (Operation::Load, Some(_)) => adapters < self.config.adapter_places,
+            (Operation::Load, None) => self.holdings.models.len() < self.config.model_capacity,
+            (Operation::Load, Some(_)) => adapters < self.config.adapter_capacity,
         }
     }
 
-    fn time_of(&self, order: &WireOrder) -> Duration {
+    fn duration_of(&self, order: &WireOrder) -> Duration {
         match (order.operation, &order.adapter) {
             (Operation::Unload, _) => Duration::from_millis(20),
             (Operation::Load, Some(_)) => self.config.adapter_load,
@@ -292,9 +298,9 @@
     }
 }
 
-/// Outcome of [`EngineState::begin`].
+/// Outcome of [`EngineState::start_run`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeginOutcome {
+pub enum StartOutcome {
     /// The request is running.
     Running,
     /// The replica does not hold the model or adapter.
