--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -345,7 +345,7 @@
                 let anew = self::engine(listener, id, address, self.store_address, config, &[]);
                 self.engines.borrow_mut()[index] = anew;
                 self.ended_engines.borrow_mut().push(engine);
-                proxy.begin_anew(upstream).await.expect("its address is free");
+                proxy.restart(upstream).await.expect("its address is free");
             }
         });
         join_all(each).await;
--- a/crates/croftrill-standin/src/proxy.rs
+++ b/crates/croftrill-standin/src/proxy.rs
@@ -29,18 +29,18 @@
 }
 
 /// Maximum size of a forwarded chunk.
-const PIECE: usize = 16 * 1024;
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
 /// A proxy in front of one upstream address.
 pub struct Proxy {
     address: Option<SocketAddr>,
     upstream: Cell<SocketAddr>,
-    accepting: RefCell<Option<JoinHandle<()>>>,
+    accept_task: RefCell<Option<JoinHandle<()>>>,
     fault: Cell<Fault>,
     changed: Notify,
-    accepted: Cell<u64>,
+    accepted_connections: Cell<u64>,
     /// Connections with a lower number never forward anything again.
-    silent_below: Cell<u64>,
+    silenced_below: Cell<u64>,
 }
 
 /// Direction of forwarded data.
@@ -56,35 +56,35 @@
         let proxy = Rc::new(Proxy {
             address: listener.local_addr().ok(),
             upstream: Cell::new(upstream),
-            accepting: RefCell::default(),
+            accept_task: RefCell::default(),
             fault: Cell::new(Fault::None),
             changed: Notify::new(),
-            accepted: Cell::new(0),
-            silent_below: Cell::new(0),
+            accepted_connections: Cell::new(0),
+            silenced_below: Cell::new(0),
         });
-        let accepting = spawn_local(proxy.clone().accept(listener));
-        proxy.accepting.replace(Some(accepting));
+        let accept_task = spawn_local(proxy.clone().accept(listener));
+        proxy.accept_task.replace(Some(accept_task));
         proxy
     }
 
     /// Simulates the end of the upstream process: resets all connections and refuses new ones.
     pub fn end(&self) {
         self.set(Fault::Reset);
-        if let Some(accepting) = self.accepting.take() {
-            accepting.abort();
+        if let Some(accept_task) = self.accept_task.take() {
+            accept_task.abort();
         }
     }
 
     /// Listens again on the same address, in front of a new upstream.
     ///
     /// Returns an error if the address cannot be bound.
-    pub async fn begin_anew(self: &Rc<Self>, upstream: SocketAddr) -> std::io::Result<()> {
+    pub async fn restart(self: &Rc<Self>, upstream: SocketAddr) -> std::io::Result<()> {
         let address = self.address.ok_or(std::io::ErrorKind::AddrNotAvailable)?;
         let listener = TcpListener::bind(address).await?;
         self.upstream.set(upstream);
         self.set(Fault::None);
-        let accepting = spawn_local(self.clone().accept(listener));
-        self.accepting.replace(Some(accepting));
+        let accept_task = spawn_local(self.clone().accept(listener));
+        self.accept_task.replace(Some(accept_task));
         Ok(())
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Stops forwarding on all existing connections and leaves them open. New ones work.
-    pub fn silence_present(&self) {
-        self.silent_below.set(self.accepted.get());
+    pub fn silence_existing(&self) {
+        self.silenced_below.set(self.accepted_connections.get());
         self.changed.notify_waiters();
     }
 
@@ -116,8 +116,8 @@
     }
 
     async fn connect(self: Rc<Self>, caller: TcpStream) {
-        let number = self.accepted.get();
-        self.accepted.set(number + 1);
+        let number = self.accepted_connections.get();
+        self.accepted_connections.set(number + 1);
         let Ok(upstream) = TcpStream::connect(self.upstream.get()).await else {
             return;
         };
@@ -126,20 +126,28 @@
         let (caller_read, caller_write) = caller.into_split();
         let (upstream_read, upstream_write) = upstream.into_split();
         tokio::select! {
-            () = self.pump(number, caller_read, upstream_write, Direction::Request) => {}
-            () = self.pump(number, upstream_read, caller_write, Direction::Answer) => {}
+            () = self.forward(number, caller_read, upstream_write, Direction::Request) => {}
+            () = self.forward(number, upstream_read, caller_write, Direction::Answer) => {}
         }
     }
 
     /// Forwards chunks until either side closes or a fault cuts the connection.
-    async fn pump(&self, number: u64, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) {
-        let mut piece = vec![0; PIECE];
+    async fn forward(
+        &self,
+        number: u64,
+        mut from: OwnedReadHalf,
+        mut to: OwnedWriteHalf,
+        direction: Direction,
+    ) {
+        let mut chunk = vec![0; MAX_CHUNK_BYTES];
         loop {
             let read = tokio::select! {
-                read = from.read(&mut piece) => read.unwrap_or(0),
-                () = self.reset() => return,
+                read = from.read(&mut chunk) => read.unwrap_or(0),
+                () = self.wait_for_reset() => return,
             };
-            if read == 0 || !self.pass(number, direction).await || to.write_all(&piece[..read]).await.is_err()
+            if read == 0
+                || !self.may_forward(number, direction).await
+                || to.write_all(&chunk[..read]).await.is_err()
             {
                 return;
             }
@@ -147,10 +155,10 @@
     }
 
     /// Waits until a chunk may be forwarded. Returns false if the connection must be cut.
-    async fn pass(&self, number: u64, direction: Direction) -> bool {
+    async fn may_forward(&self, number: u64, direction: Direction) -> bool {
         loop {
             let changed = self.changed.notified();
-            if number < self.silent_below.get() {
+            if number < self.silenced_below.get() {
                 return std::future::pending().await;
             }
             match (self.fault.get(), direction) {
@@ -165,7 +173,7 @@
         }
     }
 
-    async fn reset(&self) {
+    async fn wait_for_reset(&self) {
         loop {
             let changed = self.changed.notified();
             if self.fault.get() == Fault::Reset {
--- a/crates/croftrill-standin/tests/proxy.rs
+++ b/crates/croftrill-standin/tests/proxy.rs
@@ -74,7 +74,7 @@
         let (proxy, front) = echo().await;
         let mut present = TcpStream::connect(front).await.expect("a connection");
         assert_eq!(repeats(&mut present, LONG).await, Some(true));
-        proxy.silence_present();
+        proxy.silence_existing();
         let mut new = TcpStream::connect(front).await.expect("a connection");
         assert_eq!(repeats(&mut new, LONG).await, Some(true));
         assert_eq!(repeats(&mut present, SHORT).await, None);
--- a/crates/croftrill-standin/tests/silent_connections.rs
+++ b/crates/croftrill-standin/tests/silent_connections.rs
@@ -38,7 +38,7 @@
     LocalSet::new().block_on(&runtime, async {
         let (proxy, client) = client_behind_proxy().await;
         call_at_once(&client).await;
-        proxy.silence_present();
+        proxy.silence_existing();
         let first = client.grant_lease(Duration::from_secs(3)).await;
         assert_eq!(first, Err(StoreError::NoAnswer));
         call_at_once(&client).await;
