--- a/crates/croftrill-standin/src/store.rs
+++ b/crates/croftrill-standin/src/store.rs
@@ -19,9 +19,9 @@
 use crate::store_state::{StoreState, TransactionOutcome};
 
 /// Interval between checks for expired leases.
-const EXPIRY_EVERY: Duration = Duration::from_millis(50);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Delay of an answer that must not arrive; longer than any caller waits.
-const NEVER: Duration = Duration::from_secs(3600);
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(3600);
 
 /// Faults that the store can simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -93,7 +93,7 @@
 
     async fn expire_leases(self: Rc<Self>) {
         loop {
-            sleep(EXPIRY_EVERY).await;
+            sleep(EXPIRY_INTERVAL).await;
             if self.state.borrow_mut().expire(Instant::now()) {
                 self.changed.notify_waiters();
             }
@@ -110,7 +110,7 @@
         self.calls.set(self.calls.get() + 1);
         match self.fault.get() {
             StoreFault::Refusing => return status(StatusCode::SERVICE_UNAVAILABLE),
-            StoreFault::Silent => sleep(NEVER).await,
+            StoreFault::Silent => sleep(LOST_ANSWER_DELAY).await,
             _ => {}
         }
         let path = request.uri().path().to_string();
@@ -125,7 +125,7 @@
             (&Method::GET, CHANGES_PATH) => self.changes(&request).await,
             (&Method::POST, WRITE_PATH) => {
                 let answer = self.write(&request);
-                self.lose_answer().await;
+                self.delay_lost_answer().await;
                 answer
             }
             (&Method::POST, LEASES_PATH) => self.grant(&request),
@@ -133,9 +133,9 @@
         }
     }
 
-    async fn lose_answer(&self) {
+    async fn delay_lost_answer(&self) {
         if self.fault.get() == StoreFault::LosingWriteAnswers {
-            sleep(NEVER).await;
+            sleep(LOST_ANSWER_DELAY).await;
         }
     }
 
@@ -176,10 +176,10 @@
     }
 
     fn grant(&self, request: &Request<Bytes>) -> Answer {
-        let Ok(asked) = serde_json::from_slice::<WireLeaseRequest>(request.body()) else {
+        let Ok(lease_request) = serde_json::from_slice::<WireLeaseRequest>(request.body()) else {
             return status(StatusCode::BAD_REQUEST);
         };
-        let time_to_live = Duration::from_millis(asked.time_to_live_ms);
+        let time_to_live = Duration::from_millis(lease_request.time_to_live_ms);
         json(&WireLease {
             lease: self.state.borrow_mut().grant(time_to_live, Instant::now()),
         })
--- a/crates/croftrill-standin/src/store_state.rs
+++ b/crates/croftrill-standin/src/store_state.rs
@@ -6,7 +6,7 @@
 use croftrill_http::store_wire::{WireItem, WireItems, WireTransaction};
 
 /// Maximum number of past changes that watches can read.
-const HISTORY: usize = 4096;
+const MAX_HISTORY_CHANGES: usize = 4096;
 
 #[derive(Debug, Clone)]
 struct Stored {
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     time_to_live: Duration,
-    expires: Instant,
+    expires_at: Instant,
 }
 
 /// Error of a watch whose start revision is no longer in the history, or not yet reached.
@@ -43,7 +43,7 @@
     items: BTreeMap<String, Stored>,
     leases: BTreeMap<u64, Lease>,
     history: VecDeque<WireItem>,
-    forgotten_up_to: u64,
+    compacted_up_to: u64,
     next_lease: u64,
 }
 
@@ -63,7 +63,7 @@
         };
         self.compact();
         for lease in self.leases.values_mut() {
-            lease.expires = now + lease.time_to_live;
+            lease.expires_at = now + lease.time_to_live;
         }
     }
 
@@ -88,7 +88,7 @@
 
     /// Returns the changes under a prefix after a revision.
     pub fn changes(&self, prefix: &str, after: u64) -> Result<WireItems, HistoryGone> {
-        if after < self.forgotten_up_to || after > self.revision {
+        if after < self.compacted_up_to || after > self.revision {
             return Err(HistoryGone);
         }
         let changes = self
@@ -104,7 +104,7 @@
     /// Discards the history.
     pub fn compact(&mut self) {
         self.history.clear();
-        self.forgotten_up_to = self.revision;
+        self.compacted_up_to = self.revision;
     }
 
     /// Applies a transaction atomically.
@@ -115,8 +115,8 @@
         if !holds {
             return TransactionOutcome::Rejected;
         }
-        let leases_live = |lease: u64| lease == 0 || self.leases.contains_key(&lease);
-        if !transaction.writes.iter().all(|write| leases_live(write.lease)) {
+        let is_live = |lease: u64| lease == 0 || self.leases.contains_key(&lease);
+        if !transaction.writes.iter().all(|write| is_live(write.lease)) {
             return TransactionOutcome::NoSuchLease;
         }
         self.revision += 1;
@@ -126,7 +126,7 @@
                 revision: self.revision,
                 lease: write.lease,
             };
-            self.remember(write.key.clone(), Some(write.value.clone()));
+            self.record_change(write.key.clone(), Some(write.value.clone()));
             self.items.insert(write.key.clone(), stored);
         }
         TransactionOutcome::Done(self.revision)
@@ -139,7 +139,7 @@
             self.next_lease,
             Lease {
                 time_to_live,
-                expires: now + time_to_live,
+                expires_at: now + time_to_live,
             },
         );
         self.next_lease
@@ -150,7 +150,7 @@
         let Some(known) = self.leases.get_mut(&lease) else {
             return false;
         };
-        known.expires = now + known.time_to_live;
+        known.expires_at = now + known.time_to_live;
         true
     }
 
@@ -170,7 +170,7 @@
         }
         for key in keys {
             self.items.remove(&key);
-            self.remember(key, None);
+            self.record_change(key, None);
         }
         true
     }
@@ -178,27 +178,27 @@
     /// Ends all expired leases. Returns true if there were any, so that keys may have been
     /// removed.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(number, _)| *number)
             .collect();
-        for lease in &over {
+        for lease in &expired {
             self.end(*lease);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
-    fn remember(&mut self, key: String, value: Option<String>) {
+    fn record_change(&mut self, key: String, value: Option<String>) {
         self.history.push_back(WireItem {
             key,
             value,
             revision: self.revision,
         });
-        while self.history.len() > HISTORY {
-            if let Some(forgotten) = self.history.pop_front() {
-                self.forgotten_up_to = forgotten.revision;
+        while self.history.len() > MAX_HISTORY_CHANGES {
+            if let Some(dropped) = self.history.pop_front() {
+                self.compacted_up_to = dropped.revision;
             }
         }
     }
