--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use croftrill_demo::caller::{call, call_over, kept_connections, Call, CallEnd};
+use croftrill_demo::caller::{call, call_over, persistent_connections, Call, CallOutcome};
 use croftrill_standin::engine::{Ledger, CRASH_PROMPT_PREFIX};
 use futures::future::join_all;
 use rand::rngs::SmallRng;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub struct Ended {
     pub attempt: String,
-    pub end: CallEnd,
+    pub end: CallOutcome,
     pub took: Duration,
 }
 
@@ -115,7 +115,7 @@
 /// One call after the other over a connection that is used as long as it stands.
 async fn call_over_kept(front: SocketAddr, round: Duration, seed: u64, index: usize) -> Vec<Ended> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0xcee9 ^ index as u64);
-    let pool = kept_connections();
+    let pool = persistent_connections();
     let until = Instant::now() + round;
     let mut ended = Vec::new();
     while Instant::now() < until {
@@ -182,7 +182,7 @@
                     key: None,
                 };
                 let (end, _) = call(cluster.nodes[index].front, &request).await;
-                if end == CallEnd::Whole {
+                if end == CallOutcome::Complete {
                     break;
                 }
                 assert!(
@@ -220,18 +220,20 @@
     for ended in calls {
         let count = runs.get(&ended.attempt).copied().unwrap_or(0);
         let name = match &ended.end {
-            CallEnd::Whole => "whole",
-            CallEnd::Refused { .. } => "refused",
-            CallEnd::Failed(_) => "failed",
-            CallEnd::Broken => "broken",
-            CallEnd::NotSent => "not sent",
-            CallEnd::Wrong(what) => panic!("seed {seed}: {} got {what}", ended.attempt),
+            CallOutcome::Complete => "whole",
+            CallOutcome::Refused { .. } => "refused",
+            CallOutcome::Failed(_) => "failed",
+            CallOutcome::Broken => "broken",
+            CallOutcome::NotSent => "not sent",
+            CallOutcome::Wrong(what) => panic!("seed {seed}: {} got {what}", ended.attempt),
         };
         *counts.entry(name).or_default() += 1;
         assert!(count <= 1, "seed {seed}: {} ran {count} times", ended.attempt);
         match ended.end {
-            CallEnd::Whole => assert_eq!(count, 1, "seed {seed}: {} is whole without a run", ended.attempt),
-            CallEnd::Refused { .. } | CallEnd::NotSent => {
+            CallOutcome::Complete => {
+                assert_eq!(count, 1, "seed {seed}: {} is whole without a run", ended.attempt)
+            }
+            CallOutcome::Refused { .. } | CallOutcome::NotSent => {
                 assert_eq!(count, 0, "seed {seed}: {} was refused, yet it ran", ended.attempt);
             }
             _ => {}
@@ -245,7 +247,7 @@
     let (mut all, mut whole) = (0, 0);
     for ended in calls {
         all += 1;
-        whole += usize::from(ended.end == CallEnd::Whole);
+        whole += usize::from(ended.end == CallOutcome::Complete);
     }
     assert!(whole * 5 >= all, "seed {seed}: {whole} of {all}");
 }
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_demo::caller::{call, Call, CallEnd};
+use croftrill_demo::caller::{call, Call, CallOutcome};
 use croftrill_http::document::{GroupDocument, QuotaDocument};
 use croftrill_scheduler::tenants::KeyDigest;
 use croftrill_standin::engine::GroupRun;
@@ -194,12 +194,12 @@
                     ..draw_call(&mut random, format!("r{seed}-{index}-{number}-{who:?}"))
                 };
                 let (end, _) = call(node.front, &asked).await;
-                let is_denied = end == CallEnd::Failed(http::StatusCode::UNAUTHORIZED);
+                let is_denied = end == CallOutcome::Failed(http::StatusCode::UNAUTHORIZED);
                 assert!(
                     is_allowed || is_denied,
                     "seed {seed}: node {index}, {who:?}: {end:?}"
                 );
-                if !is_allowed || end == CallEnd::Whole {
+                if !is_allowed || end == CallOutcome::Complete {
                     break;
                 }
                 assert!(
@@ -229,7 +229,7 @@
         .iter()
         .filter(|ended| Who::of(&ended.attempt).group().is_none())
     {
-        assert_ne!(ended.end, CallEnd::Whole, "seed {seed}: {}", ended.attempt);
+        assert_ne!(ended.end, CallOutcome::Complete, "seed {seed}: {}", ended.attempt);
     }
     let bounded: Vec<_> = runs
         .iter()
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_demo::caller::{Call, CallEnd};
+use croftrill_demo::caller::{Call, CallOutcome};
 use croftrill_http::document::GroupDocument;
 use croftrill_standin::engine_state::EngineConfig;
 use rand::rngs::SmallRng;
@@ -88,7 +88,7 @@
         let ran = ledgers
             .iter()
             .any(|ledger| ledger.runs.contains_key(&ended.attempt));
-        let is_lost = ended.end == CallEnd::Broken && ended.took >= TAKEN_AFTER && !ran;
+        let is_lost = ended.end == CallOutcome::Broken && ended.took >= TAKEN_AFTER && !ran;
         assert!(!(is_judged && is_lost), "seed {seed}: {ended:?} was lost");
     }
 }
--- a/crates/croftrill-demo/src/caller.rs
+++ b/crates/croftrill-demo/src/caller.rs
@@ -30,9 +30,9 @@
 
 /// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The complete answer to this call.
-    Whole,
+    Complete,
     /// The call was refused and has not run.
     Refused {
         /// Delay before a retry, if the node sent one.
@@ -49,33 +49,35 @@
 }
 
 /// Maximum idle time of a caller's connection. Nodes close idle connections; callers do not.
-const CALLER_REST: Duration = Duration::from_secs(3600);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Creates the connection pool of a caller that leaves it to the node to close idle connections.
-pub fn kept_connections() -> ConnectionPool {
+pub fn persistent_connections() -> ConnectionPool {
     ConnectionPool::new(ConnectionConfig {
         silence_limit: None,
-        max_idle_time: CALLER_REST,
+        max_idle_time: CALLER_IDLE_TIMEOUT,
         ..ConnectionConfig::default()
     })
 }
 
 /// Calls a node over a new connection and checks that the answer is complete and belongs to the
 /// call.
-pub async fn call(node: SocketAddr, call: &Call) -> (CallEnd, Duration) {
-    call_over(&kept_connections(), node, call).await
+pub async fn call(node: SocketAddr, call: &Call) -> (CallOutcome, Duration) {
+    call_over(&persistent_connections(), node, call).await
 }
 
 /// Calls a node like [`call`], but over an idle connection of `pool` if there is one.
-pub async fn call_over(pool: &ConnectionPool, node: SocketAddr, call: &Call) -> (CallEnd, Duration) {
+pub async fn call_over(pool: &ConnectionPool, node: SocketAddr, call: &Call) -> (CallOutcome, Duration) {
     let started = Instant::now();
     let Some(request) = request(node, call) else {
-        return (CallEnd::NotSent, Duration::ZERO);
+        return (CallOutcome::NotSent, Duration::ZERO);
     };
     let end = match pool.exchange(node, request, call.deadline).await {
-        Ok(answer) => judge(call, &answer),
-        Err(ExchangeError::Connect(_) | ExchangeError::NotSent) => CallEnd::NotSent,
-        Err(ExchangeError::Broken(_) | ExchangeError::TimedOut | ExchangeError::TooLong) => CallEnd::Broken,
+        Ok(answer) => check_answer(call, &answer),
+        Err(ExchangeError::Connect(_) | ExchangeError::NotSent) => CallOutcome::NotSent,
+        Err(ExchangeError::Broken(_) | ExchangeError::TimedOut | ExchangeError::TooLong) => {
+            CallOutcome::Broken
+        }
     };
     (end, started.elapsed())
 }
@@ -100,31 +102,35 @@
     request.body(Full::new(Bytes::from(body))).ok()
 }
 
-fn judge(call: &Call, answer: &http::Response<Bytes>) -> CallEnd {
+fn check_answer(call: &Call, answer: &http::Response<Bytes>) -> CallOutcome {
     let status = answer.status();
     if status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS {
-        let told = answer
+        let header = answer
             .headers()
             .get("retry-after")
             .and_then(|value| value.to_str().ok());
-        let retry_after = told
+        let retry_after = header
             .and_then(|value| value.parse().ok())
             .map(Duration::from_secs_f64);
-        return CallEnd::Refused { retry_after };
+        return CallOutcome::Refused { retry_after };
     }
     if !status.is_success() {
-        return CallEnd::Failed(status);
+        return CallOutcome::Failed(status);
     }
     let text = String::from_utf8_lossy(answer.body());
-    let own = format!("\"attempt\":\"{}\"", call.attempt);
+    let own_marker = format!("\"attempt\":\"{}\"", call.attempt);
     let events = text.matches("id: ").count() as u64;
-    let of_others = text.matches("\"attempt\":").count() != text.matches(&own).count();
+    let has_foreign_events = text.matches("\"attempt\":").count() != text.matches(&own_marker).count();
     let in_order = (0..call.events).try_fold(0, |from, index| {
-        let place = text[from..].find(&format!("\"index\":{index},"))?;
-        Some(from + place)
+        let offset = text[from..].find(&format!("\"index\":{index},"))?;
+        Some(from + offset)
     });
-    if of_others || events != call.events || in_order.is_none() || !text.ends_with("data: [DONE]\n\n") {
-        return CallEnd::Wrong(format!("{events} of {} events: {text}", call.events));
+    if has_foreign_events
+        || events != call.events
+        || in_order.is_none()
+        || !text.ends_with("data: [DONE]\n\n")
+    {
+        return CallOutcome::Wrong(format!("{events} of {} events: {text}", call.events));
     }
-    CallEnd::Whole
+    CallOutcome::Complete
 }
--- a/crates/croftrill-demo/tests/demo.rs
+++ b/crates/croftrill-demo/tests/demo.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_demo::caller::{call, Call, CallEnd};
+use croftrill_demo::caller::{call, Call, CallOutcome};
 use croftrill_demo::system::{System, MODELS};
 use tokio::task::LocalSet;
 
@@ -26,7 +26,7 @@
                 key: None,
             };
             let mut end = call(node, &request).await.0;
-            if let CallEnd::Refused {
+            if let CallOutcome::Refused {
                 retry_after: Some(time),
             } = end
             {
@@ -41,7 +41,7 @@
                 .await
                 .0;
             }
-            assert_eq!(end, CallEnd::Whole, "{model}");
+            assert_eq!(end, CallOutcome::Complete, "{model}");
         }
         for engine in &system.engines {
             assert!(engine.ledger().violations.is_empty());
