--- a/crates/croftrill-demo/src/system.rs
+++ b/crates/croftrill-demo/src/system.rs
@@ -105,12 +105,12 @@
             engines: started,
             nodes: running,
         };
-        system.until_ready().await;
+        system.wait_until_ready().await;
         Ok(system)
     }
 
     /// Waits until every node is ready, knows every replica, and all shards have an orderer.
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         loop {
             let ready = self.nodes.iter().all(|daemon| {
                 let state = daemon.node.state.borrow();
