--- a/crates/croftrill-cli/tests/commands.rs
+++ b/crates/croftrill-cli/tests/commands.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn help_version_and_errors() {
+fn command_line_help_version_and_errors() {
     let (ok, text) = croftrill(&["--help"]);
     assert!(ok && text.contains("confirm"));
     assert!(croftrill(&["--version"]).0);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_status_is_a_table() {
+fn status_table() {
     let status = json!({
         "node": "n1", "lifecycle": "ready", "configuration_version": 7, "orderers": ["n2", "n1", "n2"], "nodes": ["n1", "n2"],
         "in_flight": 3, "waiting": 1,
@@ -55,7 +55,7 @@
 
 /// The table shows which replicas are full or slow, with the reported load.
 #[test]
-fn a_status_tells_what_replicas_told_of_their_load() {
+fn status_replica_load() {
     let load = json!({
         "running": 24, "waiting": 3, "slots": 24, "speed": 0.625, "speed_now": 0.25,
         "told_ms_ago": 180, "full": true, "slow": true,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn plans_and_failures_are_told_whole() {
+fn plan_and_failure_complete() {
     assert_eq!(
         render::plan(&json!({"steps": ["add model m"]})),
         "- add model m\n"
@@ -83,7 +83,7 @@
 
 /// The key is read from standard input because arguments are visible in the process list.
 #[test]
-fn digest_of_a_key_on_standard_input() {
+fn digest_key_from_standard_input() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_croftrill"))
         .arg("digest")
         .stdin(Stdio::piped())
--- a/crates/croftrill-daemon/tests/operators.rs
+++ b/crates/croftrill-daemon/tests/operators.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn nothing_changes_until_a_plan_is_confirmed() {
+fn confirm_applies_plan() {
     run(async {
         let fixture = Fixture::start().await;
         let plan = fixture.plan(&desired("willow")).await;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn of_two_plans_for_the_same_state_one_wins_and_the_other_gets_a_new_plan() {
+fn confirm_outdated_plan() {
     run(async {
         let fixture = Fixture::start().await;
         let (first, second) = (
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn findings_of_a_document_are_told_together() {
+fn plan_invalid_document() {
     run(async {
         let fixture = Fixture::start().await;
         let mut bad = desired("too/large");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn while_the_store_is_away_operators_are_told_that_nothing_is_known_to_have_changed() {
+fn confirm_store_unavailable() {
     run(async {
         let fixture = Fixture::start().await;
         let plan = fixture.plan(&desired("willow")).await;
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn callers_are_told_the_models() {
+fn list_models_with_adapters() {
     run(async {
         let fixture = Fixture::start().await;
         let address = fixture.daemon.settings.listen;
@@ -196,7 +196,7 @@
 
 /// Every metric named in `docs/OPERATIONS.md` is exported.
 #[test]
-fn the_metrics_of_the_page_are_served() {
+fn metrics_all_documented_are_served() {
     run(async {
         let fixture = Fixture::start().await;
         let served = fixture.call::<()>(Method::GET, "/metrics", None).await;
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn lift_lets_a_refused_request_be_sent_again() {
+fn lift_refused_request() {
     run(async {
         let fixture = Fixture::start().await;
         let node = &fixture.daemon.node;
--- a/crates/croftrill-daemon/tests/settings.rs
+++ b/crates/croftrill-daemon/tests/settings.rs
@@ -8,7 +8,7 @@
                     operator = \"127.0.0.1:3\"\nstore = \"127.0.0.1:4\"\n";
 
 #[test]
-fn defaults_fill_what_is_left_out() {
+fn parse_defaults() {
     let settings = Settings::parse(GOOD).expect("good settings");
     assert_eq!(settings.node_settings().bounds.order_gap.as_millis(), 3000);
     assert_eq!(settings.node_settings().max_concurrent_requests, None);
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn callers_compete_where_the_settings_say_so() {
+fn parse_callers_compete() {
     let settings = Settings::parse(&format!("{GOOD}callers_compete = true\n")).expect("good settings");
     assert!(settings.node_settings().callers_compete);
 }
 
 #[test]
-fn every_finding_is_told_with_its_place() {
+fn parse_reports_every_finding() {
     let bad = "name = \"\"\nlisten = \"127.0.0.1:1\"\npeer = \"127.0.0.1:1\"\noperator = \"127.0.0.1:3\"\n\
                store = \"127.0.0.1:4\"\nstop_grace_seconds = 0\n[retry]\nratio = -1\nwindow_seconds = 0\n";
     let findings = Settings::parse(bad).expect_err("findings");
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn unknown_settings_are_findings() {
+fn parse_unknown_setting() {
     let findings = Settings::parse(&format!("{GOOD}colour = \"red\"\n")).expect_err("findings");
     assert!(findings[0].contains("colour"), "{findings:?}");
 }
 
 /// The example in `docs/CONFIGURATION.md` is valid.
 #[test]
-fn the_page_of_settings_matches_the_code() {
+fn parse_documented_example() {
     let page = include_str!("../../../docs/CONFIGURATION.md");
     let example = page
         .split("```toml")
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_command_line_says_what_is_wrong() {
+fn command_line_help_version_and_errors() {
     let (ok, text) = daemon(&["--help"]);
     assert!(ok && text.contains("--check"));
     let (ok, text) = daemon(&["--version"]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn check_prints_every_finding_and_ends() {
+fn check_prints_every_finding() {
     let file = std::env::temp_dir().join(format!("croftrill-check-{}.toml", std::process::id()));
     std::fs::write(&file, GOOD).expect("written");
     let path = file.display().to_string();
--- a/crates/croftrill-demo/tests/demo.rs
+++ b/crates/croftrill-demo/tests/demo.rs
@@ -7,7 +7,7 @@
 use tokio::task::LocalSet;
 
 #[test]
-fn every_model_and_an_adapter_are_served_whole() {
+fn call_every_model_and_adapter() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/croftrill-standin/tests/proxy.rs
+++ b/crates/croftrill-standin/tests/proxy.rs
@@ -27,7 +27,7 @@
     (Proxy::start(listener, address), front)
 }
 
-async fn repeats(stream: &mut TcpStream, limit: Duration) -> Option<bool> {
+async fn echoes_byte(stream: &mut TcpStream, limit: Duration) -> Option<bool> {
     stream.write_all(b"x").await.ok()?;
     let mut byte = [0];
     timeout(limit, stream.read_exact(&mut byte))
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn faults_hold_for_present_and_new_connections() {
+fn set_each_fault() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -45,9 +45,9 @@
     LocalSet::new().block_on(&runtime, async {
         let (proxy, front) = echo().await;
         let mut stream = TcpStream::connect(front).await.expect("a connection");
-        assert_eq!(repeats(&mut stream, LONG).await, Some(true));
+        assert_eq!(echoes_byte(&mut stream, LONG).await, Some(true));
         proxy.set(Fault::Silence);
-        assert_eq!(repeats(&mut stream, SHORT).await, None);
+        assert_eq!(echoes_byte(&mut stream, SHORT).await, None);
         proxy.set(Fault::None);
         let mut byte = [0];
         timeout(LONG, stream.read_exact(&mut byte))
@@ -55,7 +55,7 @@
             .expect("the byte arrives after the fault")
             .expect("the byte is not lost");
         proxy.set(Fault::NoAnswers);
-        assert_eq!(repeats(&mut stream, SHORT).await, None);
+        assert_eq!(echoes_byte(&mut stream, SHORT).await, None);
         proxy.set(Fault::Reset);
         assert!(
             timeout(LONG, stream.read_to_end(&mut Vec::new())).await.is_ok(),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn silence_present_leaves_new_connections_alone() {
+fn silence_existing_leaves_new_connections_working() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -73,10 +73,10 @@
     LocalSet::new().block_on(&runtime, async {
         let (proxy, front) = echo().await;
         let mut present = TcpStream::connect(front).await.expect("a connection");
-        assert_eq!(repeats(&mut present, LONG).await, Some(true));
+        assert_eq!(echoes_byte(&mut present, LONG).await, Some(true));
         proxy.silence_existing();
         let mut new = TcpStream::connect(front).await.expect("a connection");
-        assert_eq!(repeats(&mut new, LONG).await, Some(true));
-        assert_eq!(repeats(&mut present, SHORT).await, None);
+        assert_eq!(echoes_byte(&mut new, LONG).await, Some(true));
+        assert_eq!(echoes_byte(&mut present, SHORT).await, None);
     });
 }
--- a/crates/croftrill-standin/tests/silent_connections.rs
+++ b/crates/croftrill-standin/tests/silent_connections.rs
@@ -20,7 +20,7 @@
     (Proxy::start(listener, upstream), StoreClient::new(address))
 }
 
-async fn call_at_once(client: &StoreClient) {
+async fn grant_leases_concurrently(client: &StoreClient) {
     let calls = (0..CALLS).map(|_| client.grant_lease(Duration::from_secs(3)));
     for answer in futures::future::join_all(calls).await {
         answer.expect("a lease");
@@ -30,17 +30,17 @@
 /// If each dead idle connection made one call wait until its timeout, a node could miss several
 /// renewals of a lease in a row.
 #[test]
-fn call_after_all_resting_connections_went_silent_fails_once() {
+fn grant_lease_after_idle_connections_are_silenced() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (proxy, client) = client_behind_proxy().await;
-        call_at_once(&client).await;
+        grant_leases_concurrently(&client).await;
         proxy.silence_existing();
         let first = client.grant_lease(Duration::from_secs(3)).await;
         assert_eq!(first, Err(StoreError::NoAnswer));
-        call_at_once(&client).await;
+        grant_leases_concurrently(&client).await;
     });
 }
--- a/crates/croftrill-standin/tests/store.rs
+++ b/crates/croftrill-standin/tests/store.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_condition_that_does_not_hold_changes_nothing() {
+fn transact_failed_condition() {
     let mut store = StoreState::new();
     assert_eq!(
         store.transact(&write("k", "1", 0, Some(0))),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn keys_go_with_their_lease() {
+fn expire_removes_keys_of_lease() {
     let (mut store, now) = (StoreState::new(), Instant::now());
     let lease = store.grant(Duration::from_secs(1), now);
     store.transact(&write("k", "1", lease, None));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_key_that_was_written_under_another_lease_does_not_go_with_the_first() {
+fn expire_leaves_key_rewritten_under_other_lease() {
     let (mut store, now) = (StoreState::new(), Instant::now());
     let first = store.grant(Duration::from_secs(1), now);
     let second = store.grant(Duration::from_secs(9), now);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn forgotten_history_is_told() {
+fn changes_after_compaction() {
     let mut store = StoreState::new();
     store.transact(&write("a", "1", 0, None));
     store.transact(&write("b", "2", 0, None));
