--- a/crates/croftrill-cli/tests/commands.rs
+++ b/crates/croftrill-cli/tests/commands.rs
@@ -65,8 +65,8 @@
         {"id": "r2", "ready": true, "models": [], "load": null},
     ]});
     let table = render::status(&status);
-    let told = "r1 ready  m1  (full, slow, 24+3 of 24, speed 0.62, now 0.25, told 180 ms ago)\n";
-    assert!(table.contains(told), "{table}");
+    let expected = "r1 ready  m1  (full, slow, 24+3 of 24, speed 0.62, now 0.25, told 180 ms ago)\n";
+    assert!(table.contains(expected), "{table}");
     assert!(table.contains("r2 ready  \n"), "{table}");
 }
 
--- a/crates/croftrill-standin/src/main.rs
+++ b/crates/croftrill-standin/src/main.rs
@@ -25,7 +25,7 @@
     kind: String,
     listen: Option<SocketAddr>,
     store: Option<SocketAddr>,
-    told: Option<SocketAddr>,
+    advertised: Option<SocketAddr>,
     id: String,
     zone: String,
     models: Vec<String>,
@@ -47,7 +47,7 @@
             Value(kind) if parsed.kind.is_empty() => parsed.kind = kind.string()?,
             Long("listen") => parsed.listen = Some(parser.value()?.parse()?),
             Long("store") => parsed.store = Some(parser.value()?.parse()?),
-            Long("told") => parsed.told = Some(parser.value()?.parse()?),
+            Long("told") => parsed.advertised = Some(parser.value()?.parse()?),
             Long("id") => parsed.id = parser.value()?.string()?,
             Long("zone") => parsed.zone = parser.value()?.string()?,
             Long("models") => parsed.models = list(&parser.value()?.string()?),
@@ -83,7 +83,7 @@
             let identity = EngineIdentity {
                 id: arguments.id,
                 zone: arguments.zone,
-                address: arguments.told.unwrap_or(address),
+                address: arguments.advertised.unwrap_or(address),
                 store: arguments.store.context("--store is missing")?,
             };
             drop(EngineStandin::start(
