--- a/crates/croftrill-standin/tests/proxy.rs
+++ b/crates/croftrill-standin/tests/proxy.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn set_each_fault() {
+fn set_fault_on_open_connection() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
