--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -1,4 +1,4 @@
-//! Client of model replicas: orders and reports.
+//! Client of the model replicas' control API: orders and reports.
 
 use std::time::Duration;
 
@@ -13,16 +13,15 @@
     replica_word, Operation, WireOrder, WireReport, INCARNATION_HEADER, ORDER_PATH, REPORT_PATH,
 };
 
-/// Longest wait for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Replicas over HTTP.
+/// Controls replicas over HTTP.
 pub struct EngineClient {
     pool: ConnectionPool,
 }
 
 impl EngineClient {
-    /// A client without connections.
+    /// Returns a client with its own connection pool.
     pub fn new() -> Self {
         EngineClient {
             pool: ConnectionPool::new(ConnectionConfig::default()),
--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -1,4 +1,4 @@
-//! Messages of model replicas.
+//! Paths, headers and messages of model replicas.
 
 use croftrill_node::cooldown_header::parse_cooldown;
 use croftrill_node::limit_header::parse_limit;
@@ -6,25 +6,25 @@
 use http::{HeaderMap, HeaderName, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// Takes an order.
+/// Accepts an order ([`WireOrder`]).
 pub const ORDER_PATH: &str = "/engine/order";
-/// Tells what is held and what runs.
+/// Returns the replica's report ([`WireReport`]).
 pub const REPORT_PATH: &str = "/engine/report";
-/// Names the incarnation that is meant.
+/// The incarnation to which a request or order is addressed.
 pub const INCARNATION_HEADER: &str = "croftrill-incarnation";
-/// Says that a request was not run and will not be.
+/// States that the replica has not executed a request and will not.
 pub const NOT_EXECUTED_HEADER: &str = "croftrill-not-executed";
-/// Requests running and waiting at the replica.
+/// Numbers of requests running and waiting at the replica.
 pub const LOAD_HEADER: &str = "croftrill-load";
 
-/// Says that the replica is about to leave.
+/// Announces that the replica is about to leave.
 pub const LEAVING_HEADER: &str = "croftrill-leaving";
-/// Its value.
+/// Value of [`LEAVING_HEADER`].
 pub const LEAVING_VALUE: &str = "1";
-/// Names the requests a second that the replica takes from all nodes together.
+/// The rate limit in requests per second that the replica applies to all nodes together.
 pub const LIMIT_HEADER: HeaderName = HeaderName::from_static("croftrill-limit");
 
-/// What a replica says of itself in an answer.
+/// Returns the signals about the replica itself in the head of a response.
 pub fn replica_word(status: StatusCode, headers: &HeaderMap) -> ReplicaSignals {
     let value = headers.get(LEAVING_HEADER).and_then(|value| value.to_str().ok());
     ReplicaSignals {
@@ -34,31 +34,31 @@
     }
 }
 
-/// What an order does.
+/// The effect of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
     /// Load a model or adapter.
     Load,
-    /// Drop a model or adapter.
+    /// Unload a model or adapter.
     Unload,
 }
 
-/// An order.
+/// An order to load or unload.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireOrder {
-    /// What to do.
+    /// Whether to load or unload.
     pub operation: Operation,
     /// The model.
     pub model: String,
-    /// An adapter of it.
+    /// An adapter of the model; `None` if the order concerns the model itself.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// The node that orders.
+    /// Name of the node that sends the order.
     pub holder: String,
-    /// Token of its lease.
+    /// Fencing token of that node's lease.
     pub fencing_token: u64,
-    /// Orders that the replica must have taken before.
+    /// Number of orders that the replica must have accepted before.
     pub expected_sequence: u64,
 }
 
@@ -67,50 +67,50 @@
 pub struct WireHeldModel {
     /// The model.
     pub model: String,
-    /// Adapters that are present.
+    /// Loaded adapters of the model.
     pub adapters: Vec<String>,
 }
 
-/// What a replica holds.
+/// The models and copies of weights that a replica holds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct WireHoldings {
-    /// Orders taken.
+    /// Number of orders accepted so far.
     pub sequence: u64,
-    /// Models.
+    /// Loaded models.
     pub models: Vec<WireHeldModel>,
-    /// Copies of weights in main memory.
+    /// Models of which a copy of the weights is in main memory.
     pub in_memory: Vec<String>,
-    /// Copies of weights on disk.
+    /// Models of which a copy of the weights is on disk.
     pub on_disk: Vec<String>,
 }
 
 /// A replica's report.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct WireReport {
-    /// What it holds.
+    /// Models and copies of weights.
     pub holdings: WireHoldings,
-    /// True while a weights order is under way.
+    /// True while an order about weights is in progress.
     pub busy: bool,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
 }
 
 /// A replica's entry in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WireReplica {
-    /// Service.
+    /// Name of the service.
     pub service: String,
     /// `IP:PORT`.
     pub address: String,
     /// Zone.
     pub zone: String,
-    /// Requests at the same time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// True once it is leaving.
+    /// True once the replica is leaving.
     pub draining: bool,
-    /// What it holds.
+    /// Models and copies of weights.
     pub holdings: WireHoldings,
 }
 
