--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -22,14 +22,14 @@
     WireWrite, CHANGES_PATH, ERA_HEADER, ITEMS_PATH, LEASES_PATH, REVISION_PATH, WRITE_PATH,
 };
 
-/// Longest wait for a plain call.
+/// Timeout of a call with a short response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Era of a store that never came back from a copy.
+/// Era of a store that has never been restored from a copy.
 const FIRST_ERA: u64 = 0;
-/// Added to the wait of a watch.
+/// Time for the head of a watch response to arrive after the wait requested from the store.
 const WATCH_MARGIN: Duration = Duration::from_secs(1);
 
-/// The store at one address.
+/// Client of the store at one address.
 pub struct StoreClient {
     address: SocketAddr,
     pool: ConnectionPool,
@@ -37,7 +37,7 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address`.
+    /// Returns a client of the store at `address`.
     pub fn new(address: SocketAddr) -> Self {
         StoreClient {
             address,
@@ -55,14 +55,15 @@
             .map_err(|error| StoreError::Protocol(error.to_string()))
     }
 
-    /// A call whose answer is short.
+    /// Makes a call whose response is short.
     async fn call(&self, method: Method, target: &str, body: Bytes) -> Result<Response<Bytes>, StoreError> {
         let request = self.request(method, target, body)?;
         let answer = self.pool.exchange(self.address, request, CALL_TIMEOUT).await?;
         self.accepted(answer)
     }
 
-    /// The answer, unless its status says that nothing was done, or what it tells is void.
+    /// Returns the response, or an error if it belongs to a former era or its status
+    /// says that the call was not executed.
     fn accepted(&self, answer: Response<Bytes>) -> Result<Response<Bytes>, StoreError> {
         self.era.record_header(answer.headers(), ERA_HEADER)?;
         match answer.status() {
@@ -78,7 +79,7 @@
         parse(&self.call(Method::GET, target, Bytes::new()).await?)
     }
 
-    /// A read whose answer may be long.
+    /// Makes a read whose response may be long.
     async fn get_long<T: DeserializeOwned>(
         &self,
         target: &str,
@@ -148,7 +149,7 @@
     async fn range(
         &self,
         prefix: &str,
-        // This store always answers with the latest.
+        // This store always returns the latest revision.
         _freshness: Freshness,
         limit: Duration,
     ) -> Result<Snapshot, StoreError> {
