--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The callers' API: completions as language-model clients already speak them.
+//! The callers' API: the completions API that language-model clients commonly use.
 //!
-//! The model stands in the body as `model` or `model/adapter`. Headers carry
-//! the attempt's id, the deadline and the group.
+//! The body names the model as `model` or `model/adapter`. Headers carry the id of
+//! the attempt, the deadline and the group.
 
 use std::time::Duration;
 
@@ -18,30 +18,30 @@
 
 use crate::engine_wire::{replica_word, INCARNATION_HEADER, LOAD_HEADER, NOT_EXECUTED_HEADER};
 
-/// Id of the attempt, repeated in its answer.
+/// Id of the attempt, repeated in the response.
 pub const ATTEMPT_HEADER: &str = "croftrill-attempt";
-/// Milliseconds that the caller waits.
+/// Time for which the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "croftrill-deadline-ms";
-/// Group that the request counts for.
+/// Group to which the request is charged.
 pub const GROUP_HEADER: &str = "croftrill-group";
-/// Rank, 0 first.
+/// Priority of the request; 0 is the most urgent.
 pub const PRIORITY_HEADER: &str = "croftrill-priority";
-/// Headers of a request that only the system may set; a caller's own are dropped.
+/// Request headers that only the node may set; the caller's values are removed.
 const SYSTEM_ONLY: [&str; 3] = [
-    // The incarnation that may run it: another value makes a replica refuse it.
+    // The incarnation that may execute the request: a replica refuses any other value.
     INCARNATION_HEADER,
-    // Its rank among the requests of all callers.
+    // The priority among the requests of all callers.
     PRIORITY_HEADER,
-    // The caller's secret is for this system alone.
+    // The caller's secret must not reach a replica.
     "authorization",
 ];
-/// Lists the models.
+/// Lists the models that callers may request.
 const MODELS_PATH: &str = "/v1/models";
-/// Bytes of a prompt that are taken for one token.
+/// Bytes per token for estimates of a prompt's length.
 pub const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes at the start of a prompt by which prompts are taken to share a part.
+/// Length of the prefix by which prompts with a shared start are recognized, in bytes.
 const SHARED_BYTES: usize = 256;
-/// Tokens of an answer without a bound of its own.
+/// Output tokens assumed for a request that sets no maximum.
 const USUAL_OUTPUT_TOKENS: u64 = 256;
 
 #[derive(Debug, Deserialize)]
@@ -61,7 +61,7 @@
     content: String,
 }
 
-/// Models and adapters that callers may name.
+/// Returns the models and adapters that callers may request.
 fn model_list(configuration: &Configuration) -> serde_json::Value {
     let engines = configuration
         .services()
@@ -83,7 +83,7 @@
     serde_json::json!({"object": "list", "data": models})
 }
 
-/// The completions API.
+/// Reads and writes requests and responses of the completions API.
 #[derive(Debug, Default)]
 pub struct Completions;
 
