--- a/crates/croftrill-http/src/document.rs
+++ b/crates/croftrill-http/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document: models, groups and limits, as one whole version.
+//! The operators' document: models, groups and limits, versioned together.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use croftrill_scheduler::tenants::{KeyDigest, Quota, QuotaUnit, Tenant};
 use serde::{Deserialize, Serialize};
 
-/// Service that all models of the document belong to.
+/// Service to which all models of the document belong.
 pub const MODEL_SERVICE: &str = "models";
-/// Paths that callers use.
+/// Paths to which callers send requests.
 pub const COMPLETION_PATHS: [&str; 2] = ["/v1/completions", "/v1/chat/completions"];
 
 /// A model with its adapters.
@@ -20,17 +20,18 @@
 pub struct ModelDocument {
     /// Name.
     pub name: String,
-    /// Memory of its weights, in MB.
+    /// Size of the weights in memory, in MB.
     pub weights_mb: f64,
-    /// Seconds of a load from the weight store.
+    /// Duration of a load from the weight store, in seconds.
     pub load_seconds: f64,
-    /// Seconds of a load from a replica's disk; without it, as from the store.
+    /// Duration of a load from a replica's disk, in seconds; by default as long as from
+    /// the weight store.
     #[serde(default)]
     pub disk_load_seconds: Option<f64>,
-    /// Number of adapters, named `a1`, `a2` and so on.
+    /// Number of adapters; they are named `a1`, `a2` and so on.
     #[serde(default)]
     pub adapters: u32,
-    /// Memory of an adapter, in MB.
+    /// Size of an adapter in memory, in MB.
     #[serde(default)]
     pub adapter_mb: f64,
 }
@@ -39,36 +40,34 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupDocument {
-    /// Name, as callers give it.
+    /// Name by which callers refer to the group.
     pub name: String,
-    /// Share of a node's places under contention, relative to other groups.
+    /// Share of a node's slots under contention, relative to other groups.
     pub share: u32,
-    /// SHA-256 of the keys that its callers show, in hexadecimal. Once any group has
-    /// some, every caller needs a key, and counts for the group that holds it.
+    /// SHA-256 digests of its callers' API keys, in hexadecimal. If any group has
+    /// digests, every caller needs a key and is charged to the group of that key.
     #[serde(default)]
     pub key_digests: Vec<String>,
-    /// Rank of its requests, 0 first.
+    /// Priority of its requests; 0 is the most urgent.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// Bound on its requests over all nodes; it needs keys.
+    /// Limit on its requests to all nodes together; requires `key_digests`.
     #[serde(default)]
     pub quota: Option<QuotaDocument>,
 }
 
-/// What a group may ask of all nodes together.
+/// Limit on a group's requests to all nodes together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaDocument {
-    /// Tokens a second, of prompts and of the longest answers.
+    /// Tokens per second, counting prompts and the longest possible answers.
     pub tokens_per_second: f64,
-    /// Tokens above that, gained back at the same rate.
+    /// Tokens that may be used beyond that rate; they are regained at the same rate.
     pub burst_tokens: f64,
 }
 
 impl GroupDocument {
-    /// The digests of its keys.
-    ///
-    /// Errors: the first that is none.
+    /// Parses the digests of the group's keys; returns the first malformed text as error.
     fn digests(&self) -> Result<Vec<KeyDigest>, &str> {
         let digests = self.key_digests.iter();
         digests
@@ -76,14 +75,14 @@
             .collect()
     }
 
-    /// What is wrong with it.
+    /// Returns the findings about the group, each with its location in the document.
     fn findings(&self, place: &str) -> Vec<String> {
         let mut findings = Vec::new();
         if self.share == 0 {
             findings.push(format!("{place}: share must be above zero"));
         }
         if self.digests().is_err() {
-            // The text itself is not told: it may be a key put there by mistake.
+            // The text itself is left out: it may be a key entered by mistake.
             findings.push(format!("{place}: key_digests must be 64 hexadecimal digits each"));
         }
         if self.quota.is_some() && self.key_digests.is_empty() {
@@ -106,7 +105,7 @@
         });
         Tenant {
             name: self.name.as_str().into(),
-            // Documents with other digests are not confirmed.
+            // Documents with malformed digests are never confirmed.
             keys: self.digests().unwrap_or_default(),
             priority: self.priority,
             quota,
@@ -114,7 +113,7 @@
     }
 }
 
-/// A digest from its hexadecimal form.
+/// Parses a digest in hexadecimal.
 fn read_digest(text: &str) -> Option<KeyDigest> {
     if text.len() != 64 || !text.is_ascii() {
         return None;
@@ -127,22 +126,22 @@
     Some(KeyDigest::from_bytes(digest))
 }
 
-/// The whole document.
+/// The complete document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Rises with every change; set when the document is confirmed.
+    /// Increases with every change; set when the document is confirmed.
     #[serde(default)]
     pub version: u64,
-    /// Memory of a replica for weights and adapters, in MB.
+    /// Memory of a replica that weights and adapters may use, in MB.
     pub replica_weights_mb: f64,
-    /// Places for adapters of a replica.
+    /// Maximum number of adapters that a replica holds.
     pub adapter_slots: usize,
-    /// Loads from the weight store that may begin in a second.
+    /// Loads from the weight store that may start per second.
     pub loads_per_second: f64,
-    /// Time within which the first event should come, in milliseconds.
+    /// Target for the time to the first event, in milliseconds.
     pub objective_ms: u64,
-    /// Longest time that a request is held, in milliseconds.
+    /// Maximum time that a request may take, in milliseconds.
     pub timeout_ms: u64,
     /// Models.
     #[serde(default)]
@@ -153,7 +152,7 @@
 }
 
 impl Document {
-    /// What is wrong with the document, each with its place.
+    /// Returns the findings about the document, each with its location.
     pub fn findings(&self) -> Vec<String> {
         let mut findings = Vec::new();
         if self.timeout_ms == 0 {
@@ -179,7 +178,7 @@
         findings
     }
 
-    /// The configuration that the document describes.
+    /// Converts the document to the configuration that it describes.
     pub fn configuration(&self) -> Configuration {
         let models: Vec<ModelSpec> = self.models.iter().map(model_spec).collect();
         let engine = EngineSpec {
