--- a/crates/croftrill-http/src/lib.rs
+++ b/crates/croftrill-http/src/lib.rs
@@ -1,8 +1,8 @@
-//! The product's own wire: what croftrill speaks where no platform prescribes it.
+//! The native protocols of croftrill, used where no external platform prescribes others:
 //!
 //! - a key-value store with revisions, leases and watches ([`store_wire`], [`store`]);
 //! - model replicas that take fenced orders ([`engine_wire`], [`engine`]);
-//! - callers that speak the usual completions API ([`dialect`]);
+//! - callers that use the common completions API ([`dialect`]);
 //! - the operators' document of models, groups and limits ([`document`]).
 
 pub mod dialect;
--- a/crates/croftrill-http/src/own_platform.rs
+++ b/crates/croftrill-http/src/own_platform.rs
@@ -1,4 +1,4 @@
-//! The product's own surroundings: one store, replicas, completions.
+//! The native platform: one store, model replicas and the completions API.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::records::OwnRecords;
 use crate::store::StoreClient;
 
-/// Everything that a node needs, over the product's own wire.
+/// A node's [`Platform`] over croftrill's native protocols.
 pub struct OwnPlatform {
     store: StoreClient,
     records: OwnRecords,
@@ -18,7 +18,7 @@
 }
 
 impl OwnPlatform {
-    /// Surroundings with the store at that address.
+    /// Returns the platform with the store at the given address.
     pub fn new(store: SocketAddr) -> Self {
         OwnPlatform {
             store: StoreClient::new(store),
--- a/crates/croftrill-http/src/records.rs
+++ b/crates/croftrill-http/src/records.rs
@@ -1,4 +1,4 @@
-//! The items of the store: the operators' document and the replicas' entries.
+//! Formats of the store's items: the operators' document and the replicas' entries.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use crate::document::Document;
 use crate::engine_wire::WireReplica;
 
-/// Key of the operators' document.
+/// Store key of the operators' document.
 pub const DOCUMENT_KEY: &str = "croftrill/document";
-/// Prefix of the replicas' entries.
+/// Key prefix of the replicas' entries.
 pub const REPLICA_PREFIX: &str = "replicas/";
 
-/// Reads the store's items.
+/// Parses the store's items according to their keys.
 #[derive(Debug, Default)]
 pub struct OwnRecords;
 
