--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine_wire::{replica_word, INCARNATION_HEADER, LOAD_HEADER, NOT_EXECUTED_HEADER};
+use crate::engine_wire::{replica_signals, INCARNATION_HEADER, LOAD_HEADER, NOT_EXECUTED_HEADER};
 
 /// Id of the attempt, repeated in the response.
 pub const ATTEMPT_HEADER: &str = "croftrill-attempt";
@@ -39,10 +39,10 @@
 const MODELS_PATH: &str = "/v1/models";
 /// Bytes per token for estimates of a prompt's length.
 pub const BYTES_PER_TOKEN: u64 = 4;
-/// Length of the prefix by which prompts with a shared start are recognized, in bytes.
-const SHARED_BYTES: usize = 256;
+/// Length of the prefix by which prompts with a prefix start are recognized, in bytes.
+const SHARED_PREFIX_BYTES: usize = 256;
 /// Output tokens assumed for a request that sets no maximum.
-const USUAL_OUTPUT_TOKENS: u64 = 256;
+const DEFAULT_OUTPUT_TOKENS: u64 = 256;
 
 #[derive(Debug, Deserialize)]
 struct CompletionBody {
@@ -87,14 +87,14 @@
 #[derive(Debug, Default)]
 pub struct Completions;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
         .map(str::trim)
 }
 
-fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
+fn set_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
@@ -106,17 +106,17 @@
     }
 
     fn request_facts(&self, head: &request::Parts) -> Result<RequestFacts, BadRequest> {
-        let id = text(&head.headers, ATTEMPT_HEADER)
+        let id = header_text(&head.headers, ATTEMPT_HEADER)
             .filter(|id| !id.is_empty())
             .ok_or(BadRequest::NoId)?;
-        let deadline = match text(&head.headers, DEADLINE_HEADER) {
+        let deadline = match header_text(&head.headers, DEADLINE_HEADER) {
             None => None,
             Some(value) => {
                 let millis = value.parse().map_err(|_| BadRequest::Header(DEADLINE_HEADER))?;
                 Some(Duration::from_millis(millis))
             }
         };
-        let group = text(&head.headers, GROUP_HEADER).map(str::to_string);
+        let group = header_text(&head.headers, GROUP_HEADER).map(str::to_string);
         Ok(RequestFacts {
             id: id.to_string(),
             deadline,
@@ -138,49 +138,49 @@
             .map(|message| message.content.as_str())
             .collect();
         let prompt = completion.prompt + &messages;
-        let shared = &prompt.as_bytes()[..prompt.len().min(SHARED_BYTES)];
+        let prefix = &prompt.as_bytes()[..prompt.len().min(SHARED_PREFIX_BYTES)];
         facts.model = Some(model.into());
         facts.adapter = adapter;
         facts.prompt_tokens = prompt.len() as u64 / BYTES_PER_TOKEN;
-        facts.output_tokens = completion.max_tokens.unwrap_or(USUAL_OUTPUT_TOKENS);
+        facts.output_tokens = completion.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
         facts.metered_tokens = Some(facts.prompt_tokens + facts.output_tokens);
         facts.parts = vec![PromptPart {
-            hash: xxh3_64(shared),
-            tokens: shared.len() as u64 / BYTES_PER_TOKEN,
+            hash: xxh3_64(prefix),
+            tokens: prefix.len() as u64 / BYTES_PER_TOKEN,
         }];
         Ok(())
     }
 
     fn local_answer(&self, head: &request::Parts, configuration: &Configuration) -> Option<String> {
-        let asked = head.method == http::Method::GET && head.uri.path() == MODELS_PATH;
-        asked.then(|| model_list(configuration).to_string())
+        let is_list_request = head.method == http::Method::GET && head.uri.path() == MODELS_PATH;
+        is_list_request.then(|| model_list(configuration).to_string())
     }
 
     fn forward(&self, headers: &mut HeaderMap, forwarding: &Forwarding<'_>) {
         for name in SYSTEM_ONLY {
             headers.remove(name);
         }
-        set(headers, INCARNATION_HEADER, forwarding.replica);
-        set(
+        set_header(headers, INCARNATION_HEADER, forwarding.replica);
+        set_header(
             headers,
             DEADLINE_HEADER,
             &forwarding.time_left.as_millis().to_string(),
         );
         if let Some(priority) = forwarding.priority {
-            set(headers, PRIORITY_HEADER, &priority.to_string());
+            set_header(headers, PRIORITY_HEADER, &priority.to_string());
         }
         if let Some(tenant) = forwarding.tenant {
-            set(headers, GROUP_HEADER, tenant);
+            set_header(headers, GROUP_HEADER, tenant);
         }
         if let Some(last) = forwarding.resume_after {
-            set(headers, "last-event-id", last);
+            set_header(headers, "last-event-id", last);
         }
     }
 
     fn answer_facts(&self, id: &str, head: &response::Parts) -> AnswerFacts {
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         let not_executed = is_misdirected || head.headers.contains_key(NOT_EXECUTED_HEADER);
-        let is_ours = text(&head.headers, ATTEMPT_HEADER) == Some(id);
+        let is_ours = header_text(&head.headers, ATTEMPT_HEADER) == Some(id);
         AnswerFacts {
             is_ours,
             is_signed: is_ours,
@@ -191,8 +191,8 @@
                 Execution::Executed
             },
             is_misdirected,
-            load: text(&head.headers, LOAD_HEADER).and_then(parse_load),
-            signals: replica_word(head.status, &head.headers),
+            load: header_text(&head.headers, LOAD_HEADER).and_then(parse_load),
+            word: replica_signals(head.status, &head.headers),
         }
     }
 }
--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -10,7 +10,7 @@
 use http_body_util::Full;
 
 use crate::engine_wire::{
-    replica_word, Operation, WireOrder, WireReport, INCARNATION_HEADER, ORDER_PATH, REPORT_PATH,
+    replica_signals, Operation, WireOrder, WireReport, INCARNATION_HEADER, ORDER_PATH, REPORT_PATH,
 };
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
@@ -94,7 +94,7 @@
         match self.pool.exchange(target.address, request, CALL_TIMEOUT).await {
             Ok(answer) => EngineAnswer {
                 answer: outcome(answer.status()),
-                signals: replica_word(answer.status(), answer.headers()),
+                word: replica_signals(answer.status(), answer.headers()),
             },
             Err(error) if error.nothing_sent() => EngineAnswer::without_signals(OrderOutcome::Conflict),
             Err(_) => EngineAnswer::without_signals(OrderOutcome::Unknown),
@@ -111,7 +111,7 @@
         };
         EngineAnswer {
             answer: read_report(&answer),
-            signals: replica_word(answer.status(), answer.headers()),
+            word: replica_signals(answer.status(), answer.headers()),
         }
     }
 }
--- a/crates/croftrill-http/src/engine_wire.rs
+++ b/crates/croftrill-http/src/engine_wire.rs
@@ -25,7 +25,7 @@
 pub const LIMIT_HEADER: HeaderName = HeaderName::from_static("croftrill-limit");
 
 /// Returns the signals about the replica itself in the head of a response.
-pub fn replica_word(status: StatusCode, headers: &HeaderMap) -> ReplicaSignals {
+pub fn replica_signals(status: StatusCode, headers: &HeaderMap) -> ReplicaSignals {
     let value = headers.get(LEAVING_HEADER).and_then(|value| value.to_str().ok());
     ReplicaSignals {
         is_leaving: value.map(str::trim) == Some(LEAVING_VALUE),
