--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -39,7 +39,7 @@
 const MODELS_PATH: &str = "/v1/models";
 /// Bytes per token for estimates of a prompt's length.
 pub const BYTES_PER_TOKEN: u64 = 4;
-/// Length of the prefix by which prompts with a prefix start are recognized, in bytes.
+/// Length of the prefix by which prompts with a common start are recognized, in bytes.
 const SHARED_PREFIX_BYTES: usize = 256;
 /// Output tokens assumed for a request that sets no maximum.
 const DEFAULT_OUTPUT_TOKENS: u64 = 256;
