--- a/crates/croftrill-http/src/document.rs
+++ b/crates/croftrill-http/src/document.rs
@@ -71,7 +71,7 @@
     fn digests(&self) -> Result<Vec<KeyDigest>, &str> {
         let digests = self.key_digests.iter();
         digests
-            .map(|text| read_digest(text).ok_or(text.as_str()))
+            .map(|text| parse_digest(text).ok_or(text.as_str()))
             .collect()
     }
 
@@ -114,7 +114,7 @@
 }
 
 /// Parses a digest in hexadecimal.
-fn read_digest(text: &str) -> Option<KeyDigest> {
+fn parse_digest(text: &str) -> Option<KeyDigest> {
     if text.len() != 64 || !text.is_ascii() {
         return None;
     }
--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -74,7 +74,7 @@
         .ok()
 }
 
-fn read_report(answer: &Response<Bytes>) -> Option<ReplicaReport> {
+fn parse_report(answer: &Response<Bytes>) -> Option<ReplicaReport> {
     let wire: WireReport = serde_json::from_slice(answer.body()).ok()?;
     Some(ReplicaReport {
         holdings: wire.holdings.into(),
@@ -110,7 +110,7 @@
             return EngineAnswer::without_signals(None);
         };
         EngineAnswer {
-            answer: read_report(&answer),
+            answer: parse_report(&answer),
             word: replica_signals(answer.status(), answer.headers()),
         }
     }
