--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -59,12 +59,12 @@
     async fn call(&self, method: Method, target: &str, body: Bytes) -> Result<Response<Bytes>, StoreError> {
         let request = self.request(method, target, body)?;
         let answer = self.pool.exchange(self.address, request, CALL_TIMEOUT).await?;
-        self.accepted(answer)
+        self.check_response(answer)
     }
 
     /// Returns the response, or an error if it belongs to a former era or its status
     /// says that the call was not executed.
-    fn accepted(&self, answer: Response<Bytes>) -> Result<Response<Bytes>, StoreError> {
+    fn check_response(&self, answer: Response<Bytes>) -> Result<Response<Bytes>, StoreError> {
         self.era.record_header(answer.headers(), ERA_HEADER)?;
         match answer.status() {
             StatusCode::SERVICE_UNAVAILABLE => Err(StoreError::Unavailable),
@@ -88,7 +88,7 @@
     ) -> Result<T, StoreError> {
         let request = self.request(Method::GET, target, Bytes::new())?;
         let exchange = self.pool.exchange_long(self.address, request, limits, arrival);
-        parse(&self.accepted(exchange.await?)?)
+        parse(&self.check_response(exchange.await?)?)
     }
 
     async fn post<B: Serialize>(&self, target: &str, body: &B) -> Result<Response<Bytes>, StoreError> {
@@ -104,7 +104,7 @@
     serde_json::from_slice(answer.body()).map_err(|error| StoreError::Protocol(error.to_string()))
 }
 
-fn query(text: &str) -> String {
+fn encode_query(text: &str) -> String {
     utf8_percent_encode(text, NON_ALPHANUMERIC).to_string()
 }
 
@@ -157,7 +157,7 @@
             head_timeout: limit,
             max_bytes: u64::MAX,
         };
-        let target = format!("{ITEMS_PATH}?prefix={}", query(prefix));
+        let target = format!("{ITEMS_PATH}?prefix={}", encode_query(prefix));
         let answer: WireItems = self.get_long(&target, limits, &AnswerProgress::default()).await?;
         let mut items = Vec::with_capacity(answer.items.len());
         for wire in answer.items {
@@ -174,7 +174,7 @@
     async fn watch(&self, call: WatchCall<'_>) -> Result<Changes, StoreError> {
         let target = format!(
             "{CHANGES_PATH}?prefix={}&after={}&wait_ms={}",
-            query(call.prefix),
+            encode_query(call.prefix),
             call.after,
             call.wait.as_millis()
         );
