--- a/crates/croftrill-http/src/document.rs
+++ b/crates/croftrill-http/src/document.rs
@@ -76,22 +76,24 @@
     }
 
     /// Returns the findings about the group, each with its location in the document.
-    fn findings(&self, place: &str) -> Vec<String> {
+    fn findings(&self, location: &str) -> Vec<String> {
         let mut findings = Vec::new();
         if self.share == 0 {
-            findings.push(format!("{place}: share must be above zero"));
+            findings.push(format!("{location}: share must be above zero"));
         }
         if self.digests().is_err() {
             // The text itself is left out: it may be a key entered by mistake.
-            findings.push(format!("{place}: key_digests must be 64 hexadecimal digits each"));
+            findings.push(format!(
+                "{location}: key_digests must be 64 hexadecimal digits each"
+            ));
         }
         if self.quota.is_some() && self.key_digests.is_empty() {
-            findings.push(format!("{place}: a quota needs key_digests"));
+            findings.push(format!("{location}: a quota needs key_digests"));
         }
-        let is_odd = |value: f64| value.is_nan() || value <= 0.0;
+        let is_not_positive = |value: f64| value.is_nan() || value <= 0.0;
         if let Some(quota) = &self.quota {
-            if is_odd(quota.tokens_per_second) || is_odd(quota.burst_tokens) {
-                findings.push(format!("{place}: the quota's figures must be above zero"));
+            if is_not_positive(quota.tokens_per_second) || is_not_positive(quota.burst_tokens) {
+                findings.push(format!("{location}: the quota's figures must be above zero"));
             }
         }
         findings
@@ -159,16 +161,16 @@
             findings.push("timeout_ms: must be above zero".to_string());
         }
         for (index, model) in self.models.iter().enumerate() {
-            let place = format!("models[{index}] ({})", model.name);
+            let location = format!("models[{index}] ({})", model.name);
             if model.name.is_empty() || model.name.contains('/') {
-                findings.push(format!("{place}: a name must not be empty or contain a slash"));
+                findings.push(format!("{location}: a name must not be empty or contain a slash"));
             }
             if self.models[..index].iter().any(|other| other.name == model.name) {
-                findings.push(format!("{place}: the name stands twice"));
+                findings.push(format!("{location}: the name stands twice"));
             }
             if model.weights_mb <= 0.0 || model.weights_mb > self.replica_weights_mb {
                 findings.push(format!(
-                    "{place}: weights_mb must be above zero and fit a replica"
+                    "{location}: weights_mb must be above zero and fit a replica"
                 ));
             }
         }
