--- a/crates/croftrill-daemon/src/daemon.rs
+++ b/crates/croftrill-daemon/src/daemon.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use croftrill_http::own_platform::OwnPlatform;
+use croftrill_http::native_platform::OwnPlatform;
 use croftrill_node::clock::Clock;
 use croftrill_node::node::Node;
 use croftrill_node::runtime::{self, Running};
--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use croftrill_http::document::Document;
-use croftrill_http::own_platform::OwnPlatform;
+use croftrill_http::native_platform::OwnPlatform;
 use croftrill_http::records::DOCUMENT_KEY;
 use croftrill_node::crash_reports;
 use croftrill_node::node::{Lifecycle, Node};
--- a/crates/croftrill-http/src/lib.rs
+++ b/crates/croftrill-http/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod document;
 pub mod engine;
 pub mod engine_wire;
-pub mod own_platform;
+pub mod native_platform;
 pub mod records;
 pub mod store;
 pub mod store_wire;
