--- a/crates/croftrill-daemon/src/daemon.rs
+++ b/crates/croftrill-daemon/src/daemon.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use croftrill_http::native_platform::OwnPlatform;
+use croftrill_http::native_platform::NativePlatform;
 use croftrill_node::clock::Clock;
 use croftrill_node::node::Node;
 use croftrill_node::runtime::{self, Running};
@@ -17,10 +17,10 @@
 /// A running node and the addresses that it is bound to.
 pub struct Daemon {
     /// The running node.
-    pub node: Rc<Node<OwnPlatform>>,
+    pub node: Rc<Node<NativePlatform>>,
     /// Settings in which each port 0 is replaced by the port that was bound.
     pub settings: Settings,
-    running: Running<OwnPlatform>,
+    running: Running<NativePlatform>,
 }
 
 impl Daemon {
@@ -43,7 +43,7 @@
         settings.listen = front.local_addr()?;
         settings.peer = peer.local_addr()?;
         settings.operator = operator.local_addr()?;
-        let platform = OwnPlatform::new(settings.store);
+        let platform = NativePlatform::new(settings.store);
         let (node, queues) = Node::with_clock(settings.node_settings(), platform, clock);
         tracing::info!(target: "node", event = "start", name = settings.name, listen = %settings.listen,
             operator = %settings.operator, version = env!("CARGO_PKG_VERSION"));
--- a/crates/croftrill-daemon/src/operator_api.rs
+++ b/crates/croftrill-daemon/src/operator_api.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use croftrill_http::document::Document;
-use croftrill_http::native_platform::OwnPlatform;
+use croftrill_http::native_platform::NativePlatform;
 use croftrill_http::records::DOCUMENT_KEY;
 use croftrill_node::crash_reports;
 use croftrill_node::node::{Lifecycle, Node};
@@ -89,7 +89,7 @@
 }
 
 type Answer = Response<AnswerBody>;
-type OwnNode = Rc<Node<OwnPlatform>>;
+type OwnNode = Rc<Node<NativePlatform>>;
 
 /// Serves operators until the process ends.
 pub async fn serve(node: OwnNode, listener: TcpListener) {
--- a/crates/croftrill-http/src/native_platform.rs
+++ b/crates/croftrill-http/src/native_platform.rs
@@ -6,32 +6,32 @@
 
 use crate::dialect::Completions;
 use crate::engine::EngineClient;
-use crate::records::OwnRecords;
+use crate::records::NativeRecords;
 use crate::store::StoreClient;
 
 /// A node's [`Platform`] over croftrill's native protocols.
-pub struct OwnPlatform {
+pub struct NativePlatform {
     store: StoreClient,
-    records: OwnRecords,
+    records: NativeRecords,
     engine: EngineClient,
     dialect: Completions,
 }
 
-impl OwnPlatform {
+impl NativePlatform {
     /// Returns the platform with the store at the given address.
     pub fn new(store: SocketAddr) -> Self {
-        OwnPlatform {
+        NativePlatform {
             store: StoreClient::new(store),
-            records: OwnRecords,
+            records: NativeRecords,
             engine: EngineClient::new(),
             dialect: Completions,
         }
     }
 }
 
-impl Platform for OwnPlatform {
+impl Platform for NativePlatform {
     type Store = StoreClient;
-    type Records = OwnRecords;
+    type Records = NativeRecords;
     type Engine = EngineClient;
     type Dialect = Completions;
 
@@ -39,7 +39,7 @@
         &self.store
     }
 
-    fn records(&self) -> &OwnRecords {
+    fn records(&self) -> &NativeRecords {
         &self.records
     }
 
--- a/crates/croftrill-http/src/records.rs
+++ b/crates/croftrill-http/src/records.rs
@@ -15,7 +15,7 @@
 
 /// Parses the store's items according to their keys.
 #[derive(Debug, Default)]
-pub struct OwnRecords;
+pub struct NativeRecords;
 
 fn listing(id: &str, value: &[u8]) -> Result<ReplicaListing, serde_json::Error> {
     let wire: WireReplica = serde_json::from_slice(value)?;
@@ -36,7 +36,7 @@
     })
 }
 
-impl RecordReader for OwnRecords {
+impl RecordReader for NativeRecords {
     fn read(&self, item: &Item) -> Record {
         if item.key == DOCUMENT_KEY {
             return match serde_json::from_slice::<Document>(&item.value) {
