--- a/crates/croftrill-http/src/store.rs
+++ b/crates/croftrill-http/src/store.rs
@@ -26,7 +26,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Era of a store that has never been restored from a copy.
 const FIRST_ERA: u64 = 0;
-/// Time for the head of a watch response to arrive after the wait requested from the store.
+/// Time beyond the requested wait for the head of a watch response to arrive.
 const WATCH_MARGIN: Duration = Duration::from_secs(1);
 
 /// Client of the store at one address.
