--- a/crates/croftrill-http/src/dialect.rs
+++ b/crates/croftrill-http/src/dialect.rs
@@ -192,7 +192,7 @@
             },
             is_misdirected,
             load: header_text(&head.headers, LOAD_HEADER).and_then(parse_load),
-            word: replica_signals(head.status, &head.headers),
+            signals: replica_signals(head.status, &head.headers),
         }
     }
 }
--- a/crates/croftrill-http/src/engine.rs
+++ b/crates/croftrill-http/src/engine.rs
@@ -94,7 +94,7 @@
         match self.pool.exchange(target.address, request, CALL_TIMEOUT).await {
             Ok(answer) => EngineAnswer {
                 answer: outcome(answer.status()),
-                word: replica_signals(answer.status(), answer.headers()),
+                signals: replica_signals(answer.status(), answer.headers()),
             },
             Err(error) if error.nothing_sent() => EngineAnswer::without_signals(OrderOutcome::Conflict),
             Err(_) => EngineAnswer::without_signals(OrderOutcome::Unknown),
@@ -111,7 +111,7 @@
         };
         EngineAnswer {
             answer: parse_report(&answer),
-            word: replica_signals(answer.status(), answer.headers()),
+            signals: replica_signals(answer.status(), answer.headers()),
         }
     }
 }
