--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -1,7 +1,7 @@
-//! Replicas that take orders, and the orderer, in simulated time.
+//! Emulates replicas and their orderer in simulated time.
 //!
-//! Answers can be lost and orders carried out late; reports lag. The orderer is
-//! the scheduler's own code.
+//! Answers can be lost, orders can be executed late, and reports lag. The orderer is the
+//! scheduler's production code.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -18,24 +18,24 @@
 use croftrill_scheduler::shard::OrderScope;
 use croftrill_scheduler::time::Moment;
 
-/// Age of the reports that replicas give.
+/// Delay between the state of a replica and the report that shows it.
 const REPORT_LAG: Duration = Duration::from_millis(150);
 
-/// Memory of a replica in the simulation, in MB.
+/// Memory of a replica for models and adapters, in MB.
 pub const WEIGHTS_MB: f64 = 200.0;
-/// Places for adapters.
+/// Adapter slots of a replica.
 pub const ADAPTER_SLOTS: usize = 3;
-/// Loads from the weight store in a second.
+/// Ceiling on loads from the weight store, per second.
 pub const LOADS_PER_SECOND: f64 = 2.0;
-/// Window of the ceiling.
+/// Window over which the ceiling on loads from the weight store is enforced.
 pub const CEILING_WINDOW: Duration = Duration::from_secs(5);
 
-/// The moment so many milliseconds after the start.
+/// Returns the moment the given number of milliseconds after the start.
 pub fn at(millis: u64) -> Moment {
     Moment::from_start(Duration::from_millis(1_000_000 + millis))
 }
 
-/// A service with models of two sizes: every third one is small.
+/// Returns a configuration with one service whose models have two sizes: every third one is small.
 pub fn configuration(models: usize) -> Arc<Configuration> {
     let specs: Vec<ModelSpec> = (0..models)
         .map(|index| ModelSpec {
@@ -69,7 +69,7 @@
     ))
 }
 
-/// The orderer's figures as a node uses them.
+/// Returns the orderer settings of a node.
 pub fn orderer_config() -> OrdererConfig {
     OrdererConfig {
         placement: PlacementConfig::default(),
@@ -90,18 +90,18 @@
     done_at: Moment,
 }
 
-/// A replica that carries out orders.
+/// A simulated replica that executes orders.
 pub struct SimulatedReplica {
-    /// What it holds.
+    /// Models, adapters and disk copies that the replica holds.
     pub holdings: Holdings,
-    /// When it started, as it reports.
+    /// Start time that the replica reports.
     pub started_ms: Option<StartedMs>,
     running: Vec<Running>,
     late: Vec<(Moment, Order, u64)>,
     history: VecDeque<(Moment, ReplicaReport)>,
-    /// Most memory that was held or on its way, in MB.
+    /// Peak memory of held and loading models and adapters, in MB.
     pub most_memory: f64,
-    /// Most adapters that were held or on their way.
+    /// Peak number of held and loading adapters.
     pub most_adapters: usize,
 }
 
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Starts again under its identity: it holds nothing, and counts orders anew.
+    /// Restarts the replica under the same ID, with empty holdings and a reset order sequence.
     pub fn start_again(&mut self) {
         let started_ms = self.started_ms.map(|started_ms| started_ms + 1);
         *self = SimulatedReplica {
@@ -139,7 +139,7 @@
         self.running.iter().any(|running| running.order.is_weights())
     }
 
-    /// Takes an order; answers what the replica would answer.
+    /// Accepts or rejects an order; returns the outcome and whether a load from the weight store starts.
     fn take(&mut self, order: &Order, expected: u64, now: Moment, spec: &EngineSpec) -> (OrderOutcome, bool) {
         if expected != self.holdings.sequence || self.is_busy() {
             return (OrderOutcome::Conflict, false);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// What is held or on its way, as the replica's limits count it.
+    /// Updates the peaks with what is held or loading, as the limits of a replica count it.
     fn measure(&mut self, spec: &EngineSpec) {
         let mut memory: f64 = self
             .holdings
@@ -255,18 +255,18 @@
     }
 }
 
-/// What becomes of one order's answer.
+/// What happens to an order and its answer.
 #[derive(Debug, Clone, Copy)]
 pub enum Fate {
-    /// Answered.
+    /// The order is executed and answered.
     Answered,
-    /// Carried out, the answer lost.
+    /// The order is executed, but the answer is lost.
     AnswerLost,
-    /// No answer; carried out after so many milliseconds.
+    /// The order is executed after the given number of milliseconds and not answered.
     Late(u64),
 }
 
-/// Orderer and replicas in simulated time.
+/// An orderer and its replicas in simulated time.
 pub struct World {
     /// The configuration in force.
     pub configuration: Arc<Configuration>,
@@ -274,28 +274,28 @@
     pub orderer: Orderer,
     /// The replicas.
     pub replicas: BTreeMap<ReplicaId, SimulatedReplica>,
-    /// Orders that were sent.
+    /// All orders sent so far.
     pub orders: Vec<(Moment, ReplicaId, Order)>,
-    /// When loads from the weight store began.
+    /// Start times of the loads from the weight store.
     pub store_loads: Vec<Moment>,
-    /// What becomes of the next orders' answers; answered when there are no more.
+    /// What happens to the next orders; orders beyond the queue are answered.
     pub fates: VecDeque<Fate>,
     answers: Vec<(Moment, ReplicaId, OrderOutcome)>,
     reports: Vec<(Moment, ReplicaId, Moment)>,
-    /// The present moment.
+    /// The current simulated time.
     pub now: Moment,
-    /// Whether the orderer may order, as after its quiet period.
+    /// Whether the orderer may send orders, as after its quiet period.
     pub may_order: bool,
 }
 
 impl World {
-    /// Replicas that hold some models each, under an orderer that has just begun.
+    /// Creates replicas that hold the given models, and an orderer that has just started.
     pub fn new(models: usize, holdings: &[&[&str]]) -> Self {
         let configuration = configuration(models);
         Self::with(configuration, orderer_config(), holdings)
     }
 
-    /// The same with a configuration and figures of one's own.
+    /// Creates a world with the given configuration and orderer settings.
     pub fn with(configuration: Arc<Configuration>, config: OrdererConfig, holdings: &[&[&str]]) -> Self {
         let mut orderer = Orderer::new(config, configuration.clone(), at(0));
         let mut replicas = BTreeMap::new();
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Replicas that hold two models each, dealt in turn.
+    /// Creates replicas that hold two models each, assigned round-robin.
     pub fn dealt(replicas: usize, models: usize, config: OrdererConfig) -> Self {
         let held: Vec<Vec<String>> = (0..replicas)
             .map(|replica| {
@@ -338,10 +338,10 @@
 
     fn spec(&self) -> EngineSpec {
         let service = self.configuration.service("llm").expect("the service exists");
-        service.engine.clone().expect("it serves models")
+        service.engine.clone().expect("the service has an engine")
     }
 
-    /// Runs for a time in steps of 20 ms.
+    /// Advances the simulation by the given time in steps of 20 ms.
     pub fn run(&mut self, millis: u64) {
         let spec = self.spec();
         let end = self.now + Duration::from_millis(millis);
@@ -415,7 +415,7 @@
     }
 }
 
-/// A replica as a directory lists it.
+/// Returns the listing of a replica.
 pub fn listing(id: &ReplicaId, holdings: &Holdings) -> ReplicaListing {
     ReplicaListing {
         id: id.clone(),
@@ -430,7 +430,7 @@
     }
 }
 
-/// Most events in any window of that length.
+/// Returns the maximum number of events in any window of the given length.
 pub fn most_in_window(moments: &[Moment], window: Duration) -> usize {
     let mut counts: HashMap<usize, usize> = HashMap::new();
     for (index, first) in moments.iter().enumerate() {
--- a/crates/croftrill-bench/src/experiment.rs
+++ b/crates/croftrill-bench/src/experiment.rs
@@ -13,24 +13,24 @@
 
 use crate::emulator::{orderer_config, World};
 
-/// A load: requests for a few busy models, and for each of many others now and then.
+/// A load with frequent requests for a few busy models and rare requests for many others.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Models that take most requests.
+    /// Number of models that receive most requests.
     pub busy_models: usize,
-    /// Requests a second for busy models.
+    /// Requests per second for the busy models together.
     pub busy_per_second: f64,
-    /// Requests a second for all others together.
+    /// Requests per second for all other models together.
     pub rare_per_second: f64,
-    /// Tokens of a request.
+    /// Tokens per request.
     pub tokens: f64,
-    /// Simulated seconds.
+    /// Length of the run in simulated seconds.
     pub seconds: u64,
-    /// Seed of the arrivals.
+    /// Seed of the random arrivals.
     pub seed: u64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Load {
-    /// One of its requests.
+    /// Returns the demand of one request.
     fn asked(&self) -> DemandSample {
         DemandSample {
             requests: 1.0,
@@ -61,17 +61,17 @@
     }
 }
 
-/// A policy to compare.
+/// A placement policy to compare.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
-    /// Name, for the report.
+    /// Name printed in the results.
     pub name: &'static str,
-    /// Its figures.
+    /// Placement settings of the policy.
     pub placement: PlacementConfig,
 }
 
-/// The policies that are compared: the nodes' own, one with many holders for
-/// busy models, and one that drops by demand alone as soon as it may.
+/// Returns the policies to compare: the default of the nodes, one with many holders for
+/// busy models, and one that evicts by demand alone, without a minimum residence.
 pub fn policies() -> [Policy; 3] {
     let usual = PlacementConfig::default();
     [
@@ -82,7 +82,7 @@
         Policy {
             name: "many-holders",
             placement: PlacementConfig {
-                // Every model wants a second holder as much as its first.
+                // A second holder of a model is worth as much as the first.
                 spare_value_share: 1.0,
                 spare_holder_min_rate: 0.0,
                 ..usual
@@ -98,31 +98,31 @@
     ]
 }
 
-/// What a policy did under a load.
+/// The results of a policy under a load.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests that found their model present.
+    /// Requests whose model was already loaded on a replica.
     pub warm: u64,
-    /// Requests whose model never came.
+    /// Requests whose model was not loaded within the maximum wait or before the run ended.
     pub unserved: u64,
-    /// Milliseconds that the others waited for their model.
+    /// Milliseconds that the remaining requests waited for their model.
     pub cold_millis: Histogram<u64>,
-    /// Loads of weights that were ordered.
+    /// Number of loads from the weight store.
     pub loads: usize,
 }
 
-/// Longest wait for a model that is still counted as served.
+/// Maximum wait after which a request counts as unserved.
 const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// Time within which a request earns full credit.
+/// Objective of every request.
 const OBJECTIVE: Duration = Duration::from_secs(4);
-/// Simulated time between two looks.
+/// Simulated time between two checks of the waiting requests.
 const STEP_MILLIS: u64 = 20;
-/// Time before the first request, in which replicas are confirmed.
+/// Warm-up before the first request, in which the replicas are confirmed.
 const LEAD_MILLIS: u64 = 6000;
 
-/// Plays a load under a policy.
+/// Simulates a load under a policy.
 pub fn play(load: &Load, policy: &Policy) -> Outcome {
     let config = OrdererConfig {
         placement: policy.placement,
@@ -158,7 +158,7 @@
     outcome
 }
 
-/// Counts the waiting requests whose model came, or whose time is over.
+/// Counts and removes the waiting requests whose model is loaded or whose maximum wait is over.
 fn settle(world: &World, waiting: &mut BTreeMap<ModelKey, Vec<Moment>>, outcome: &mut Outcome) {
     waiting.retain(|key, since| {
         if is_held(world, key) {
@@ -182,7 +182,7 @@
         .any(|replica| replica.holdings.serves(&key.model, None))
 }
 
-/// Random arrivals of a load.
+/// Generates the random arrivals of a load.
 struct Arrivals {
     load: Load,
     random: SmallRng,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Requests of one step.
+    /// Returns the models requested in one step.
     fn step(&mut self) -> Vec<ModelKey> {
         let seconds = STEP_MILLIS as f64 / 1000.0;
         let (busy, models) = (self.load.busy_models, self.load.models);
--- a/crates/croftrill-bench/src/lib.rs
+++ b/crates/croftrill-bench/src/lib.rs
@@ -1,7 +1,7 @@
-//! The project's emulator: the scheduler's own decisions in simulated time.
+//! Discrete-time emulator that runs the scheduler's production code against simulated replicas.
 //!
-//! It answers placement questions in seconds, without processes or sockets,
-//! and measures what the orderer costs at a size.
+//! It compares placement, routing and rate-limit policies within seconds, without processes or
+//! sockets, and measures the cost of the orderer at a given fleet size.
 
 pub mod capacity;
 pub mod emulator;
