--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What the orderer and its messages cost at a size, measured on this machine.
+//! Measures the planning time of the orderer and the size of its messages by fleet size.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 use crate::emulator::{at, orderer_config, World};
 
-/// One request.
+/// The demand of one request.
 const ASKED: DemandSample = DemandSample {
     requests: 1.0,
     tokens: 5000.0,
@@ -19,16 +19,16 @@
     late: 0.0,
 };
 
-/// A size to measure.
+/// A fleet size.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
 }
 
-/// Sizes that are measured; the last but one is the one to design for.
+/// The fleet sizes to measure; the last but one is the design target.
 pub const SIZES: [Size; 6] = [
     Size {
         replicas: 18,
@@ -56,23 +56,23 @@
     },
 ];
 
-/// What a size costs.
+/// The cost of the orderer at a fleet size.
 #[derive(Debug, Clone, Copy)]
 pub struct Cost {
-    /// Time of one plan while nothing waits.
+    /// Mean time of one plan while no requests wait.
     pub idle_plan: Duration,
-    /// Time of one plan while a tenth of the models wait.
+    /// Mean time of one plan while requests wait for a tenth of the models.
     pub busy_plan: Duration,
-    /// Bytes of all placements, as a node gets them once.
+    /// Bytes of the message with all placements, which a node receives once.
     pub snapshot_bytes: usize,
-    /// Bytes of one change.
+    /// Bytes of the message with one placement.
     pub change_bytes: usize,
 }
 
-/// Plans over which a time is averaged.
+/// Number of plans over which a time is averaged.
 const PLANS: u32 = 20;
 
-/// Measures a size.
+/// Measures the cost of the orderer at a fleet size.
 pub fn measure(size: Size) -> Cost {
     let mut world = World::dealt(size.replicas, size.models, orderer_config());
     confirm(&mut world);
@@ -100,7 +100,7 @@
     }
 }
 
-/// Confirms every replica by a report of what it holds.
+/// Confirms the holdings of every replica by a report.
 fn confirm(world: &mut World) {
     let reports: Vec<_> = world
         .replicas
@@ -137,22 +137,22 @@
     }
 }
 
-/// Requests in each node's report of crashes that are measured: of one replica that
-/// ended, and as many as a report holds.
+/// Numbers of requests in each node's crash report to measure: those of one replica that
+/// ended, and the maximum that a report holds.
 pub const REPORTED: [usize; 2] = [4, 128];
-/// Nodes that report, of the size to design for.
+/// Number of reporting nodes at the design target.
 const REPORTING_NODES: usize = 380;
 
-/// What the nodes' reports of requests that crash replicas cost one node.
+/// The cost to one node of the reports of requests that crash replicas.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashReportCost {
     /// Bytes of one report.
     pub report_bytes: usize,
-    /// Time of the first verdict after a report came.
+    /// Mean time to apply a report and compute the first verdict after it.
     pub verdict: Duration,
 }
 
-/// Measures reports of all nodes, with so many requests each.
+/// Measures the cost of crash reports from all nodes with the given number of requests each.
 pub fn measure_crash_reports(requests: usize) -> CrashReportCost {
     let mut ledger = CrashLedger::default();
     let report_of = |node: usize| -> CrashReport {
--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What each role of a fleet knows and is sent, worked out from the code's own tables,
-//! tree and messages.
+//! Computes how many replicas each role of a fleet knows and how many bytes it receives, from
+//! the production tables, relay tree and messages.
 
 use std::collections::HashMap;
 
@@ -15,66 +15,66 @@
 
 use crate::emulator::at;
 
-/// Zones of the fleet.
+/// Number of zones.
 const ZONES: usize = 6;
-/// Nodes for each one with several times the processor time of the others.
+/// One in this many nodes of a zone has several times the processor time of the others.
 const NODES_PER_STRONG: usize = 16;
-/// Models of the fleet.
+/// Number of models.
 const MODELS: usize = 300;
-/// Models that a replica holds.
+/// Number of models that a replica holds.
 const HELD: usize = 2;
-/// Models that the requests of one node ask for.
+/// Number of models that the requests of one node need.
 const ASKED: usize = 8;
-/// Bytes of a configuration with these models and some hundred routes.
+/// Size of a configuration with these models and some hundred routes.
 const CONFIGURATION_BYTES: usize = 80 * 1024;
-/// Bytes that an entry of a replica takes in an answer of the store: its JSON in base64,
-/// and the item around it.
+/// Size of a replica's entry in an answer of the store: its JSON in base64 and the
+/// enclosing item.
 const STORED_REPLICA_BYTES: usize = 560;
-/// The same of a node's entry.
+/// Size of a node's entry in an answer of the store.
 const STORED_NODE_BYTES: usize = 260;
-/// Nodes that give orders.
+/// Number of orderers.
 const ORDERERS: usize = 3;
 
-/// A fleet's size.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Replicas of a service with models.
+    /// Number of replicas of a service with models.
     pub replicas: usize,
 }
 
-/// What a fleet costs.
+/// The number of links, known replicas and bytes sent in a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetCost {
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Most followers of one of them.
+    /// Maximum number of followers of one relay.
     pub most_followers: usize,
-    /// Links from others to one orderer.
+    /// Number of links to one orderer from relays and other orderers.
     pub orderer_links: usize,
-    /// Replicas that a relay or an orderer knows.
+    /// Number of replicas that a relay or an orderer knows.
     pub relay_replicas: usize,
-    /// Replicas that a follower knows.
+    /// Number of replicas that a follower knows.
     pub follower_replicas: usize,
-    /// Bytes that a follower gets before it can serve.
+    /// Bytes that a follower receives before it can serve.
     pub follower_start_bytes: usize,
-    /// Bytes that it gets for one more model.
+    /// Bytes that a follower receives when it needs one more model.
     pub interest_bytes: usize,
-    /// Bytes of the longest message of a view that is told whole.
+    /// Bytes of the longest message of a full view.
     pub longest_message_bytes: usize,
-    /// Bytes of all that a relay is told whole: listings and placements.
+    /// Bytes of a relay's full view: nodes, listings and placements.
     pub relay_view_bytes: usize,
-    /// Bytes that the store sends as all nodes start together.
+    /// Bytes that the store sends when all nodes start at the same time.
     pub store_start_bytes: usize,
-    /// Bytes that all nodes together are sent for a change of one replica that every
-    /// tenth follower knows.
+    /// Bytes sent to all nodes together for a change of one replica that every tenth follower
+    /// knows.
     pub replica_change_bytes: usize,
-    /// Bytes that all nodes together are sent for a change of one node.
+    /// Bytes sent to all nodes together for a change of one node.
     pub node_change_bytes: usize,
 }
 
-/// Works out a fleet.
+/// Computes the cost of a fleet of the given size.
 pub fn work_out(size: FleetSize) -> FleetCost {
     let members: Vec<MemberEntry> = (0..size.nodes).map(member).collect();
     let places: Vec<TreeRole<'_>> = members.iter().map(|own| place_of(own, &members)).collect();
@@ -103,7 +103,7 @@
         follower_replicas,
         follower_start_bytes: CONFIGURATION_BYTES + own_items,
         interest_bytes,
-        longest_message_bytes: longest.expect("a fleet has nodes"),
+        longest_message_bytes: longest.expect("a full view has at least one message"),
         relay_view_bytes: whole.iter().chain(&placements).sum(),
         store_start_bytes: size.nodes * zone_list + (relays + ORDERERS) * everything,
         replica_change_bytes: change * (relays * ORDERERS + followers / 10),
@@ -133,7 +133,7 @@
     role(node(own), members.iter().map(node))
 }
 
-/// Most nodes whose first choice is the same relay.
+/// Returns the maximum number of followers whose first choice is the same relay.
 fn most_followers(places: &[TreeRole<'_>]) -> usize {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for place in places {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Bytes of replicas with what they hold.
+/// Returns the bytes of the listings and placements of the given replicas.
 fn replicas_bytes(table: &ReplicaTable, ids: &[ReplicaId]) -> usize {
     let entries = ids.iter().filter_map(|id| table.get(id));
     let bytes = entries.map(|entry| {
@@ -210,7 +210,7 @@
     bytes.sum()
 }
 
-/// Bytes of all nodes' entries as news.
+/// Returns the bytes of the updates that list all nodes.
 fn items_bytes(members: &[MemberEntry]) -> usize {
     let items = members.iter().map(|member| RevisedChange {
         revision: 1,
@@ -222,7 +222,7 @@
     items.map(|item| item.serialize_bin().len()).sum()
 }
 
-/// Bytes of the messages of a view that is told whole.
+/// Returns the bytes of each message of a full view of nodes and replicas.
 fn whole_parts(members: &[MemberEntry], table: &ReplicaTable) -> Vec<usize> {
     let nodes = members.iter().map(|member| WireChange::Written {
         key: format!("croftrill/nodes/{}/{}", member.zone, member.name),
