--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -1,8 +1,8 @@
-//! Ways in which nodes keep a replica's limit on requests together, in simulated time.
+//! Simulates the ways in which nodes enforce a replica's request rate limit together.
 //!
-//! Calls come at random to nodes that all were told of the limit; a way lets some go, now
-//! or after a wait. What counts: the sum that reaches the replica in its fullest window,
-//! and how much of the limit is used.
+//! Calls arrive at random at nodes that all know the limit. Each way lets some calls
+//! through, at once or after a wait. The results are the number of calls that reach the
+//! replica in its fullest window and the used fraction of the limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,41 +16,41 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Window in which a replica counts.
+/// Window over which a replica counts calls.
 pub const WINDOW: Duration = Duration::from_secs(4);
-/// Calls that a window may hold: one and a half times what the limit allows, and 5 more.
+/// Returns the maximum number of calls in a window: one and a half times the limit, plus 5.
 pub fn allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// Most time from a turn to the replica: a connection, over a link of 5 ms.
+/// Maximum delay from a reservation to arrival at the replica: opening a connection over a link of 5 ms.
 const LONGEST_WAY_MS: u64 = 40;
-/// Longest wait that a call bears.
+/// Maximum wait that a call accepts.
 const PATIENCE_MS: u64 = 500;
-/// Part of the calls that is urgent.
+/// Fraction of the calls that are urgent.
 const URGENT_PART: f64 = 0.2;
-/// Time in which a node finds that its keeper does not answer.
+/// Time until a node detects that its keeper does not answer.
 const NOTICED_AFTER: Duration = Duration::from_millis(300);
-/// Time until all lists know that a node is gone.
+/// Time until a lost node is removed from the node lists of all nodes.
 const LISTED_FOR: Duration = Duration::from_millis(3600);
-/// Time for which lists of living nodes differ.
+/// Maximum time for which the lists of live nodes differ between nodes.
 const LISTS_DIFFER_FOR: Duration = Duration::from_millis(1300);
 
-/// How nodes keep the limit.
+/// How nodes enforce the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// Each sends its even part, and saves up one request.
+    /// Each node uses an equal share of the limit and accrues at most one request.
     EvenShares,
-    /// Each sends its even part at fixed times of its own; a time that is not used lapses.
+    /// Each node reserves its equal share at fixed times of its own; unused times lapse.
     Turns,
-    /// So many nodes, chosen by a hash, share the limit; the others send nothing.
+    /// The given number of nodes, chosen by a hash, share the limit; the others send nothing.
     Chosen(usize),
-    /// One node keeps the balance, the others ask it.
+    /// One node, the keeper, tracks the limit; the others request reservations from it.
     Keeper,
 }
 
 impl Way {
-    /// For tables.
+    /// Returns the name printed in tables.
     pub fn name(self) -> &'static str {
         match self {
             Way::EvenShares => "shares",
@@ -61,64 +61,64 @@
     }
 }
 
-/// What goes wrong with keepers from the tenth to the twentieth second.
+/// A failure of the keepers from the tenth to the twentieth second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trouble {
-    /// Nothing.
+    /// No failure.
     None,
-    /// The first is killed, and starts again without a memory.
+    /// The first keeper is killed and restarts with empty state.
     Killed,
-    /// The first stands still, and goes on with what it knew.
+    /// The first keeper freezes and later continues with its old state.
     Frozen,
-    /// Every other node does not reach the first.
+    /// Every second node cannot reach the first keeper.
     Cut,
-    /// The second's list, and that of every other node, lacks the first for as long as
-    /// lists of living nodes differ.
+    /// The first keeper is missing from the node lists of the second keeper and of every
+    /// second node while lists of live nodes differ, so both keepers grant reservations.
     Doubled,
-    /// No node reaches a keeper.
+    /// No node can reach a keeper.
     Alone,
 }
 
-/// A run.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitRun {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// The limit.
+    /// Rate limit of the replica, in requests per second.
     pub limit_per_s: f64,
-    /// Calls that come in a second.
+    /// Mean rate at which calls arrive, per second.
     pub demand_per_s: f64,
-    /// How the limit is kept.
+    /// How the limit is enforced.
     pub way: Way,
-    /// What goes wrong.
+    /// The failure of the keepers.
     pub trouble: Trouble,
-    /// Draws the calls.
+    /// Seed of the random calls.
     pub seed: u64,
     /// Length of the run.
     pub length: Duration,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitOutcome {
-    /// Calls in the fullest window.
+    /// Number of calls in the fullest window.
     pub fullest: usize,
-    /// Calls that reached the replica, as a part of what the limit allows.
+    /// Calls that reached the replica, as a fraction of the limit.
     pub used: f64,
-    /// Mean wait of those.
+    /// Mean wait of those calls.
     pub mean_wait_ms: f64,
-    /// Questions to keepers in a second.
+    /// Requests to keepers per second.
     pub questions_per_s: f64,
 }
 
-/// Begin and end of the trouble.
+/// Start and end of the failure.
 const TROUBLE: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(20));
 
 fn at(elapsed: Duration) -> Moment {
     Moment::from_start(Duration::from_secs(3600) + elapsed)
 }
 
-/// Nodes and keepers in the middle of a run.
+/// State of the nodes and keepers during a run.
 struct Fleet {
     run: LimitRun,
     replica: Arc<str>,
@@ -129,7 +129,7 @@
     questions: usize,
 }
 
-/// Who rules on a node's calls.
+/// Decides on the calls of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ruler {
     First,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Who a node asks at a time, as the trouble is.
+    /// Returns what decides on a node's calls at the given time, under the failure of the run.
     fn ruler(&self, node: usize, now: Duration) -> Ruler {
         let (begin, end) = TROUBLE;
         let in_trouble = now >= begin && now < end;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What the keepers know of their places in their lists.
+    /// Updates the roles of the keepers to what their node lists show at the given time.
     fn settle_keepers(&mut self, now: Duration) {
         let (begin, end) = TROUBLE;
         let in_trouble = now >= begin && now < end;
@@ -243,7 +243,7 @@
         granted(turns.reserve(&self.replica, rate, nodes, unit, want.patience, at(now)))
     }
 
-    /// A request of what a node saved up as one of so many.
+    /// Uses an accrued request of a node that shares the limit equally with `among` nodes in all.
     fn take_saved(&mut self, node: usize, among: usize, now: Duration) -> Option<Duration> {
         let (since, saved) = &mut self.saved[node];
         let gained = (now - *since).as_secs_f64() * self.run.limit_per_s / among as f64;
@@ -273,7 +273,7 @@
     }
 }
 
-/// Plays a run.
+/// Simulates a run.
 pub fn play(run: LimitRun) -> LimitOutcome {
     let mut random = SmallRng::seed_from_u64(run.seed);
     let mut fleet = Fleet::new(run);
@@ -306,7 +306,7 @@
     }
 }
 
-/// Calls in the fullest window.
+/// Returns the number of calls in the fullest window.
 fn fullest_window(reached: &[Duration]) -> usize {
     let in_window = |(index, begin): (usize, &Duration)| {
         let end = *begin + WINDOW;
