--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -1,8 +1,9 @@
-//! Ways in which nodes choose among uneven replicas, in simulated time.
+//! Simulates the ways in which nodes choose among replicas of different speed.
 //!
-//! Streams come at random to nodes, each of which knows the replicas' loads by its own
-//! answers and, as far as news comes, by the others'. What counts: how even the work is
-//! spread, who waits or is rejected, and when first events come.
+//! Streams arrive at random at nodes. A node knows the loads of replicas from the answers to
+//! its own requests and from the updates of other nodes, which may be late or missing. The
+//! results are how evenly the work is spread, how many streams wait or are rejected, and how
+//! long first events take.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,104 +19,105 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How a node chooses.
+/// How a node chooses a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
-    /// Holders count as equal.
+    /// All holders are treated as equally fast.
     Alike,
-    /// The least expected cost.
+    /// The replica with the lowest expected cost.
     LeastCost,
-    /// The better of two that are drawn.
+    /// The cheaper of two random replicas.
     TwoChoices,
-    /// Drawn by free room.
+    /// A random replica, weighted by free capacity.
     ByRoom,
-    /// As nodes do.
+    /// The choice that nodes make in production.
     Chosen,
 }
 
-/// How a node hears of the loads that replicas told others.
+/// How a node receives the loads that replicas reported to other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum News {
-    /// Not at all.
+    /// It receives none.
     None,
-    /// So long after they were told.
+    /// After the given delay.
     After(Duration),
-    /// The same, but half of it does not come.
+    /// After the given delay, but half of the updates are lost.
     Lost(Duration),
-    /// The same, but every tenth replica tells that it is empty.
+    /// After the given delay, but every tenth replica always reports that it is empty.
     False(Duration),
 }
 
-/// A run.
+/// Parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct SpreadRun {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How they choose.
+    /// How nodes choose replicas.
     pub way: Way,
-    /// What they hear.
+    /// How nodes receive load updates.
     pub news: News,
-    /// Streams that come in a second.
+    /// Mean rate at which streams arrive, per second.
     pub demand_per_s: f64,
-    /// Draws the streams.
+    /// Seed of the random streams.
     pub seed: u64,
     /// Length of the run.
     pub length: Duration,
 }
 
-/// What came of it.
+/// Results of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SpreadOutcome {
-    /// Part of the streams that waited at a full replica.
+    /// Fraction of the streams that waited at a full replica.
     pub waited: f64,
-    /// Part of the streams that a full replica rejected.
+    /// Fraction of the streams that a full replica rejected.
     pub rejected: f64,
-    /// Part whose first event came after the objective.
+    /// Fraction of the streams whose first event came after the objective.
     pub late: f64,
-    /// Part that did not end within its deadline.
+    /// Fraction of the streams that did not end within the deadline.
     pub overdue: f64,
-    /// Time to the first event of 99 of 100, in milliseconds.
+    /// 99th percentile of the time to the first event, in milliseconds.
     pub first_event_p99_ms: f64,
-    /// Place-seconds taken at the busiest replica, in times of the mean.
+    /// Slot-seconds used at the busiest replica, divided by the mean over all replicas.
     pub busiest_to_mean: f64,
 }
 
-/// Replicas; the model of each place follows from its number.
+/// Number of replicas; the index of a replica determines the models that it holds.
 const REPLICAS: usize = 60;
-/// Models, each held by ten replicas.
+/// Number of models, each held by ten replicas.
 const MODELS: usize = 12;
-/// Models of one replica.
+/// Number of models that a replica holds.
 const MODELS_HELD: usize = 2;
-/// Requests that a replica runs at the same time.
+/// Requests that a replica runs concurrently.
 const SLOTS: usize = 24;
-/// Requests that may wait there besides.
+/// Requests that may wait at a replica in addition.
 const QUEUE: usize = 72;
-/// Work times of the replicas, in turn, in hundredths of the usual.
+/// Work times of the replicas, assigned round-robin, in percent of the usual.
 const WORK_TIMES_PCT: [u32; 3] = [60, 100, 160];
-/// How often it is drawn anew which replicas are disturbed.
+/// Interval at which the disturbed replicas are drawn again.
 const DISTURBED_EVERY: Duration = Duration::from_millis(600);
-/// Part of the replicas that are.
+/// Probability that a replica is disturbed.
 const DISTURBED_PART: f64 = 0.15;
-/// Work there takes so many times as long.
+/// Factor by which work takes longer on a disturbed replica.
 const DISTURBED_TIMES: f64 = 2.5;
-/// Time within which the first event should come.
+/// Objective for the time to the first event.
 const OBJECTIVE: Duration = Duration::from_millis(400);
 /// Time within which a stream must end.
 const DEADLINE: Duration = Duration::from_secs(12);
-/// Tokens of a stream's prompt.
+/// Tokens in the prompt of a stream.
 const PROMPT_TOKENS: u64 = 600;
-/// Mean tokens that a long stream writes, and a short one.
+/// Mean number of output tokens of a long stream.
 const LONG_OUTPUT: f64 = 280.0;
+/// Mean number of output tokens of a short stream.
 const SHORT_OUTPUT: f64 = 48.0;
-/// Most tokens that one writes.
+/// Maximum number of output tokens of a stream.
 const MOST_OUTPUT: f64 = 952.0;
-/// Part of the streams that are short.
+/// Fraction of the streams that are short.
 const SHORT_PART: f64 = 0.44;
-/// Greatest error of the length that a caller tells: the natural logarithm of the quotient.
+/// Maximum error of the output length that a caller hints, as the natural logarithm of the ratio.
 const HINT_ERROR: f64 = 0.5;
-/// Least time between two accounts of one replica that are passed on.
+/// Minimum time between two load samples of one replica that are forwarded to other nodes.
 const NEWS_EVERY: Duration = Duration::from_millis(200);
-/// Exponent by which demand falls with a model's number (Zipf's law).
+/// Exponent by which demand falls with the index of a model (Zipf's law).
 const MODEL_SKEW: f64 = 0.4;
 
 /// A stream at a replica.
@@ -126,15 +128,16 @@
     came_at: Duration,
 }
 
-/// A replica in the middle of a run.
+/// State of a replica during a run.
 #[derive(Debug, Default)]
 struct Engine {
     running: usize,
     waiting: VecDeque<Stream>,
     work_time: f64,
     disturbed: bool,
-    /// Place-seconds that were taken, and since when so many are.
+    /// Slot-seconds used up to `since`.
     taken_s: f64,
+    /// Time up to which `taken_s` is counted.
     since: Duration,
     told_at: Option<Duration>,
 }
@@ -207,7 +210,7 @@
     }
 }
 
-/// Plays a run.
+/// Simulates a run.
 pub fn play(run: SpreadRun) -> SpreadOutcome {
     let tables = (0..run.nodes).map(|_| {
         let mut table = ReplicaTable::new();
@@ -237,7 +240,7 @@
             break;
         }
         let event = play.events[number as usize].take();
-        play.handle(event.expect("each is handled once"), now);
+        play.handle(event.expect("each event is handled once"), now);
     }
     play.outcome()
 }
@@ -436,14 +439,14 @@
         }
     }
 
-    /// A stream that never ran is gone from the replica.
+    /// Removes a stream that never ran from the load that its node counts for the replica.
     fn leave(&mut self, replica: usize, node: usize, work: RequestWork) {
         let (table, id) = (&mut self.nodes[node], replica_id(replica));
         table.prompt_done(&id, work.prompt_tokens);
         table.end_send(&id);
     }
 
-    /// The replica answers a node, which passes on what it told if that is due.
+    /// Reports the load of a replica to a node, which forwards it to the others if a sample is due.
     fn tell(&mut self, replica: usize, node: usize, now: Duration) {
         let mut load = self.engines[replica].load();
         if matches!(self.run.news, News::False(_)) && replica % 10 == 0 {
@@ -479,7 +482,7 @@
         }
     }
 
-    /// Where replicas count as equal, nobody reads their work time.
+    /// Returns a load as a node records it: without the work time where replicas are treated as equal.
     fn as_heard(&self, load: ReplicaLoad) -> ReplicaLoad {
         ReplicaLoad {
             work_time_pct: load.work_time_pct.filter(|_| self.run.way != Way::Alike),
@@ -507,7 +510,7 @@
     }
 }
 
-/// The ways in which nodes choose only here, for comparison.
+/// Chooses by one of the ways that exist only for comparison.
 fn pick<'a, 'b>(
     way: Way,
     weighed: &'b [WeightedReplica<'a>],
