--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `croftrill-bench`: experiments with placement, and what the orderer costs.
+//! `croftrill-bench`: compares scheduling policies and measures the cost of the orderer.
 
 use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED, SIZES};
 use croftrill_bench::experiment::{play, policies, Load};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const HELP: &str = "\
-Plays loads against the scheduler's own code in simulated time.
+Runs simulated loads against the scheduler's own code.
 
 Usage: croftrill-bench experiment [--models N] [--replicas N] [--rare PER_S]
                                   [--busy PER_S] [--seconds N] [--seeds N]
@@ -58,8 +58,9 @@
     Ok(())
 }
 
-/// Ways to keep a replica's limit over all nodes, each over so many seeds: the fullest
-/// window of all, and means of the rest.
+/// Prints a comparison of the ways to enforce a replica's rate limit across all nodes.
+///
+/// The fullest window is the maximum over all seeds; the other columns are means.
 fn compare_limits(seeds: u64) {
     println!(
         "{:>5} {:>7} {:<10} {:<8} {:>8} {:>8} {:>6} {:>8} {:>11}",
@@ -85,7 +86,7 @@
 }
 
 fn compare_limit(nodes: usize, limit_per_s: f64, way: Way, trouble: Trouble, seeds: u64) {
-    /// Calls that come for each that the limit allows.
+    /// Ratio of arriving requests to those that the limit allows.
     const PRESSURE: f64 = 4.0;
     let outcomes: Vec<_> = (1..=seeds)
         .map(|seed| {
@@ -113,7 +114,7 @@
     );
 }
 
-/// Ways to choose among uneven replicas; means over the seeds.
+/// Prints a comparison of the ways to choose among replicas of different speed, as means over the seeds.
 fn compare_spread(seeds: u64, demand_per_s: f64) {
     println!(
         "{:>5} {:<16} {:<11} {:>7} {:>9} {:>6} {:>8} {:>7} {:>13}",
