--- a/crates/croftrill-bench/tests/experiment.rs
+++ b/crates/croftrill-bench/tests/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments repeat, and the usual policy is no worse than its baselines.
+//! Tests that experiments are reproducible, that the default placement policy beats its baseline, and
+//! that the size of a change does not depend on the size of the fleet.
 
 use croftrill_bench::capacity::{measure, Size};
 use croftrill_bench::experiment::{play, policies, Load};
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! An orderer before thousands of replicas: what it does must not grow with them.
+//! Tests that the work of an orderer and of a follower does not grow with the number of replicas.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// Reports asked for in so many plans of 40 ms.
+/// Returns the number of reports requested over the given number of plans at intervals of 40 ms.
 fn reports_asked(world: &mut World, plans: usize) -> usize {
     let mut reports = 0;
     for _ in 0..plans {
@@ -30,8 +30,9 @@
     reports
 }
 
-/// Each of 9,640 replicas was asked every 2.5 s: 3,856 reports a second, over as many
-/// connections, took a small machine's processor time.
+/// Guards against requests for reports that grow with the fleet: 9,640 replicas at one request
+/// each per 2.5 s are 3,856 reports per second, over as many connections, which use up the
+/// processor time of a small machine.
 #[test]
 fn reports_that_no_order_waits_for_are_asked_at_a_bounded_rate() {
     let counts: Vec<usize> = [2000, 4000]
@@ -45,7 +46,8 @@
     assert!(counts[0] <= 64 + 24 * 10, "{counts:?}");
 }
 
-/// The best place of a model that is waited for is asked at once, whoever is due.
+/// The best replica for a model with waiting requests is asked for a report at once, ahead of those
+/// that are due.
 #[test]
 fn model_that_is_waited_for_is_loaded_although_few_replicas_are_confirmed() {
     let mut world = World::dealt(2000, 300, orderer_config());
@@ -53,7 +55,7 @@
     for replica in world.replicas.values_mut() {
         replica.holdings.models.retain(|held| &*held.model != "m7");
     }
-    // Entries come later than reports.
+    // Listings reach the orderer later than reports.
     world.run(1000);
     let holders: Vec<_> = world
         .replicas
@@ -71,8 +73,8 @@
     assert!(world.orders.iter().any(is_load), "orders: {:?}", world.orders);
 }
 
-/// What a follower knows and is sent follows what its requests ask for; twice the fleet
-/// must not be twice of it.
+/// What a follower knows and receives depends on the models that its requests need, not on the
+/// size of the fleet.
 #[test]
 fn work_out_of_twice_the_fleet_leaves_a_follower_as_it_was() {
     let size = |nodes, replicas| work_out(FleetSize { nodes, replicas });
@@ -81,11 +83,14 @@
     // Addresses of more replicas have more digits.
     assert!(twice.interest_bytes <= fleet.interest_bytes * 101 / 100);
     assert!(twice.most_followers <= fleet.most_followers * 3 / 2);
-    assert!(twice.longest_message_bytes < 256 * 1024, "a quarter of a frame");
-    // The list of nodes is what still grows with the fleet.
+    assert!(
+        twice.longest_message_bytes < 256 * 1024,
+        "more than a quarter of a frame"
+    );
+    // Of what a follower receives at its start, only the list of nodes grows with the fleet.
     assert!(twice.follower_start_bytes < 512 * 1024, "{twice:?}");
     assert!(
         twice.store_start_bytes < 16 * 125_000_000,
-        "16 s of a link of 1,000 Mbit/s"
+        "more than 16 s of a 1,000 Mbit/s link"
     );
 }
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -1,11 +1,11 @@
-//! The limit that a replica names, over nodes and keepers in trouble, in simulated time.
+//! Tests in simulated time that nodes respect and use the limit of a replica while keepers fail.
 
 use std::time::Duration;
 
 use croftrill_bench::limits::{allowed, play, LimitRun, Trouble, Way};
 use proptest::prelude::*;
 
-/// Least part of the limit that is used where there is demand.
+/// Minimum fraction of the limit that must be used when demand exceeds it.
 const LEAST_USE: f64 = 0.8;
 
 fn trouble() -> impl Strategy<Value = Trouble> {
@@ -34,8 +34,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// However keepers end, stand still, are cut off or doubled: no window holds more than
-    /// the replica bears.
+    /// No window holds more calls than are allowed, whether keepers are killed, frozen,
+    /// unreachable or duplicated.
     #[test]
     fn play_of_any_trouble_stays_within_what_is_allowed(
         nodes in prop_oneof![Just(7usize), Just(295), Just(985)],
@@ -49,7 +49,7 @@
     }
 }
 
-/// A bound that is kept by sending nothing serves nobody.
+/// Guards against a limit that is respected by sending too little.
 #[test]
 fn play_without_trouble_uses_the_limit_at_all_sizes() {
     for nodes in [7, 295, 985] {
@@ -58,14 +58,14 @@
             let used = runs.sum::<f64>() / 10.0;
             assert!(
                 used >= LEAST_USE,
-                "{used} of {limit_per_s} a second at {nodes} nodes"
+                "used fraction {used} of {limit_per_s} per second at {nodes} nodes"
             );
         }
     }
 }
 
-/// What the keeper is weighed against: nodes that keep even parts by themselves waste the
-/// limit as soon as there are many of them.
+/// The baseline for the keeper: many nodes that each use an equal share on their own leave most of
+/// the limit unused.
 #[test]
 fn play_of_even_parts_wastes_the_limit_of_a_large_fleet() {
     let shares = LimitRun {
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -1,12 +1,13 @@
-//! The choice among uneven replicas, with old, lost and false news, in simulated time.
+//! Tests the choice among replicas of different speed under late, lost and false load updates, in
+//! simulated time.
 
 use std::time::Duration;
 
 use croftrill_bench::spread::{play, News, SpreadRun, Way};
 
-/// Half of the places are taken in the mean: none needs to wait.
+/// Rate at which half of the slots are in use on average, so that no stream needs to wait.
 const DEMAND_PER_S: f64 = 500.0;
-/// Part of the streams that may wait although others have room.
+/// Maximum fraction of streams that may wait although other replicas have free slots.
 const MOST_WAITING: f64 = 0.02;
 
 fn run(nodes: usize, news: News) -> SpreadRun {
@@ -20,7 +21,8 @@
     }
 }
 
-/// Nodes that hear of loads a second late all went to the replica that was empty then.
+/// Guards against herding: nodes that receive loads a second late all choose the replica that was
+/// empty then.
 #[test]
 fn old_news_draws_no_herd() {
     for nodes in [7, 65] {
@@ -35,21 +37,21 @@
     }
 }
 
-/// Each node hears a replica once in some ten seconds, and nothing from the others.
+/// Without updates, a node observes the load of a replica only about once in ten seconds.
 #[test]
 fn nodes_that_hear_nothing_of_others_fill_no_replica() {
     let outcome = play(run(65, News::None));
     assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
 }
 
-/// Half of the accounts do not come.
+/// Half of the load updates are lost.
 #[test]
 fn lost_news_fills_no_replica() {
     let outcome = play(run(65, News::Lost(Duration::from_millis(200))));
     assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
 }
 
-/// Replicas that tell that they are empty get more than their part, but the others serve.
+/// Replicas that falsely report to be empty receive more than their share, but the others still serve.
 #[test]
 fn false_news_costs_less_than_going_by_it_alone() {
     let lies = News::False(Duration::from_millis(200));
@@ -62,7 +64,7 @@
     assert!(drawn.late < least_cost.late, "{drawn:?} {least_cost:?}");
 }
 
-/// The same run twice.
+/// Guards against hidden state or randomness in a run.
 #[test]
 fn play_depends_on_nothing_but_the_run() {
     let news = News::After(Duration::from_millis(200));
