--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -127,7 +127,7 @@
     }
 
     /// Restarts the replica under the same ID, with empty holdings and a reset order sequence.
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         let started_ms = self.started_ms.map(|started_ms| started_ms + 1);
         *self = SimulatedReplica {
             started_ms,
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -540,7 +540,7 @@
         world.run(4000);
     }
     for replica in world.replicas.values_mut() {
-        replica.start_again();
+        replica.restart();
     }
     world.run(4000);
     for model in ["m1", "m2"] {
@@ -557,7 +557,7 @@
     let mut world = World::new(8, &[&["m1"], &["m2"]]);
     world.run(1000);
     let id: std::sync::Arc<str> = "r0".into();
-    world.replicas.get_mut(&id).expect("it is there").start_again();
+    world.replicas.get_mut(&id).expect("it is there").restart();
     world.run(4000);
     assert_eq!(world.orderer.started_ms("r0"), Some(2));
     let before = format!("{:?}", world.orderer.all_placements(world.now));
