--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -100,9 +100,9 @@
     late: Vec<(Moment, Order, u64)>,
     history: VecDeque<(Moment, ReplicaReport)>,
     /// Peak memory of held and loading models and adapters, in MB.
-    pub most_memory: f64,
+    pub peak_memory_mb: f64,
     /// Peak number of held and loading adapters.
-    pub most_adapters: usize,
+    pub peak_adapters: usize,
 }
 
 impl SimulatedReplica {
@@ -121,8 +121,8 @@
             running: Vec::new(),
             late: Vec::new(),
             history: VecDeque::new(),
-            most_memory: 0.0,
-            most_adapters: 0,
+            peak_memory_mb: 0.0,
+            peak_adapters: 0,
         }
     }
 
@@ -164,7 +164,7 @@
             order: order.clone(),
             done_at: now + takes,
         });
-        self.measure(spec);
+        self.update_peaks(spec);
         (
             OrderOutcome::Accepted,
             matches!(order, Order::LoadModel(_)) && !copied,
@@ -197,7 +197,7 @@
     }
 
     /// Updates the peaks with what is held or loading, as the limits of a replica count it.
-    fn measure(&mut self, spec: &EngineSpec) {
+    fn update_peaks(&mut self, spec: &EngineSpec) {
         let mut memory: f64 = self
             .holdings
             .models
@@ -215,8 +215,8 @@
                 _ => {}
             }
         }
-        self.most_memory = self.most_memory.max(memory);
-        self.most_adapters = self.most_adapters.max(adapters);
+        self.peak_memory_mb = self.peak_memory_mb.max(memory);
+        self.peak_adapters = self.peak_adapters.max(adapters);
     }
 
     fn step(&mut self, now: Moment, spec: &EngineSpec) -> usize {
@@ -431,7 +431,7 @@
 }
 
 /// Returns the maximum number of events in any window of the given length.
-pub fn most_in_window(moments: &[Moment], window: Duration) -> usize {
+pub fn max_in_window(moments: &[Moment], window: Duration) -> usize {
     let mut counts: HashMap<usize, usize> = HashMap::new();
     for (index, first) in moments.iter().enumerate() {
         let count = moments[index..]
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -203,7 +203,7 @@
     }
     world.run(3000);
     assert!(
-        most_in_window(&world.store_loads, Duration::from_millis(200)) >= 3,
+        max_in_window(&world.store_loads, Duration::from_millis(200)) >= 3,
         "loads started at {:?}",
         world.store_loads
     );
@@ -400,11 +400,11 @@
         }
         world.run(12_000);
         for (id, replica) in &world.replicas {
-            prop_assert!(replica.most_memory <= WEIGHTS_MB, "{id}: {} MB", replica.most_memory);
-            prop_assert!(replica.most_adapters <= ADAPTER_SLOTS, "{id}: {} adapters", replica.most_adapters);
+            prop_assert!(replica.peak_memory_mb <= WEIGHTS_MB, "{id}: {} MB", replica.peak_memory_mb);
+            prop_assert!(replica.peak_adapters <= ADAPTER_SLOTS, "{id}: {} adapters", replica.peak_adapters);
         }
         let ceiling = (LOADS_PER_SECOND * CEILING_WINDOW.as_secs_f64() * 1.1) as usize + 3;
-        prop_assert!(most_in_window(&world.store_loads, CEILING_WINDOW) <= ceiling);
+        prop_assert!(max_in_window(&world.store_loads, CEILING_WINDOW) <= ceiling);
     }
 }
 
@@ -434,7 +434,7 @@
         world.store_loads.is_empty(),
         "the predecessor's loads count within the window"
     );
-    assert_eq!(most_in_window(&world.store_loads, Duration::from_secs(5)), 0);
+    assert_eq!(max_in_window(&world.store_loads, Duration::from_secs(5)), 0);
 }
 
 /// A replica reports to its orderer's node that it is leaving, long before its entry does.
