--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -257,7 +257,7 @@
 
 /// What happens to an order and its answer.
 #[derive(Debug, Clone, Copy)]
-pub enum Fate {
+pub enum OrderDelivery {
     /// The order is executed and answered.
     Answered,
     /// The order is executed, but the answer is lost.
@@ -279,7 +279,7 @@
     /// Start times of the loads from the weight store.
     pub store_loads: Vec<Moment>,
     /// What happens to the next orders; orders beyond the queue are answered.
-    pub fates: VecDeque<Fate>,
+    pub deliveries: VecDeque<OrderDelivery>,
     answers: Vec<(Moment, ReplicaId, OrderOutcome)>,
     reports: Vec<(Moment, ReplicaId, Moment)>,
     /// The current simulated time.
@@ -311,7 +311,7 @@
             replicas,
             orders: Vec::new(),
             store_loads: Vec::new(),
-            fates: VecDeque::new(),
+            deliveries: VecDeque::new(),
             answers: Vec::new(),
             reports: Vec::new(),
             now: at(0),
@@ -388,20 +388,20 @@
             } => {
                 self.orders.push((now, replica.clone(), order.clone()));
                 let target = self.replicas.get_mut(&replica).expect("the replica exists");
-                let fate = self.fates.pop_front().unwrap_or(Fate::Answered);
-                let outcome = match fate {
-                    Fate::Late(delay) => {
+                let delivery = self.deliveries.pop_front().unwrap_or(OrderDelivery::Answered);
+                let outcome = match delivery {
+                    OrderDelivery::Late(delay) => {
                         target
                             .late
                             .push((now + Duration::from_millis(delay), order, expected_sequence));
                         None
                     }
-                    Fate::Answered | Fate::AnswerLost => {
+                    OrderDelivery::Answered | OrderDelivery::AnswerLost => {
                         let (outcome, from_store) = target.take(&order, expected_sequence, now, spec);
                         if from_store {
                             self.store_loads.push(now);
                         }
-                        matches!(fate, Fate::Answered).then_some(outcome)
+                        matches!(delivery, OrderDelivery::Answered).then_some(outcome)
                     }
                 };
                 let (delay, outcome) = match outcome {
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -363,11 +363,11 @@
     );
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = OrderDelivery> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::AnswerLost),
-        1 => (600u64..9000).prop_map(Fate::Late),
+        4 => Just(OrderDelivery::Answered),
+        1 => Just(OrderDelivery::AnswerLost),
+        1 => (600u64..9000).prop_map(OrderDelivery::Late),
     ]
 }
 
@@ -383,11 +383,11 @@
     /// hold more than fits, and the weight store's ceiling is not exceeded.
     #[test]
     fn plan_respects_limits_whatever_happens_to_orders(
-        fates in prop::collection::vec(fate(), 0..60),
+        deliveries in prop::collection::vec(delivery(), 0..60),
         requests in prop::collection::vec((0usize..14, 0usize..5, 20u64..900), 1..50),
     ) {
         let mut world = World::new(14, &[&["m1", "m2"], &["m3", "m4"], &["m0", "m6", "m9"]]);
-        world.fates = fates.into();
+        world.deliveries = deliveries.into();
         world.run(500);
         for (model, adapter, pause) in requests {
             let model = format!("m{model}");
