--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -74,7 +74,7 @@
 
 /// Measures the cost of the orderer at a fleet size.
 pub fn measure(size: Size) -> Cost {
-    let mut world = World::dealt(size.replicas, size.models, orderer_config());
+    let mut world = World::round_robin(size.replicas, size.models, orderer_config());
     confirm(&mut world);
     let now = at(100);
     for model in 0..size.models {
--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -292,11 +292,15 @@
     /// Creates replicas that hold the given models, and an orderer that has just started.
     pub fn new(models: usize, holdings: &[&[&str]]) -> Self {
         let configuration = configuration(models);
-        Self::with(configuration, orderer_config(), holdings)
+        Self::with_config(configuration, orderer_config(), holdings)
     }
 
     /// Creates a world with the given configuration and orderer settings.
-    pub fn with(configuration: Arc<Configuration>, config: OrdererConfig, holdings: &[&[&str]]) -> Self {
+    pub fn with_config(
+        configuration: Arc<Configuration>,
+        config: OrdererConfig,
+        holdings: &[&[&str]],
+    ) -> Self {
         let mut orderer = Orderer::new(config, configuration.clone(), at(0));
         let mut replicas = BTreeMap::new();
         for (index, models) in holdings.iter().enumerate() {
@@ -320,11 +324,11 @@
     }
 
     /// Creates replicas that hold two models each, assigned round-robin.
-    pub fn dealt(replicas: usize, models: usize, config: OrdererConfig) -> Self {
+    pub fn round_robin(replicas: usize, models: usize, config: OrdererConfig) -> Self {
         let held: Vec<Vec<String>> = (0..replicas)
             .map(|replica| {
                 (0..2)
-                    .map(|place| format!("m{}", (replica * 2 + place) % models))
+                    .map(|offset| format!("m{}", (replica * 2 + offset) % models))
                     .collect()
             })
             .collect();
@@ -333,7 +337,7 @@
             .map(|models| models.iter().map(String::as_str).collect())
             .collect();
         let slices: Vec<&[&str]> = names.iter().map(Vec::as_slice).collect();
-        Self::with(configuration(models), config, &slices)
+        Self::with_config(configuration(models), config, &slices)
     }
 
     fn spec(&self) -> EngineSpec {
--- a/crates/croftrill-bench/src/experiment.rs
+++ b/crates/croftrill-bench/src/experiment.rs
@@ -128,7 +128,7 @@
         placement: policy.placement,
         ..orderer_config()
     };
-    let mut world = World::dealt(load.replicas, load.models, config);
+    let mut world = World::round_robin(load.replicas, load.models, config);
     world.run(LEAD_MILLIS);
     let mut arrivals = Arrivals::new(load);
     let mut outcome = Outcome {
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -38,7 +38,7 @@
     let counts: Vec<usize> = [2000, 4000]
         .into_iter()
         .map(|replicas| {
-            let mut world = World::dealt(replicas, 300, orderer_config());
+            let mut world = World::round_robin(replicas, 300, orderer_config());
             reports_asked(&mut world, 250)
         })
         .collect();
@@ -50,7 +50,7 @@
 /// that are due.
 #[test]
 fn model_that_is_waited_for_is_loaded_although_few_replicas_are_confirmed() {
-    let mut world = World::dealt(2000, 300, orderer_config());
+    let mut world = World::round_robin(2000, 300, orderer_config());
     world.run(200);
     for replica in world.replicas.values_mut() {
         replica.holdings.models.retain(|held| &*held.model != "m7");
--- a/crates/croftrill-bench/tests/holders.rs
+++ b/crates/croftrill-bench/tests/holders.rs
@@ -59,7 +59,7 @@
     fn new(held: &[(u32, &[&str])]) -> Self {
         let holdings: Vec<&[&str]> = held.iter().map(|(_, models)| *models).collect();
         let config = orderer_config();
-        let mut world = World::with(configuration(MODELS), config, &holdings);
+        let mut world = World::with_config(configuration(MODELS), config, &holdings);
         for replica in world.replicas.values_mut() {
             replica.holdings.copies.on_disk = (0..MODELS).map(|index| format!("m{index}").into()).collect();
         }
@@ -365,7 +365,7 @@
                 scope: OrderScope::One(Shard::of_replica(&ids[index])),
                 ..orderer_config()
             };
-            let mut world = World::with(configuration(MODELS), config, &held);
+            let mut world = World::with_config(configuration(MODELS), config, &held);
             for number in (0..=second).filter(|number| !numbers.contains(number)) {
                 world.orderer.remove_replica(&format!("r{number}"));
             }
--- a/crates/croftrill-bench/tests/orderer.rs
+++ b/crates/croftrill-bench/tests/orderer.rs
@@ -98,7 +98,7 @@
         ceiling_window: Duration::from_secs(1),
         ..orderer_config()
     };
-    let mut world = World::with(configuration(8), config, &[&["m1"]]);
+    let mut world = World::with_config(configuration(8), config, &[&["m1"]]);
     world.run(3000);
     world.orderer.mark_waiting(&key("m5", None), world.now);
     world.run(3500);
@@ -112,7 +112,7 @@
     let held: Vec<&[&str]> = vec![&["m1", "m2"]; 9];
     // The initial limit for all orderers together is two concurrent loads of 12 s.
     let configuration = with_store_load(40, Duration::from_secs(12));
-    let mut world = World::with(configuration, orderer_config(), &held);
+    let mut world = World::with_config(configuration, orderer_config(), &held);
     world.run(6000);
     for index in 3..=12 {
         world
@@ -143,7 +143,7 @@
         ..orderer_config()
     };
     let load = Duration::from_millis(13_200);
-    let mut world = World::with(with_store_load(40, load), config, &[&[], &[], &[]]);
+    let mut world = World::with_config(with_store_load(40, load), config, &[&[], &[], &[]]);
     world.orderer.set_reachable([true; 3]);
     world.run(6000);
     let mut table = ReplicaTable::new();
@@ -194,7 +194,7 @@
 fn plan_does_not_treat_short_store_loads_as_slow() {
     let configuration = with_store_load(40, Duration::from_millis(250));
     let held: Vec<&[&str]> = vec![&[]; 12];
-    let mut world = World::with(configuration, orderer_config(), &held);
+    let mut world = World::with_config(configuration, orderer_config(), &held);
     world.run(6000);
     for index in 1..=30 {
         world
