--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -85,7 +85,7 @@
 }
 
 #[derive(Clone)]
-struct Running {
+struct RunningOrder {
     order: Order,
     done_at: Moment,
 }
@@ -96,8 +96,8 @@
     pub holdings: Holdings,
     /// Start time that the replica reports.
     pub started_ms: Option<StartedMs>,
-    running: Vec<Running>,
-    late: Vec<(Moment, Order, u64)>,
+    running: Vec<RunningOrder>,
+    late_orders: Vec<(Moment, Order, u64)>,
     history: VecDeque<(Moment, ReplicaReport)>,
     /// Peak memory of held and loading models and adapters, in MB.
     pub peak_memory_mb: f64,
@@ -119,7 +119,7 @@
             },
             started_ms: Some(1),
             running: Vec::new(),
-            late: Vec::new(),
+            late_orders: Vec::new(),
             history: VecDeque::new(),
             peak_memory_mb: 0.0,
             peak_adapters: 0,
@@ -140,7 +140,13 @@
     }
 
     /// Accepts or rejects an order; returns the outcome and whether a load from the weight store starts.
-    fn take(&mut self, order: &Order, expected: u64, now: Moment, spec: &EngineSpec) -> (OrderOutcome, bool) {
+    fn receive_order(
+        &mut self,
+        order: &Order,
+        expected: u64,
+        now: Moment,
+        spec: &EngineSpec,
+    ) -> (OrderOutcome, bool) {
         if expected != self.holdings.sequence || self.is_busy() {
             return (OrderOutcome::Conflict, false);
         }
@@ -153,21 +159,21 @@
             return (OrderOutcome::AlreadyHolds, false);
         }
         self.holdings.sequence += 1;
-        let copied = self.holdings.copies.on_disk.contains(order.model());
-        let takes = match order {
-            Order::LoadModel(model) if copied => spec.models[model].disk_load,
+        let is_on_disk = self.holdings.copies.on_disk.contains(order.model());
+        let duration = match order {
+            Order::LoadModel(model) if is_on_disk => spec.models[model].disk_load,
             Order::LoadModel(model) => spec.models[model].store_load,
             Order::UnloadModel(_) => Duration::from_millis(150),
             _ => Duration::from_millis(20),
         };
-        self.running.push(Running {
+        self.running.push(RunningOrder {
             order: order.clone(),
-            done_at: now + takes,
+            done_at: now + duration,
         });
         self.update_peaks(spec);
         (
             OrderOutcome::Accepted,
-            matches!(order, Order::LoadModel(_)) && !copied,
+            matches!(order, Order::LoadModel(_)) && !is_on_disk,
         )
     }
 
@@ -220,7 +226,7 @@
     }
 
     fn step(&mut self, now: Moment, spec: &EngineSpec) -> usize {
-        let done: Vec<Running> = self
+        let done: Vec<RunningOrder> = self
             .running
             .iter()
             .filter(|running| running.done_at <= now)
@@ -230,11 +236,16 @@
         for running in done {
             self.apply(&running.order);
         }
-        let due: Vec<(Moment, Order, u64)> = self.late.iter().filter(|late| late.0 <= now).cloned().collect();
-        self.late.retain(|late| late.0 > now);
+        let due: Vec<(Moment, Order, u64)> = self
+            .late_orders
+            .iter()
+            .filter(|late| late.0 <= now)
+            .cloned()
+            .collect();
+        self.late_orders.retain(|late| late.0 > now);
         let mut store_loads = 0;
         for (_, order, expected) in due {
-            store_loads += usize::from(self.take(&order, expected, now, spec).1);
+            store_loads += usize::from(self.receive_order(&order, expected, now, spec).1);
         }
         let report = ReplicaReport {
             holdings: self.holdings.clone(),
@@ -395,13 +406,16 @@
                 let delivery = self.deliveries.pop_front().unwrap_or(OrderDelivery::Answered);
                 let outcome = match delivery {
                     OrderDelivery::Late(delay) => {
-                        target
-                            .late
-                            .push((now + Duration::from_millis(delay), order, expected_sequence));
+                        target.late_orders.push((
+                            now + Duration::from_millis(delay),
+                            order,
+                            expected_sequence,
+                        ));
                         None
                     }
                     OrderDelivery::Answered | OrderDelivery::AnswerLost => {
-                        let (outcome, from_store) = target.take(&order, expected_sequence, now, spec);
+                        let (outcome, from_store) =
+                            target.receive_order(&order, expected_sequence, now, spec);
                         if from_store {
                             self.store_loads.push(now);
                         }
