--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -367,14 +367,14 @@
                 let loads = replica.step(now, &spec);
                 self.store_loads.extend(std::iter::repeat_n(now, loads));
             }
-            self.deliver(now);
+            self.deliver_answers(now);
             for action in self.orderer.plan(self.may_order, now) {
-                self.carry_out(action, &spec);
+                self.execute(action, &spec);
             }
         }
     }
 
-    fn deliver(&mut self, now: Moment) {
+    fn deliver_answers(&mut self, now: Moment) {
         let (due, later) = self.answers.drain(..).partition(|answer| answer.0 <= now);
         self.answers = later;
         let due: Vec<(Moment, ReplicaId, OrderOutcome)> = due;
@@ -384,13 +384,14 @@
         let (due, later) = self.reports.drain(..).partition(|report| report.0 <= now);
         self.reports = later;
         let due: Vec<(Moment, ReplicaId, Moment)> = due;
-        for (_, id, asked_at) in due {
+        for (_, id, requested_at) in due {
             let report = self.replicas.get(&id).and_then(SimulatedReplica::report);
-            self.orderer.record_report(&id, report.as_ref(), asked_at, now);
+            self.orderer
+                .record_report(&id, report.as_ref(), requested_at, now);
         }
     }
 
-    fn carry_out(&mut self, action: OrdererAction, spec: &EngineSpec) {
+    fn execute(&mut self, action: OrdererAction, spec: &EngineSpec) {
         let now = self.now;
         match action {
             OrdererAction::RequestReport { replica, .. } => {
