--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -12,7 +12,7 @@
 use crate::emulator::{at, orderer_config, World};
 
 /// The demand of one request.
-const ASKED: DemandSample = DemandSample {
+const ONE_REQUEST: DemandSample = DemandSample {
     requests: 1.0,
     tokens: 5000.0,
     objective: Duration::from_millis(1500),
@@ -70,7 +70,7 @@
 }
 
 /// Number of plans over which a time is averaged.
-const PLANS: u32 = 20;
+const MEASURED_ROUNDS: u32 = 20;
 
 /// Measures the cost of the orderer at a fleet size.
 pub fn measure(size: Size) -> Cost {
@@ -78,13 +78,13 @@
     confirm(&mut world);
     let now = at(100);
     for model in 0..size.models {
-        world.orderer.count_demand(&key(model), &ASKED, now);
+        world.orderer.count_demand(&key(model), &ONE_REQUEST, now);
     }
-    let idle_plan = time_of_plans(&mut world);
+    let idle_plan = mean_plan_time(&mut world);
     for model in (0..size.models).step_by(10) {
         world.orderer.mark_waiting(&key(model), now);
     }
-    let busy_plan = time_of_plans(&mut world);
+    let busy_plan = mean_plan_time(&mut world);
     let placements: Vec<WirePlacement> = world
         .orderer
         .all_placements(now)
@@ -121,12 +121,12 @@
     }
 }
 
-fn time_of_plans(world: &mut World) -> Duration {
+fn mean_plan_time(world: &mut World) -> Duration {
     let started = Instant::now();
-    for step in 0..PLANS {
+    for step in 0..MEASURED_ROUNDS {
         world.orderer.plan(true, at(200 + u64::from(step)));
     }
-    started.elapsed() / PLANS
+    started.elapsed() / MEASURED_ROUNDS
 }
 
 fn key(model: usize) -> ModelKey {
@@ -139,7 +139,7 @@
 
 /// Numbers of requests in each node's crash report to measure: those of one replica that
 /// ended, and the maximum that a report holds.
-pub const REPORTED: [usize; 2] = [4, 128];
+pub const REPORTED_REQUESTS: [usize; 2] = [4, 128];
 /// Number of reporting nodes at the design target.
 const REPORTING_NODES: usize = 380;
 
@@ -171,12 +171,12 @@
     }
     let report = report_of(0);
     let started = Instant::now();
-    for round in 0..PLANS {
+    for round in 0..MEASURED_ROUNDS {
         ledger.apply_report("n0", report.clone(), at(2));
         ledger.verdict(Fingerprint(u128::from(round)), at(2));
     }
     CrashReportCost {
         report_bytes: WireCrashReport::from_report(&report).serialize_bin().len(),
-        verdict: started.elapsed() / PLANS,
+        verdict: started.elapsed() / MEASURED_ROUNDS,
     }
 }
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -1,6 +1,6 @@
 //! `croftrill-bench`: compares scheduling policies and measures the cost of the orderer.
 
-use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED, SIZES};
+use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED_REQUESTS, SIZES};
 use croftrill_bench::experiment::{play, policies, Load};
 use croftrill_bench::fleet::{work_out, FleetSize};
 use croftrill_bench::limits::{self, LimitRun, Trouble, Way};
@@ -240,7 +240,7 @@
     }
     println!("\nreports of requests that crash replicas, of 380 nodes");
     println!("requests each  report B  verdict after a report us");
-    for requests in REPORTED {
+    for requests in REPORTED_REQUESTS {
         let cost = measure_crash_reports(requests);
         let verdict_us = cost.verdict.as_secs_f64() * 1e6;
         println!("{requests:13}  {:8}  {verdict_us:25.0}", cost.report_bytes);
