--- a/crates/croftrill-bench/src/experiment.rs
+++ b/crates/croftrill-bench/src/experiment.rs
@@ -51,7 +51,7 @@
 
 impl Load {
     /// Returns the demand of one request.
-    fn asked(&self) -> DemandSample {
+    fn demand(&self) -> DemandSample {
         DemandSample {
             requests: 1.0,
             tokens: self.tokens,
@@ -108,41 +108,41 @@
     /// Requests whose model was not loaded within the maximum wait or before the run ended.
     pub unserved: u64,
     /// Milliseconds that the remaining requests waited for their model.
-    pub cold_millis: Histogram<u64>,
+    pub cold_wait_ms: Histogram<u64>,
     /// Number of loads from the weight store.
     pub loads: usize,
 }
 
 /// Maximum wait after which a request counts as unserved.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 /// Objective of every request.
 const OBJECTIVE: Duration = Duration::from_secs(4);
 /// Simulated time between two checks of the waiting requests.
-const STEP_MILLIS: u64 = 20;
+const STEP_MS: u64 = 20;
 /// Warm-up before the first request, in which the replicas are confirmed.
-const LEAD_MILLIS: u64 = 6000;
+const WARM_UP_MS: u64 = 6000;
 
 /// Simulates a load under a policy.
-pub fn play(load: &Load, policy: &Policy) -> Outcome {
+pub fn simulate(load: &Load, policy: &Policy) -> Outcome {
     let config = OrdererConfig {
         placement: policy.placement,
         ..orderer_config()
     };
     let mut world = World::round_robin(load.replicas, load.models, config);
-    world.run(LEAD_MILLIS);
+    world.run(WARM_UP_MS);
     let mut arrivals = Arrivals::new(load);
     let mut outcome = Outcome {
         requests: 0,
         warm: 0,
         unserved: 0,
-        cold_millis: Histogram::new(3).expect("three digits are valid"),
+        cold_wait_ms: Histogram::new(3).expect("three digits are valid"),
         loads: 0,
     };
     let mut waiting: BTreeMap<ModelKey, Vec<Moment>> = BTreeMap::new();
-    for _ in 0..load.seconds * 1000 / STEP_MILLIS {
+    for _ in 0..load.seconds * 1000 / STEP_MS {
         for key in arrivals.step() {
             outcome.requests += 1;
-            world.orderer.count_demand(&key, &load.asked(), world.now);
+            world.orderer.count_demand(&key, &load.demand(), world.now);
             if is_held(&world, &key) {
                 outcome.warm += 1;
             } else {
@@ -150,28 +150,31 @@
                 waiting.entry(key).or_default().push(world.now);
             }
         }
-        world.run(STEP_MILLIS);
-        settle(&world, &mut waiting, &mut outcome);
+        world.run(STEP_MS);
+        settle_waiting(&world, &mut waiting, &mut outcome);
     }
-    outcome.unserved += waiting.values().map(|since| since.len() as u64).sum::<u64>();
+    outcome.unserved += waiting
+        .values()
+        .map(|arrival_times| arrival_times.len() as u64)
+        .sum::<u64>();
     outcome.loads = world.store_loads.len();
     outcome
 }
 
 /// Counts and removes the waiting requests whose model is loaded or whose maximum wait is over.
-fn settle(world: &World, waiting: &mut BTreeMap<ModelKey, Vec<Moment>>, outcome: &mut Outcome) {
-    waiting.retain(|key, since| {
+fn settle_waiting(world: &World, waiting: &mut BTreeMap<ModelKey, Vec<Moment>>, outcome: &mut Outcome) {
+    waiting.retain(|key, arrival_times| {
         if is_held(world, key) {
-            for moment in since.drain(..) {
+            for moment in arrival_times.drain(..) {
                 let _ = outcome
-                    .cold_millis
+                    .cold_wait_ms
                     .record(world.now.since(moment).as_millis() as u64);
             }
         }
-        let before = since.len();
-        since.retain(|moment| world.now.since(*moment) < LONGEST_WAIT);
-        outcome.unserved += (before - since.len()) as u64;
-        !since.is_empty()
+        let before = arrival_times.len();
+        arrival_times.retain(|moment| world.now.since(*moment) < MAX_WAIT);
+        outcome.unserved += (before - arrival_times.len()) as u64;
+        !arrival_times.is_empty()
     });
 }
 
@@ -198,7 +201,7 @@
 
     /// Returns the models requested in one step.
     fn step(&mut self) -> Vec<ModelKey> {
-        let seconds = STEP_MILLIS as f64 / 1000.0;
+        let seconds = STEP_MS as f64 / 1000.0;
         let (busy, models) = (self.load.busy_models, self.load.models);
         let mut keys = Vec::new();
         if self
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -1,7 +1,7 @@
 //! `croftrill-bench`: compares scheduling policies and measures the cost of the orderer.
 
 use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED_REQUESTS, SIZES};
-use croftrill_bench::experiment::{play, policies, Load};
+use croftrill_bench::experiment::{policies, simulate, Load};
 use croftrill_bench::fleet::{work_out, FleetSize};
 use croftrill_bench::limits::{self, LimitRun, Trouble, Way};
 use croftrill_bench::spread::{self, News, SpreadOutcome, SpreadRun};
@@ -175,15 +175,15 @@
     );
     for policy in policies() {
         for seed in 1..=seeds {
-            let outcome = play(&Load { seed, ..*load }, &policy);
+            let outcome = simulate(&Load { seed, ..*load }, &policy);
             let warm = 100.0 * outcome.warm as f64 / outcome.requests.max(1) as f64;
             println!(
                 "{:<14} {seed:>4} {:>8} {warm:>7.1} {:>9} {:>8} {:>8} {:>6}",
                 policy.name,
                 outcome.requests,
                 outcome.unserved,
-                outcome.cold_millis.value_at_quantile(0.5),
-                outcome.cold_millis.value_at_quantile(0.95),
+                outcome.cold_wait_ms.value_at_quantile(0.5),
+                outcome.cold_wait_ms.value_at_quantile(0.95),
                 outcome.loads,
             );
         }
--- a/crates/croftrill-bench/tests/experiment.rs
+++ b/crates/croftrill-bench/tests/experiment.rs
@@ -2,7 +2,7 @@
 //! that the size of a change does not depend on the size of the fleet.
 
 use croftrill_bench::capacity::{measure, Size};
-use croftrill_bench::experiment::{play, policies, Load};
+use croftrill_bench::experiment::{policies, simulate, Load};
 
 #[test]
 fn the_same_seed_gives_the_same_outcome() {
@@ -11,7 +11,7 @@
         ..Load::default()
     };
     let usual = policies()[0];
-    let (first, second) = (play(&load, &usual), play(&load, &usual));
+    let (first, second) = (simulate(&load, &usual), simulate(&load, &usual));
     assert_eq!(
         (first.requests, first.warm, first.loads),
         (second.requests, second.warm, second.loads)
@@ -25,7 +25,7 @@
         ..Load::default()
     };
     let [usual, many_holders, _] = policies();
-    let (usual, many_holders) = (play(&load, &usual), play(&load, &many_holders));
+    let (usual, many_holders) = (simulate(&load, &usual), simulate(&load, &many_holders));
     assert!(usual.warm > many_holders.warm);
     assert!(usual.loads < many_holders.loads);
     assert!(usual.unserved <= many_holders.unserved);
