--- a/crates/croftrill-bench/src/fleet.rs
+++ b/crates/croftrill-bench/src/fleet.rs
@@ -22,9 +22,9 @@
 /// Number of models.
 const MODELS: usize = 300;
 /// Number of models that a replica holds.
-const HELD: usize = 2;
+const MODELS_PER_REPLICA: usize = 2;
 /// Number of models that the requests of one node need.
-const ASKED: usize = 8;
+const MODELS_PER_NODE: usize = 8;
 /// Size of a configuration with these models and some hundred routes.
 const CONFIGURATION_BYTES: usize = 80 * 1024;
 /// Size of a replica's entry in an answer of the store: its JSON in base64 and the
@@ -50,7 +50,7 @@
     /// Number of relays.
     pub relays: usize,
     /// Maximum number of followers of one relay.
-    pub most_followers: usize,
+    pub max_followers: usize,
     /// Number of links to one orderer from relays and other orderers.
     pub orderer_links: usize,
     /// Number of replicas that a relay or an orderer knows.
@@ -75,39 +75,39 @@
 }
 
 /// Computes the cost of a fleet of the given size.
-pub fn work_out(size: FleetSize) -> FleetCost {
+pub fn fleet_cost(size: FleetSize) -> FleetCost {
     let members: Vec<MemberEntry> = (0..size.nodes).map(member).collect();
-    let places: Vec<TreeRole<'_>> = members.iter().map(|own| place_of(own, &members)).collect();
-    let relays = places.iter().filter(|place| **place == TreeRole::Relay).count();
+    let roles: Vec<TreeRole<'_>> = members.iter().map(|own| tree_role(own, &members)).collect();
+    let relays = roles.iter().filter(|role| **role == TreeRole::Relay).count();
     let table = table(size.replicas);
     let mut follower = FollowerInterests::new("n0", "zone-0");
     let first = follower.add_interest(&table, interest(0));
     let interest_bytes = replicas_bytes(&table, &first);
-    let asked = (1..ASKED).flat_map(|model| follower.add_interest(&table, interest(model)));
-    let follower_replicas = first.len() + asked.count();
-    let own_items = items_bytes(&members);
-    let whole = whole_parts(&members, &table);
+    let further = (1..MODELS_PER_NODE).flat_map(|model| follower.add_interest(&table, interest(model)));
+    let follower_replicas = first.len() + further.count();
+    let node_list_bytes = node_update_bytes(&members);
+    let full_view = full_view_message_bytes(&members, &table);
     let placements = FromOrderer::encode_placements(&table.placements(), at(0));
     let placements: Vec<usize> = placements.iter().map(|message| message.len()).collect();
-    let longest = whole.iter().chain(&placements).max().copied();
-    let everything =
+    let longest = full_view.iter().chain(&placements).max().copied();
+    let full_read_bytes =
         size.replicas * STORED_REPLICA_BYTES + size.nodes * STORED_NODE_BYTES + CONFIGURATION_BYTES;
-    let zone_list = size.nodes.div_ceil(ZONES) * STORED_NODE_BYTES;
+    let zone_list_bytes = size.nodes.div_ceil(ZONES) * STORED_NODE_BYTES;
     let change = one_change_bytes(&table);
     let followers = size.nodes - relays;
     FleetCost {
         relays,
-        most_followers: most_followers(&places),
+        max_followers: max_followers(&roles),
         orderer_links: relays + ORDERERS - 1,
         relay_replicas: table.len(),
         follower_replicas,
-        follower_start_bytes: CONFIGURATION_BYTES + own_items,
+        follower_start_bytes: CONFIGURATION_BYTES + node_list_bytes,
         interest_bytes,
         longest_message_bytes: longest.expect("a full view has at least one message"),
-        relay_view_bytes: whole.iter().chain(&placements).sum(),
-        store_start_bytes: size.nodes * zone_list + (relays + ORDERERS) * everything,
+        relay_view_bytes: full_view.iter().chain(&placements).sum(),
+        store_start_bytes: size.nodes * zone_list_bytes + (relays + ORDERERS) * full_read_bytes,
         replica_change_bytes: change * (relays * ORDERERS + followers / 10),
-        node_change_bytes: (own_items / size.nodes) * (relays * ORDERERS + followers),
+        node_change_bytes: (node_list_bytes / size.nodes) * (relays * ORDERERS + followers),
     }
 }
 
@@ -123,7 +123,7 @@
     }
 }
 
-fn place_of<'a>(own: &'a MemberEntry, members: &'a [MemberEntry]) -> TreeRole<'a> {
+fn tree_role<'a>(own: &'a MemberEntry, members: &'a [MemberEntry]) -> TreeRole<'a> {
     let node = |member: &'a MemberEntry| TreeNode {
         name: &member.name,
         zone: &member.zone,
@@ -134,10 +134,10 @@
 }
 
 /// Returns the maximum number of followers whose first choice is the same relay.
-fn most_followers(places: &[TreeRole<'_>]) -> usize {
+fn max_followers(roles: &[TreeRole<'_>]) -> usize {
     let mut counts: HashMap<&str, usize> = HashMap::new();
-    for place in places {
-        if let TreeRole::Follower(relays) = place {
+    for role in roles {
+        if let TreeRole::Follower(relays) = role {
             *counts.entry(relays[0]).or_insert(0) += 1;
         }
     }
@@ -168,8 +168,8 @@
 }
 
 fn placement(index: usize) -> Placement {
-    let held = (0..HELD).map(|place| HeldModel {
-        model: model(index * HELD + place).into(),
+    let held = (0..MODELS_PER_REPLICA).map(|offset| HeldModel {
+        model: model(index * MODELS_PER_REPLICA + offset).into(),
         adapters: Vec::new(),
     });
     Placement {
@@ -211,7 +211,7 @@
 }
 
 /// Returns the bytes of the updates that list all nodes.
-fn items_bytes(members: &[MemberEntry]) -> usize {
+fn node_update_bytes(members: &[MemberEntry]) -> usize {
     let items = members.iter().map(|member| RevisedChange {
         revision: 1,
         change: WireChange::Written {
@@ -223,7 +223,7 @@
 }
 
 /// Returns the bytes of each message of a full view of nodes and replicas.
-fn whole_parts(members: &[MemberEntry], table: &ReplicaTable) -> Vec<usize> {
+fn full_view_message_bytes(members: &[MemberEntry], table: &ReplicaTable) -> Vec<usize> {
     let nodes = members.iter().map(|member| WireChange::Written {
         key: format!("croftrill/nodes/{}/{}", member.zone, member.name),
         value: member.serialize_bin().into(),
@@ -234,17 +234,17 @@
     let changes = nodes
         .chain(replicas)
         .map(|change| RevisedChange { revision: 1, change });
-    let whole = DirectoryUpdate {
+    let full_view = DirectoryUpdate {
         after: 0,
         reached: 1,
         proof_age_ms: 0,
         sent_at_ms: 0,
         changes: changes.collect(),
     };
-    let parts = FullViewChunk::chunks_of(whole, true).expect("every entry fits into a message");
-    parts
+    let chunks = FullViewChunk::chunks_of(full_view, true).expect("every entry fits into a message");
+    chunks
         .into_iter()
-        .map(|part| FromOrderer::FullView(part).encode().len())
+        .map(|chunk| FromOrderer::FullView(chunk).encode().len())
         .collect()
 }
 
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -2,7 +2,7 @@
 
 use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED_REQUESTS, SIZES};
 use croftrill_bench::experiment::{policies, simulate, Load};
-use croftrill_bench::fleet::{work_out, FleetSize};
+use croftrill_bench::fleet::{fleet_cost, FleetSize};
 use croftrill_bench::limits::{self, LimitRun, Trouble, Way};
 use croftrill_bench::spread::{self, News, SpreadOutcome, SpreadRun};
 use lexopt::prelude::*;
@@ -191,11 +191,11 @@
 }
 
 fn fleet(size: FleetSize) {
-    let cost = work_out(size);
+    let cost = fleet_cost(size);
     println!("{} nodes before {} replicas", size.nodes, size.replicas);
     let rows = [
         ("relays", cost.relays),
-        ("followers of one relay, most", cost.most_followers),
+        ("followers of one relay, most", cost.max_followers),
         ("links from others to one orderer", cost.orderer_links),
         ("replicas that a relay or an orderer knows", cost.relay_replicas),
         ("replicas that a follower knows", cost.follower_replicas),
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use croftrill_bench::emulator::*;
-use croftrill_bench::fleet::{work_out, FleetSize};
+use croftrill_bench::fleet::{fleet_cost, FleetSize};
 use croftrill_scheduler::demand::ModelKey;
 use croftrill_scheduler::orderer::OrdererAction;
 use croftrill_scheduler::replica::Order;
@@ -77,12 +77,12 @@
 /// size of the fleet.
 #[test]
 fn work_out_of_twice_the_fleet_leaves_a_follower_as_it_was() {
-    let size = |nodes, replicas| work_out(FleetSize { nodes, replicas });
+    let size = |nodes, replicas| fleet_cost(FleetSize { nodes, replicas });
     let (fleet, twice) = (size(1000, 10_000), size(2000, 20_000));
     assert_eq!(fleet.follower_replicas, twice.follower_replicas);
     // Addresses of more replicas have more digits.
     assert!(twice.interest_bytes <= fleet.interest_bytes * 101 / 100);
-    assert!(twice.most_followers <= fleet.most_followers * 3 / 2);
+    assert!(twice.max_followers <= fleet.max_followers * 3 / 2);
     assert!(
         twice.longest_message_bytes < 256 * 1024,
         "more than a quarter of a frame"
