--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -63,7 +63,7 @@
 
 /// A failure of the keepers from the tenth to the twentieth second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum KeeperFailure {
     /// No failure.
     None,
     /// The first keeper is killed and restarts with empty state.
@@ -91,7 +91,7 @@
     /// How the limit is enforced.
     pub way: Way,
     /// The failure of the keepers.
-    pub trouble: Trouble,
+    pub failure: KeeperFailure,
     /// Seed of the random calls.
     pub seed: u64,
     /// Length of the run.
@@ -112,7 +112,7 @@
 }
 
 /// Start and end of the failure.
-const TROUBLE: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(20));
+const FAILURE_PERIOD: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(20));
 
 fn at(elapsed: Duration) -> Moment {
     Moment::from_start(Duration::from_secs(3600) + elapsed)
@@ -155,31 +155,33 @@
 
     /// Returns what decides on a node's calls at the given time, under the failure of the run.
     fn ruler(&self, node: usize, now: Duration) -> Ruler {
-        let (begin, end) = TROUBLE;
-        let in_trouble = now >= begin && now < end;
+        let (begin, end) = FAILURE_PERIOD;
+        let is_failing = now >= begin && now < end;
         let is_half = node % 2 == 1;
-        match self.run.trouble {
-            Trouble::Killed | Trouble::Frozen if in_trouble => {
+        match self.run.failure {
+            KeeperFailure::Killed | KeeperFailure::Frozen if is_failing => {
                 if now < begin + NOTICED_AFTER {
                     Ruler::Nobody
                 } else {
                     Ruler::Second
                 }
             }
-            Trouble::Cut if in_trouble && is_half => Ruler::Second,
-            Trouble::Doubled if in_trouble && is_half && now < begin + LISTS_DIFFER_FOR => Ruler::Second,
-            Trouble::Alone if in_trouble => Ruler::Node,
+            KeeperFailure::Cut if is_failing && is_half => Ruler::Second,
+            KeeperFailure::Doubled if is_failing && is_half && now < begin + LISTS_DIFFER_FOR => {
+                Ruler::Second
+            }
+            KeeperFailure::Alone if is_failing => Ruler::Node,
             _ => Ruler::First,
         }
     }
 
     /// Updates the roles of the keepers to what their node lists show at the given time.
     fn settle_keepers(&mut self, now: Duration) {
-        let (begin, end) = TROUBLE;
-        let in_trouble = now >= begin && now < end;
-        let is_first_gone = match self.run.trouble {
-            Trouble::Killed | Trouble::Frozen => in_trouble && now >= begin + LISTED_FOR,
-            Trouble::Doubled => in_trouble && now < begin + LISTS_DIFFER_FOR,
+        let (begin, end) = FAILURE_PERIOD;
+        let is_failing = now >= begin && now < end;
+        let is_first_gone = match self.run.failure {
+            KeeperFailure::Killed | KeeperFailure::Frozen => is_failing && now >= begin + LISTED_FOR,
+            KeeperFailure::Doubled => is_failing && now < begin + LISTS_DIFFER_FOR,
             _ => false,
         };
         let role = if is_first_gone {
@@ -188,7 +190,7 @@
             KeeperRole::Secondary
         };
         self.second.set_role(role, at(now));
-        if self.run.trouble == Trouble::Killed && in_trouble {
+        if self.run.failure == KeeperFailure::Killed && is_failing {
             self.first = keeper(KeeperRole::Primary);
         }
     }
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -3,7 +3,7 @@
 use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED_REQUESTS, SIZES};
 use croftrill_bench::experiment::{policies, simulate, Load};
 use croftrill_bench::fleet::{fleet_cost, FleetSize};
-use croftrill_bench::limits::{self, LimitRun, Trouble, Way};
+use croftrill_bench::limits::{self, KeeperFailure, LimitRun, Way};
 use croftrill_bench::spread::{self, News, SpreadOutcome, SpreadRun};
 use lexopt::prelude::*;
 use std::time::Duration;
@@ -70,22 +70,22 @@
         for limit_per_s in [1.0, 10.0] {
             let chosen = (2.0 * limit_per_s + 5.0) as usize;
             for way in [Way::EvenShares, Way::Turns, Way::Chosen(chosen), Way::Keeper] {
-                compare_limit(nodes, limit_per_s, way, Trouble::None, seeds);
+                compare_limit(nodes, limit_per_s, way, KeeperFailure::None, seeds);
             }
-            for trouble in [
-                Trouble::Killed,
-                Trouble::Frozen,
-                Trouble::Cut,
-                Trouble::Doubled,
-                Trouble::Alone,
+            for failure in [
+                KeeperFailure::Killed,
+                KeeperFailure::Frozen,
+                KeeperFailure::Cut,
+                KeeperFailure::Doubled,
+                KeeperFailure::Alone,
             ] {
-                compare_limit(nodes, limit_per_s, Way::Keeper, trouble, seeds);
+                compare_limit(nodes, limit_per_s, Way::Keeper, failure, seeds);
             }
         }
     }
 }
 
-fn compare_limit(nodes: usize, limit_per_s: f64, way: Way, trouble: Trouble, seeds: u64) {
+fn compare_limit(nodes: usize, limit_per_s: f64, way: Way, failure: KeeperFailure, seeds: u64) {
     /// Ratio of arriving requests to those that the limit allows.
     const PRESSURE: f64 = 4.0;
     let outcomes: Vec<_> = (1..=seeds)
@@ -95,7 +95,7 @@
                 limit_per_s,
                 demand_per_s: limit_per_s * PRESSURE,
                 way,
-                trouble,
+                failure,
                 seed,
                 length: Duration::from_secs(60),
             })
@@ -106,7 +106,7 @@
     println!(
         "{nodes:>5} {limit_per_s:>7} {:<10} {:<8} {:>8} {fullest:>8} {:>6.2} {:>8.0} {:>11.1}",
         way.name(),
-        format!("{trouble:?}"),
+        format!("{failure:?}"),
         limits::allowed(limit_per_s),
         mean(|outcome| outcome.used),
         mean(|outcome| outcome.mean_wait_ms),
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -2,30 +2,30 @@
 
 use std::time::Duration;
 
-use croftrill_bench::limits::{allowed, play, LimitRun, Trouble, Way};
+use croftrill_bench::limits::{allowed, play, KeeperFailure, LimitRun, Way};
 use proptest::prelude::*;
 
 /// Minimum fraction of the limit that must be used when demand exceeds it.
 const LEAST_USE: f64 = 0.8;
 
-fn trouble() -> impl Strategy<Value = Trouble> {
+fn failure() -> impl Strategy<Value = KeeperFailure> {
     prop_oneof![
-        Just(Trouble::None),
-        Just(Trouble::Killed),
-        Just(Trouble::Frozen),
-        Just(Trouble::Cut),
-        Just(Trouble::Doubled),
-        Just(Trouble::Alone),
+        Just(KeeperFailure::None),
+        Just(KeeperFailure::Killed),
+        Just(KeeperFailure::Frozen),
+        Just(KeeperFailure::Cut),
+        Just(KeeperFailure::Doubled),
+        Just(KeeperFailure::Alone),
     ]
 }
 
-fn run(nodes: usize, limit_per_s: f64, pressure: f64, trouble: Trouble, seed: u64) -> LimitRun {
+fn run(nodes: usize, limit_per_s: f64, pressure: f64, failure: KeeperFailure, seed: u64) -> LimitRun {
     LimitRun {
         nodes,
         limit_per_s,
         demand_per_s: limit_per_s * pressure,
         way: Way::Keeper,
-        trouble,
+        failure,
         seed,
         length: Duration::from_secs(30),
     }
@@ -41,10 +41,10 @@
         nodes in prop_oneof![Just(7usize), Just(295), Just(985)],
         limit_per_s in prop_oneof![0.3f64..3.0, 3.0..60.0],
         pressure in 0.5f64..12.0,
-        trouble in trouble(),
+        failure in failure(),
         seed in any::<u64>(),
     ) {
-        let outcome = play(run(nodes, limit_per_s, pressure, trouble, seed));
+        let outcome = play(run(nodes, limit_per_s, pressure, failure, seed));
         prop_assert!(outcome.fullest <= allowed(limit_per_s), "{outcome:?}");
     }
 }
@@ -54,7 +54,8 @@
 fn play_without_trouble_uses_the_limit_at_all_sizes() {
     for nodes in [7, 295, 985] {
         for limit_per_s in [1.0, 5.0, 50.0] {
-            let runs = (1..=10).map(|seed| play(run(nodes, limit_per_s, 4.0, Trouble::None, seed)).used);
+            let runs =
+                (1..=10).map(|seed| play(run(nodes, limit_per_s, 4.0, KeeperFailure::None, seed)).used);
             let used = runs.sum::<f64>() / 10.0;
             assert!(
                 used >= LEAST_USE,
@@ -70,7 +71,7 @@
 fn play_of_even_parts_wastes_the_limit_of_a_large_fleet() {
     let shares = LimitRun {
         way: Way::EvenShares,
-        ..run(985, 1.0, 4.0, Trouble::None, 1)
+        ..run(985, 1.0, 4.0, KeeperFailure::None, 1)
     };
     assert!(play(shares).used < 0.1);
 }
