--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -1,6 +1,6 @@
 //! Simulates the ways in which nodes enforce a replica's request rate limit together.
 //!
-//! Calls arrive at random at nodes that all know the limit. Each way lets some calls
+//! Calls arrive at random at nodes that all know the limit. Each policy lets some calls
 //! through, at once or after a wait. The results are the number of calls that reach the
 //! replica in its fullest window and the used fraction of the limit.
 
@@ -38,25 +38,25 @@
 
 /// How nodes enforce the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum LimitPolicy {
     /// Each node uses an equal share of the limit and accrues at most one request.
     EvenShares,
     /// Each node reserves its equal share at fixed times of its own; unused times lapse.
-    Turns,
+    Standalone,
     /// The given number of nodes, chosen by a hash, share the limit; the others send nothing.
     Chosen(usize),
     /// One node, the keeper, tracks the limit; the others request reservations from it.
     Keeper,
 }
 
-impl Way {
+impl LimitPolicy {
     /// Returns the name printed in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Way::EvenShares => "shares",
-            Way::Turns => "turns",
-            Way::Chosen(_) => "chosen",
-            Way::Keeper => "keeper",
+            LimitPolicy::EvenShares => "shares",
+            LimitPolicy::Standalone => "turns",
+            LimitPolicy::Chosen(_) => "chosen",
+            LimitPolicy::Keeper => "keeper",
         }
     }
 }
@@ -89,7 +89,7 @@
     /// Mean rate at which calls arrive, per second.
     pub demand_per_s: f64,
     /// How the limit is enforced.
-    pub way: Way,
+    pub policy: LimitPolicy,
     /// The failure of the keepers.
     pub failure: KeeperFailure,
     /// Seed of the random calls.
@@ -202,12 +202,14 @@
         want: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
-        match self.run.way {
-            Way::EvenShares => self.take_saved(node, self.run.nodes, now),
-            Way::Chosen(count) if node < count => self.take_saved(node, count.min(self.run.nodes), now),
-            Way::Chosen(_) => None,
-            Way::Turns => self.own_turn(node, now, want, random),
-            Way::Keeper => self.ask_keeper(node, now, want, random),
+        match self.run.policy {
+            LimitPolicy::EvenShares => self.take_saved(node, self.run.nodes, now),
+            LimitPolicy::Chosen(count) if node < count => {
+                self.take_saved(node, count.min(self.run.nodes), now)
+            }
+            LimitPolicy::Chosen(_) => None,
+            LimitPolicy::Standalone => self.own_turn(node, now, want, random),
+            LimitPolicy::Keeper => self.ask_keeper(node, now, want, random),
         }
     }
 
@@ -295,8 +297,8 @@
         };
         if let Some(after) = fleet.ask(node, now, want, &mut random) {
             waited += after;
-            let way = Duration::from_millis(random.random_range(0..LONGEST_WAY_MS));
-            reached.push(now + after + way);
+            let arrival_delay = Duration::from_millis(random.random_range(0..LONGEST_WAY_MS));
+            reached.push(now + after + arrival_delay);
         }
     }
     reached.sort_unstable();
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -3,7 +3,7 @@
 use croftrill_bench::capacity::{measure, measure_crash_reports, REPORTED_REQUESTS, SIZES};
 use croftrill_bench::experiment::{policies, simulate, Load};
 use croftrill_bench::fleet::{fleet_cost, FleetSize};
-use croftrill_bench::limits::{self, KeeperFailure, LimitRun, Way};
+use croftrill_bench::limits::{self, KeeperFailure, LimitPolicy, LimitRun};
 use croftrill_bench::spread::{self, News, SpreadOutcome, SpreadRun};
 use lexopt::prelude::*;
 use std::time::Duration;
@@ -69,8 +69,13 @@
     for nodes in [7, 295, 985] {
         for limit_per_s in [1.0, 10.0] {
             let chosen = (2.0 * limit_per_s + 5.0) as usize;
-            for way in [Way::EvenShares, Way::Turns, Way::Chosen(chosen), Way::Keeper] {
-                compare_limit(nodes, limit_per_s, way, KeeperFailure::None, seeds);
+            for policy in [
+                LimitPolicy::EvenShares,
+                LimitPolicy::Standalone,
+                LimitPolicy::Chosen(chosen),
+                LimitPolicy::Keeper,
+            ] {
+                compare_limit(nodes, limit_per_s, policy, KeeperFailure::None, seeds);
             }
             for failure in [
                 KeeperFailure::Killed,
@@ -79,13 +84,13 @@
                 KeeperFailure::Doubled,
                 KeeperFailure::Alone,
             ] {
-                compare_limit(nodes, limit_per_s, Way::Keeper, failure, seeds);
+                compare_limit(nodes, limit_per_s, LimitPolicy::Keeper, failure, seeds);
             }
         }
     }
 }
 
-fn compare_limit(nodes: usize, limit_per_s: f64, way: Way, failure: KeeperFailure, seeds: u64) {
+fn compare_limit(nodes: usize, limit_per_s: f64, policy: LimitPolicy, failure: KeeperFailure, seeds: u64) {
     /// Ratio of arriving requests to those that the limit allows.
     const PRESSURE: f64 = 4.0;
     let outcomes: Vec<_> = (1..=seeds)
@@ -94,7 +99,7 @@
                 nodes,
                 limit_per_s,
                 demand_per_s: limit_per_s * PRESSURE,
-                way,
+                policy,
                 failure,
                 seed,
                 length: Duration::from_secs(60),
@@ -105,7 +110,7 @@
     let mean = |of: fn(&limits::LimitOutcome) -> f64| outcomes.iter().map(of).sum::<f64>() / seeds as f64;
     println!(
         "{nodes:>5} {limit_per_s:>7} {:<10} {:<8} {:>8} {fullest:>8} {:>6.2} {:>8.0} {:>11.1}",
-        way.name(),
+        policy.name(),
         format!("{failure:?}"),
         limits::allowed(limit_per_s),
         mean(|outcome| outcome.used),
@@ -131,18 +136,18 @@
             News::False(soon),
             News::None,
         ] {
-            for way in [
-                spread::Way::Alike,
-                spread::Way::LeastCost,
-                spread::Way::TwoChoices,
-                spread::Way::ByRoom,
-                spread::Way::Chosen,
+            for policy in [
+                spread::RoutingPolicy::Alike,
+                spread::RoutingPolicy::LeastCost,
+                spread::RoutingPolicy::TwoChoices,
+                spread::RoutingPolicy::ByRoom,
+                spread::RoutingPolicy::Chosen,
             ] {
                 let outcomes: Vec<SpreadOutcome> = (1..=seeds)
                     .map(|seed| {
                         spread::play(SpreadRun {
                             nodes,
-                            way,
+                            policy,
                             news,
                             demand_per_s,
                             seed,
@@ -155,7 +160,7 @@
                 println!(
                     "{nodes:>5} {:<16} {:<11} {:>7.3} {:>9.3} {:>6.3} {:>8.3} {:>7.0} {:>13.2}",
                     format!("{news:?}"),
-                    format!("{way:?}"),
+                    format!("{policy:?}"),
                     mean(|outcome| outcome.waited),
                     mean(|outcome| outcome.rejected),
                     mean(|outcome| outcome.late),
--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -21,7 +21,7 @@
 
 /// How a node chooses a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum RoutingPolicy {
     /// All holders are treated as equally fast.
     Alike,
     /// The replica with the lowest expected cost.
@@ -53,7 +53,7 @@
     /// Number of nodes.
     pub nodes: usize,
     /// How nodes choose replicas.
-    pub way: Way,
+    pub policy: RoutingPolicy,
     /// How nodes receive load updates.
     pub news: News,
     /// Mean rate at which streams arrive, per second.
@@ -215,7 +215,7 @@
     let tables = (0..run.nodes).map(|_| {
         let mut table = ReplicaTable::new();
         (0..REPLICAS).for_each(|index| table.apply_listing(listing(index)));
-        if run.way != Way::Alike {
+        if run.policy != RoutingPolicy::Alike {
             table.route_all_by_capacity();
         }
         table
@@ -370,11 +370,11 @@
             kv_cache_tokens: 0,
         };
         let table = &self.nodes[node];
-        let chosen = match self.run.way {
-            Way::Alike | Way::Chosen => choose(table, &request, at(now)),
-            way => {
+        let chosen = match self.run.policy {
+            RoutingPolicy::Alike | RoutingPolicy::Chosen => choose(table, &request, at(now)),
+            policy => {
                 let weighed: Vec<WeightedReplica> = weighted_candidates(table, &request, at(now)).collect();
-                let chosen = pick(way, &weighed, at(now), &mut self.random);
+                let chosen = pick(policy, &weighed, at(now), &mut self.random);
                 chosen.map(|weighed| weighed.entry.listing.id.clone())
             }
         };
@@ -485,7 +485,9 @@
     /// Returns a load as a node records it: without the work time where replicas are treated as equal.
     fn as_heard(&self, load: ReplicaLoad) -> ReplicaLoad {
         ReplicaLoad {
-            work_time_pct: load.work_time_pct.filter(|_| self.run.way != Way::Alike),
+            work_time_pct: load
+                .work_time_pct
+                .filter(|_| self.run.policy != RoutingPolicy::Alike),
             ..load
         }
     }
@@ -512,19 +514,19 @@
 
 /// Chooses by one of the ways that exist only for comparison.
 fn pick<'a, 'b>(
-    way: Way,
+    policy: RoutingPolicy,
     weighed: &'b [WeightedReplica<'a>],
     now: Moment,
     random: &mut SmallRng,
 ) -> Option<&'b WeightedReplica<'a>> {
     let cheaper =
         |left: &&WeightedReplica<'_>, right: &&WeightedReplica<'_>| left.cost.total_cmp(&right.cost);
-    match way {
-        Way::TwoChoices => {
+    match policy {
+        RoutingPolicy::TwoChoices => {
             let drawn = (0..2).filter_map(|_| weighed.get(random.random_range(0..weighed.len().max(1))));
             drawn.min_by(cheaper)
         }
-        Way::ByRoom => {
+        RoutingPolicy::ByRoom => {
             let room = |weighed: &WeightedReplica<'_>| {
                 let entry = weighed.entry;
                 let requests = entry.running_load(now);
@@ -537,6 +539,8 @@
             });
             hit.or_else(|| weighed.iter().min_by(cheaper))
         }
-        Way::Alike | Way::LeastCost | Way::Chosen => weighed.iter().min_by(cheaper),
+        RoutingPolicy::Alike | RoutingPolicy::LeastCost | RoutingPolicy::Chosen => {
+            weighed.iter().min_by(cheaper)
+        }
     }
 }
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_bench::limits::{allowed, play, KeeperFailure, LimitRun, Way};
+use croftrill_bench::limits::{allowed, play, KeeperFailure, LimitPolicy, LimitRun};
 use proptest::prelude::*;
 
 /// Minimum fraction of the limit that must be used when demand exceeds it.
@@ -24,7 +24,7 @@
         nodes,
         limit_per_s,
         demand_per_s: limit_per_s * pressure,
-        way: Way::Keeper,
+        policy: LimitPolicy::Keeper,
         failure,
         seed,
         length: Duration::from_secs(30),
@@ -70,7 +70,7 @@
 #[test]
 fn play_of_even_parts_wastes_the_limit_of_a_large_fleet() {
     let shares = LimitRun {
-        way: Way::EvenShares,
+        policy: LimitPolicy::EvenShares,
         ..run(985, 1.0, 4.0, KeeperFailure::None, 1)
     };
     assert!(play(shares).used < 0.1);
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use croftrill_bench::spread::{play, News, SpreadRun, Way};
+use croftrill_bench::spread::{play, News, RoutingPolicy, SpreadRun};
 
 /// Rate at which half of the slots are in use on average, so that no stream needs to wait.
 const DEMAND_PER_S: f64 = 500.0;
@@ -13,7 +13,7 @@
 fn run(nodes: usize, news: News) -> SpreadRun {
     SpreadRun {
         nodes,
-        way: Way::Chosen,
+        policy: RoutingPolicy::Chosen,
         news,
         demand_per_s: DEMAND_PER_S,
         seed: 7,
@@ -57,7 +57,7 @@
     let lies = News::False(Duration::from_millis(200));
     let drawn = play(run(65, lies));
     let least_cost = play(SpreadRun {
-        way: Way::LeastCost,
+        policy: RoutingPolicy::LeastCost,
         ..run(65, lies)
     });
     assert!(drawn.rejected < least_cost.rejected, "{drawn:?} {least_cost:?}");
