--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -19,22 +19,22 @@
 /// Window over which a replica counts calls.
 pub const WINDOW: Duration = Duration::from_secs(4);
 /// Returns the maximum number of calls in a window: one and a half times the limit, plus 5.
-pub fn allowed(limit_per_s: f64) -> usize {
+pub fn max_calls_per_window(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 /// Maximum delay from a reservation to arrival at the replica: opening a connection over a link of 5 ms.
-const LONGEST_WAY_MS: u64 = 40;
+const MAX_ARRIVAL_DELAY_MS: u64 = 40;
 /// Maximum wait that a call accepts.
-const PATIENCE_MS: u64 = 500;
+const MAX_PATIENCE_MS: u64 = 500;
 /// Fraction of the calls that are urgent.
-const URGENT_PART: f64 = 0.2;
+const URGENT_FRACTION: f64 = 0.2;
 /// Time until a node detects that its keeper does not answer.
-const NOTICED_AFTER: Duration = Duration::from_millis(300);
+const FAILURE_DETECTION_TIME: Duration = Duration::from_millis(300);
 /// Time until a lost node is removed from the node lists of all nodes.
-const LISTED_FOR: Duration = Duration::from_millis(3600);
+const LIST_REMOVAL_TIME: Duration = Duration::from_millis(3600);
 /// Maximum time for which the lists of live nodes differ between nodes.
-const LISTS_DIFFER_FOR: Duration = Duration::from_millis(1300);
+const MAX_LIST_DIVERGENCE: Duration = Duration::from_millis(1300);
 
 /// How nodes enforce the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -160,14 +160,14 @@
         let is_half = node % 2 == 1;
         match self.run.failure {
             KeeperFailure::Killed | KeeperFailure::Frozen if is_failing => {
-                if now < begin + NOTICED_AFTER {
+                if now < begin + FAILURE_DETECTION_TIME {
                     Ruler::Nobody
                 } else {
                     Ruler::Second
                 }
             }
             KeeperFailure::Cut if is_failing && is_half => Ruler::Second,
-            KeeperFailure::Doubled if is_failing && is_half && now < begin + LISTS_DIFFER_FOR => {
+            KeeperFailure::Doubled if is_failing && is_half && now < begin + MAX_LIST_DIVERGENCE => {
                 Ruler::Second
             }
             KeeperFailure::Alone if is_failing => Ruler::Node,
@@ -180,8 +180,8 @@
         let (begin, end) = FAILURE_PERIOD;
         let is_failing = now >= begin && now < end;
         let is_first_gone = match self.run.failure {
-            KeeperFailure::Killed | KeeperFailure::Frozen => is_failing && now >= begin + LISTED_FOR,
-            KeeperFailure::Doubled => is_failing && now < begin + LISTS_DIFFER_FOR,
+            KeeperFailure::Killed | KeeperFailure::Frozen => is_failing && now >= begin + LIST_REMOVAL_TIME,
+            KeeperFailure::Doubled => is_failing && now < begin + MAX_LIST_DIVERGENCE,
             _ => false,
         };
         let role = if is_first_gone {
@@ -292,12 +292,12 @@
         }
         let node = random.random_range(0..run.nodes);
         let want = LimitRequest {
-            patience: Duration::from_millis(random.random_range(0..PATIENCE_MS)),
-            is_urgent: random.random_bool(URGENT_PART),
+            patience: Duration::from_millis(random.random_range(0..MAX_PATIENCE_MS)),
+            is_urgent: random.random_bool(URGENT_FRACTION),
         };
         if let Some(after) = fleet.ask(node, now, want, &mut random) {
             waited += after;
-            let arrival_delay = Duration::from_millis(random.random_range(0..LONGEST_WAY_MS));
+            let arrival_delay = Duration::from_millis(random.random_range(0..MAX_ARRIVAL_DELAY_MS));
             reached.push(now + after + arrival_delay);
         }
     }
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -112,7 +112,7 @@
         "{nodes:>5} {limit_per_s:>7} {:<10} {:<8} {:>8} {fullest:>8} {:>6.2} {:>8.0} {:>11.1}",
         policy.name(),
         format!("{failure:?}"),
-        limits::allowed(limit_per_s),
+        limits::max_calls_per_window(limit_per_s),
         mean(|outcome| outcome.used),
         mean(|outcome| outcome.mean_wait_ms),
         mean(|outcome| outcome.questions_per_s),
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use croftrill_bench::limits::{allowed, play, KeeperFailure, LimitPolicy, LimitRun};
+use croftrill_bench::limits::{max_calls_per_window, play, KeeperFailure, LimitPolicy, LimitRun};
 use proptest::prelude::*;
 
 /// Minimum fraction of the limit that must be used when demand exceeds it.
-const LEAST_USE: f64 = 0.8;
+const MIN_USED_FRACTION: f64 = 0.8;
 
 fn failure() -> impl Strategy<Value = KeeperFailure> {
     prop_oneof![
@@ -34,7 +34,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// No window holds more calls than are allowed, whether keepers are killed, frozen,
+    /// No window holds more calls than are max_calls_per_window, whether keepers are killed, frozen,
     /// unreachable or duplicated.
     #[test]
     fn play_of_any_trouble_stays_within_what_is_allowed(
@@ -45,7 +45,7 @@
         seed in any::<u64>(),
     ) {
         let outcome = play(run(nodes, limit_per_s, pressure, failure, seed));
-        prop_assert!(outcome.fullest <= allowed(limit_per_s), "{outcome:?}");
+        prop_assert!(outcome.fullest <= max_calls_per_window(limit_per_s), "{outcome:?}");
     }
 }
 
@@ -58,7 +58,7 @@
                 (1..=10).map(|seed| play(run(nodes, limit_per_s, 4.0, KeeperFailure::None, seed)).used);
             let used = runs.sum::<f64>() / 10.0;
             assert!(
-                used >= LEAST_USE,
+                used >= MIN_USED_FRACTION,
                 "used fraction {used} of {limit_per_s} per second at {nodes} nodes"
             );
         }
