--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Calls arrive at random at nodes that all know the limit. Each policy lets some calls
 //! through, at once or after a wait. The results are the number of calls that reach the
-//! replica in its fullest window and the used fraction of the limit.
+//! replica in its fullest_window window and the used fraction of the limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,14 +101,14 @@
 /// Results of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitOutcome {
-    /// Number of calls in the fullest window.
-    pub fullest: usize,
+    /// Number of calls in the fullest_window window.
+    pub fullest_window: usize,
     /// Calls that reached the replica, as a fraction of the limit.
-    pub used: f64,
+    pub used_fraction: f64,
     /// Mean wait of those calls.
     pub mean_wait_ms: f64,
     /// Requests to keepers per second.
-    pub questions_per_s: f64,
+    pub keeper_requests_per_s: f64,
 }
 
 /// Start and end of the failure.
@@ -126,7 +126,7 @@
     second: LimitKeeper,
     lone: Vec<StandaloneReservations>,
     saved: Vec<(Duration, f64)>,
-    questions: usize,
+    keeper_requests: usize,
 }
 
 /// Decides on the calls of a node.
@@ -149,7 +149,7 @@
                 .map(|_| StandaloneReservations::default())
                 .collect(),
             saved: vec![(Duration::ZERO, 0.0); run.nodes],
-            questions: 0,
+            keeper_requests: 0,
         }
     }
 
@@ -231,7 +231,7 @@
             Ruler::Node => return self.own_turn(node, now, want, random),
             Ruler::Nobody => return None,
         };
-        self.questions += 1;
+        self.keeper_requests += 1;
         granted(keeper.reserve(&self.replica, None, limit, want, at(now)))
     }
 
@@ -303,14 +303,14 @@
     }
     reached.sort_unstable();
     LimitOutcome {
-        fullest: fullest_window(&reached),
-        used: reached.len() as f64 / (run.limit_per_s * run.length.as_secs_f64()),
+        fullest_window: fullest_window(&reached),
+        used_fraction: reached.len() as f64 / (run.limit_per_s * run.length.as_secs_f64()),
         mean_wait_ms: waited.as_secs_f64() * 1000.0 / reached.len().max(1) as f64,
-        questions_per_s: fleet.questions as f64 / run.length.as_secs_f64(),
+        keeper_requests_per_s: fleet.keeper_requests as f64 / run.length.as_secs_f64(),
     }
 }
 
-/// Returns the number of calls in the fullest window.
+/// Returns the number of calls in the fullest_window window.
 fn fullest_window(reached: &[Duration]) -> usize {
     let in_window = |(index, begin): (usize, &Duration)| {
         let end = *begin + WINDOW;
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -60,7 +60,7 @@
 
 /// Prints a comparison of the ways to enforce a replica's rate limit across all nodes.
 ///
-/// The fullest window is the maximum over all seeds; the other columns are means.
+/// The fullest_window window is the maximum over all seeds; the other columns are means.
 fn compare_limits(seeds: u64) {
     println!(
         "{:>5} {:>7} {:<10} {:<8} {:>8} {:>8} {:>6} {:>8} {:>11}",
@@ -106,16 +106,20 @@
             })
         })
         .collect();
-    let fullest = outcomes.iter().map(|outcome| outcome.fullest).max().unwrap_or(0);
+    let fullest_window = outcomes
+        .iter()
+        .map(|outcome| outcome.fullest_window)
+        .max()
+        .unwrap_or(0);
     let mean = |of: fn(&limits::LimitOutcome) -> f64| outcomes.iter().map(of).sum::<f64>() / seeds as f64;
     println!(
-        "{nodes:>5} {limit_per_s:>7} {:<10} {:<8} {:>8} {fullest:>8} {:>6.2} {:>8.0} {:>11.1}",
+        "{nodes:>5} {limit_per_s:>7} {:<10} {:<8} {:>8} {fullest_window:>8} {:>6.2} {:>8.0} {:>11.1}",
         policy.name(),
         format!("{failure:?}"),
         limits::max_calls_per_window(limit_per_s),
-        mean(|outcome| outcome.used),
+        mean(|outcome| outcome.used_fraction),
         mean(|outcome| outcome.mean_wait_ms),
-        mean(|outcome| outcome.questions_per_s),
+        mean(|outcome| outcome.keeper_requests_per_s),
     );
 }
 
