--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -131,9 +131,9 @@
 
 /// Decides on the calls of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ruler {
-    First,
-    Second,
+enum Decider {
+    FirstKeeper,
+    SecondKeeper,
     Node,
     Nobody,
 }
@@ -154,24 +154,24 @@
     }
 
     /// Returns what decides on a node's calls at the given time, under the failure of the run.
-    fn ruler(&self, node: usize, now: Duration) -> Ruler {
+    fn decider(&self, node: usize, now: Duration) -> Decider {
         let (begin, end) = FAILURE_PERIOD;
         let is_failing = now >= begin && now < end;
         let is_half = node % 2 == 1;
         match self.run.failure {
             KeeperFailure::Killed | KeeperFailure::Frozen if is_failing => {
                 if now < begin + FAILURE_DETECTION_TIME {
-                    Ruler::Nobody
+                    Decider::Nobody
                 } else {
-                    Ruler::Second
+                    Decider::SecondKeeper
                 }
             }
-            KeeperFailure::Cut if is_failing && is_half => Ruler::Second,
+            KeeperFailure::Cut if is_failing && is_half => Decider::SecondKeeper,
             KeeperFailure::Doubled if is_failing && is_half && now < begin + MAX_LIST_DIVERGENCE => {
-                Ruler::Second
+                Decider::SecondKeeper
             }
-            KeeperFailure::Alone if is_failing => Ruler::Node,
-            _ => Ruler::First,
+            KeeperFailure::Alone if is_failing => Decider::Node,
+            _ => Decider::FirstKeeper,
         }
     }
 
@@ -225,11 +225,11 @@
             rate: rate(self.run.limit_per_s),
             received_at: at(Duration::ZERO),
         };
-        let keeper = match self.ruler(node, now) {
-            Ruler::First => &mut self.first,
-            Ruler::Second => &mut self.second,
-            Ruler::Node => return self.own_turn(node, now, want, random),
-            Ruler::Nobody => return None,
+        let keeper = match self.decider(node, now) {
+            Decider::FirstKeeper => &mut self.first,
+            Decider::SecondKeeper => &mut self.second,
+            Decider::Node => return self.own_turn(node, now, want, random),
+            Decider::Nobody => return None,
         };
         self.keeper_requests += 1;
         granted(keeper.reserve(&self.replica, None, limit, want, at(now)))
