--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -124,8 +124,8 @@
     replica: Arc<str>,
     first: LimitKeeper,
     second: LimitKeeper,
-    lone: Vec<StandaloneReservations>,
-    saved: Vec<(Duration, f64)>,
+    standalone: Vec<StandaloneReservations>,
+    accrued: Vec<(Duration, f64)>,
     keeper_requests: usize,
 }
 
@@ -145,10 +145,10 @@
             replica: "r".into(),
             first: keeper(KeeperRole::Primary),
             second: keeper(KeeperRole::Secondary),
-            lone: (0..run.nodes)
+            standalone: (0..run.nodes)
                 .map(|_| StandaloneReservations::default())
                 .collect(),
-            saved: vec![(Duration::ZERO, 0.0); run.nodes],
+            accrued: vec![(Duration::ZERO, 0.0); run.nodes],
             keeper_requests: 0,
         }
     }
@@ -157,7 +157,7 @@
     fn decider(&self, node: usize, now: Duration) -> Decider {
         let (begin, end) = FAILURE_PERIOD;
         let is_failing = now >= begin && now < end;
-        let is_half = node % 2 == 1;
+        let is_affected = node % 2 == 1;
         match self.run.failure {
             KeeperFailure::Killed | KeeperFailure::Frozen if is_failing => {
                 if now < begin + FAILURE_DETECTION_TIME {
@@ -166,8 +166,8 @@
                     Decider::SecondKeeper
                 }
             }
-            KeeperFailure::Cut if is_failing && is_half => Decider::SecondKeeper,
-            KeeperFailure::Doubled if is_failing && is_half && now < begin + MAX_LIST_DIVERGENCE => {
+            KeeperFailure::Cut if is_failing && is_affected => Decider::SecondKeeper,
+            KeeperFailure::Doubled if is_failing && is_affected && now < begin + MAX_LIST_DIVERGENCE => {
                 Decider::SecondKeeper
             }
             KeeperFailure::Alone if is_failing => Decider::Node,
@@ -176,15 +176,15 @@
     }
 
     /// Updates the roles of the keepers to what their node lists show at the given time.
-    fn settle_keepers(&mut self, now: Duration) {
+    fn update_keeper_roles(&mut self, now: Duration) {
         let (begin, end) = FAILURE_PERIOD;
         let is_failing = now >= begin && now < end;
-        let is_first_gone = match self.run.failure {
+        let is_first_lost = match self.run.failure {
             KeeperFailure::Killed | KeeperFailure::Frozen => is_failing && now >= begin + LIST_REMOVAL_TIME,
             KeeperFailure::Doubled => is_failing && now < begin + MAX_LIST_DIVERGENCE,
             _ => false,
         };
-        let role = if is_first_gone {
+        let role = if is_first_lost {
             KeeperRole::Primary
         } else {
             KeeperRole::Secondary
@@ -195,32 +195,32 @@
         }
     }
 
-    fn ask(
+    fn request_reservation(
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitRequest,
+        request: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
         match self.run.policy {
-            LimitPolicy::EvenShares => self.take_saved(node, self.run.nodes, now),
+            LimitPolicy::EvenShares => self.take_accrued(node, self.run.nodes, now),
             LimitPolicy::Chosen(count) if node < count => {
-                self.take_saved(node, count.min(self.run.nodes), now)
+                self.take_accrued(node, count.min(self.run.nodes), now)
             }
             LimitPolicy::Chosen(_) => None,
-            LimitPolicy::Standalone => self.own_turn(node, now, want, random),
-            LimitPolicy::Keeper => self.ask_keeper(node, now, want, random),
+            LimitPolicy::Standalone => self.reserve_standalone(node, now, request, random),
+            LimitPolicy::Keeper => self.request_from_keeper(node, now, request, random),
         }
     }
 
-    fn ask_keeper(
+    fn request_from_keeper(
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitRequest,
+        request: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
-        self.settle_keepers(now);
+        self.update_keeper_roles(now);
         let limit = ReportedLimit {
             rate: rate(self.run.limit_per_s),
             received_at: at(Duration::ZERO),
@@ -228,33 +228,33 @@
         let keeper = match self.decider(node, now) {
             Decider::FirstKeeper => &mut self.first,
             Decider::SecondKeeper => &mut self.second,
-            Decider::Node => return self.own_turn(node, now, want, random),
+            Decider::Node => return self.reserve_standalone(node, now, request, random),
             Decider::Nobody => return None,
         };
         self.keeper_requests += 1;
-        granted(keeper.reserve(&self.replica, None, limit, want, at(now)))
+        granted_delay(keeper.reserve(&self.replica, None, limit, request, at(now)))
     }
 
-    fn own_turn(
+    fn reserve_standalone(
         &mut self,
         node: usize,
         now: Duration,
-        want: LimitRequest,
+        request: LimitRequest,
         random: &mut SmallRng,
     ) -> Option<Duration> {
         let (rate, nodes, unit) = (rate(self.run.limit_per_s), self.run.nodes, random.random());
-        let turns = &mut self.lone[node];
-        granted(turns.reserve(&self.replica, rate, nodes, unit, want.patience, at(now)))
+        let reservations = &mut self.standalone[node];
+        granted_delay(reservations.reserve(&self.replica, rate, nodes, unit, request.patience, at(now)))
     }
 
-    /// Uses an accrued request of a node that shares the limit equally with `among` nodes in all.
-    fn take_saved(&mut self, node: usize, among: usize, now: Duration) -> Option<Duration> {
-        let (since, saved) = &mut self.saved[node];
-        let gained = (now - *since).as_secs_f64() * self.run.limit_per_s / among as f64;
-        *saved = (*saved + gained).min(1.0);
+    /// Uses an accrued request of a node that shares the limit equally with `sharers` nodes in all.
+    fn take_accrued(&mut self, node: usize, sharers: usize, now: Duration) -> Option<Duration> {
+        let (since, accrued) = &mut self.accrued[node];
+        let gained = (now - *since).as_secs_f64() * self.run.limit_per_s / sharers as f64;
+        *accrued = (*accrued + gained).min(1.0);
         *since = now;
-        (*saved >= 1.0).then(|| {
-            *saved -= 1.0;
+        (*accrued >= 1.0).then(|| {
+            *accrued -= 1.0;
             Duration::ZERO
         })
     }
@@ -270,7 +270,7 @@
     RequestRate::from_millis_per_s((per_s * 1000.0) as u64)
 }
 
-fn granted(decision: ReservationDecision) -> Option<Duration> {
+fn granted_delay(decision: ReservationDecision) -> Option<Duration> {
     match decision {
         ReservationDecision::Granted { after } => Some(after),
         ReservationDecision::Refused { .. } => None,
@@ -291,11 +291,11 @@
             break;
         }
         let node = random.random_range(0..run.nodes);
-        let want = LimitRequest {
+        let request = LimitRequest {
             patience: Duration::from_millis(random.random_range(0..MAX_PATIENCE_MS)),
             is_urgent: random.random_bool(URGENT_FRACTION),
         };
-        if let Some(after) = fleet.ask(node, now, want, &mut random) {
+        if let Some(after) = fleet.request_reservation(node, now, request, &mut random) {
             waited += after;
             let arrival_delay = Duration::from_millis(random.random_range(0..MAX_ARRIVAL_DELAY_MS));
             reached.push(now + after + arrival_delay);
