--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -278,7 +278,7 @@
 }
 
 /// Simulates a run.
-pub fn play(run: LimitRun) -> LimitOutcome {
+pub fn simulate(run: LimitRun) -> LimitOutcome {
     let mut random = SmallRng::seed_from_u64(run.seed);
     let mut fleet = Fleet::new(run);
     let mut now = Duration::ZERO;
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -95,7 +95,7 @@
     const PRESSURE: f64 = 4.0;
     let outcomes: Vec<_> = (1..=seeds)
         .map(|seed| {
-            limits::play(LimitRun {
+            limits::simulate(LimitRun {
                 nodes,
                 limit_per_s,
                 demand_per_s: limit_per_s * PRESSURE,
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use croftrill_bench::limits::{max_calls_per_window, play, KeeperFailure, LimitPolicy, LimitRun};
+use croftrill_bench::limits::{max_calls_per_window, simulate, KeeperFailure, LimitPolicy, LimitRun};
 use proptest::prelude::*;
 
 /// Minimum fraction of the limit that must be used when demand exceeds it.
@@ -44,7 +44,7 @@
         failure in failure(),
         seed in any::<u64>(),
     ) {
-        let outcome = play(run(nodes, limit_per_s, pressure, failure, seed));
+        let outcome = simulate(run(nodes, limit_per_s, pressure, failure, seed));
         prop_assert!(outcome.fullest_window <= max_calls_per_window(limit_per_s), "{outcome:?}");
     }
 }
@@ -55,7 +55,7 @@
     for nodes in [7, 295, 985] {
         for limit_per_s in [1.0, 5.0, 50.0] {
             let runs = (1..=10)
-                .map(|seed| play(run(nodes, limit_per_s, 4.0, KeeperFailure::None, seed)).used_fraction);
+                .map(|seed| simulate(run(nodes, limit_per_s, 4.0, KeeperFailure::None, seed)).used_fraction);
             let used = runs.sum::<f64>() / 10.0;
             assert!(
                 used >= MIN_USED_FRACTION,
@@ -73,5 +73,5 @@
         policy: LimitPolicy::EvenShares,
         ..run(985, 1.0, 4.0, KeeperFailure::None, 1)
     };
-    assert!(play(shares).used_fraction < 0.1);
+    assert!(simulate(shares).used_fraction < 0.1);
 }
