--- a/crates/croftrill-bench/src/limits.rs
+++ b/crates/croftrill-bench/src/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Calls arrive at random at nodes that all know the limit. Each policy lets some calls
 //! through, at once or after a wait. The results are the number of calls that reach the
-//! replica in its fullest_window window and the used fraction of the limit.
+//! replica in its fullest window and the used fraction of the limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,7 +101,7 @@
 /// Results of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitOutcome {
-    /// Number of calls in the fullest_window window.
+    /// Number of calls in the fullest window.
     pub fullest_window: usize,
     /// Calls that reached the replica, as a fraction of the limit.
     pub used_fraction: f64,
@@ -129,7 +129,7 @@
     keeper_requests: usize,
 }
 
-/// Decides on the calls of a node.
+/// The instance that decides on the calls of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Decider {
     FirstKeeper,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Returns what decides on a node's calls at the given time, under the failure of the run.
+    /// Returns the instance that decides on a node's calls at the given time.
     fn decider(&self, node: usize, now: Duration) -> Decider {
         let (begin, end) = FAILURE_PERIOD;
         let is_failing = now >= begin && now < end;
@@ -247,7 +247,7 @@
         granted_delay(reservations.reserve(&self.replica, rate, nodes, unit, request.patience, at(now)))
     }
 
-    /// Uses an accrued request of a node that shares the limit equally with `sharers` nodes in all.
+    /// Uses an accrued request of a node that shares the limit equally among `sharers` nodes.
     fn take_accrued(&mut self, node: usize, sharers: usize, now: Duration) -> Option<Duration> {
         let (since, accrued) = &mut self.accrued[node];
         let gained = (now - *since).as_secs_f64() * self.run.limit_per_s / sharers as f64;
@@ -310,7 +310,7 @@
     }
 }
 
-/// Returns the number of calls in the fullest_window window.
+/// Returns the number of calls in the fullest window.
 fn fullest_window(reached: &[Duration]) -> usize {
     let in_window = |(index, begin): (usize, &Duration)| {
         let end = *begin + WINDOW;
--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -60,7 +60,7 @@
 
 /// Prints a comparison of the ways to enforce a replica's rate limit across all nodes.
 ///
-/// The fullest_window window is the maximum over all seeds; the other columns are means.
+/// The fullest window is the maximum over all seeds; the other columns are means.
 fn compare_limits(seeds: u64) {
     println!(
         "{:>5} {:>7} {:<10} {:<8} {:>8} {:>8} {:>6} {:>8} {:>11}",
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -34,7 +34,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// No window holds more calls than are max_calls_per_window, whether keepers are killed, frozen,
+    /// No window holds more calls than allowed, whether keepers are killed, frozen,
     /// unreachable or duplicated.
     #[test]
     fn play_of_any_trouble_stays_within_what_is_allowed(
