--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -4,7 +4,7 @@
 use croftrill_bench::experiment::{policies, simulate, Load};
 use croftrill_bench::fleet::{fleet_cost, FleetSize};
 use croftrill_bench::limits::{self, KeeperFailure, LimitPolicy, LimitRun};
-use croftrill_bench::spread::{self, News, SpreadOutcome, SpreadRun};
+use croftrill_bench::spread::{self, LoadUpdates, SpreadOutcome, SpreadRun};
 use lexopt::prelude::*;
 use std::time::Duration;
 
@@ -131,14 +131,14 @@
     );
     let (soon, late) = (Duration::from_millis(200), Duration::from_secs(1));
     for nodes in [7, 65, 985] {
-        for news in [
-            News::After(Duration::from_millis(100)),
-            News::After(soon),
-            News::After(late),
-            News::After(2 * late),
-            News::Lost(soon),
-            News::False(soon),
-            News::None,
+        for updates in [
+            LoadUpdates::After(Duration::from_millis(100)),
+            LoadUpdates::After(soon),
+            LoadUpdates::After(late),
+            LoadUpdates::After(2 * late),
+            LoadUpdates::Lost(soon),
+            LoadUpdates::False(soon),
+            LoadUpdates::None,
         ] {
             for policy in [
                 spread::RoutingPolicy::Alike,
@@ -152,7 +152,7 @@
                         spread::play(SpreadRun {
                             nodes,
                             policy,
-                            news,
+                            updates,
                             demand_per_s,
                             seed,
                             length: Duration::from_secs(30),
@@ -163,7 +163,7 @@
                     |of: fn(&SpreadOutcome) -> f64| outcomes.iter().map(of).sum::<f64>() / seeds as f64;
                 println!(
                     "{nodes:>5} {:<16} {:<11} {:>7.3} {:>9.3} {:>6.3} {:>8.3} {:>7.0} {:>13.2}",
-                    format!("{news:?}"),
+                    format!("{updates:?}"),
                     format!("{policy:?}"),
                     mean(|outcome| outcome.waited),
                     mean(|outcome| outcome.rejected),
--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -36,7 +36,7 @@
 
 /// How a node receives the loads that replicas reported to other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum LoadUpdates {
     /// It receives none.
     None,
     /// After the given delay.
@@ -55,7 +55,7 @@
     /// How nodes choose replicas.
     pub policy: RoutingPolicy,
     /// How nodes receive load updates.
-    pub news: News,
+    pub updates: LoadUpdates,
     /// Mean rate at which streams arrive, per second.
     pub demand_per_s: f64,
     /// Seed of the random streams.
@@ -116,7 +116,7 @@
 /// Maximum error of the output length that a caller hints, as the natural logarithm of the ratio.
 const HINT_ERROR: f64 = 0.5;
 /// Minimum time between two load samples of one replica that are forwarded to other nodes.
-const NEWS_EVERY: Duration = Duration::from_millis(200);
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Exponent by which demand falls with the index of a model (Zipf's law).
 const MODEL_SKEW: f64 = 0.4;
 
@@ -151,7 +151,7 @@
         node: usize,
         begun_at: Duration,
     },
-    News {
+    LoadUpdate {
         replica: usize,
         load: LoadAt,
     },
@@ -291,7 +291,7 @@
                 node,
                 begun_at,
             } => self.end(replica, node, begun_at, now),
-            Event::News { replica, load } => self.news(replica, load),
+            Event::LoadUpdate { replica, load } => self.apply_load_update(replica, load),
         }
     }
 
@@ -449,7 +449,7 @@
     /// Reports the load of a replica to a node, which forwards it to the others if a sample is due.
     fn tell(&mut self, replica: usize, node: usize, now: Duration) {
         let mut load = self.engines[replica].load();
-        if matches!(self.run.news, News::False(_)) && replica % 10 == 0 {
+        if matches!(self.run.updates, LoadUpdates::False(_)) && replica % 10 == 0 {
             load = ReplicaLoad {
                 running: 0,
                 waiting: 0,
@@ -458,23 +458,26 @@
         }
         let heard = self.as_heard(load);
         self.nodes[node].record_load(&replica_id(replica), heard, at(now));
-        let age = match self.run.news {
-            News::None => return,
-            News::After(age) | News::Lost(age) | News::False(age) => age,
+        let age = match self.run.updates {
+            LoadUpdates::None => return,
+            LoadUpdates::After(age) | LoadUpdates::Lost(age) | LoadUpdates::False(age) => age,
         };
         let engine = &mut self.engines[replica];
-        if engine.told_at.is_some_and(|told| now - told < NEWS_EVERY) {
+        if engine
+            .told_at
+            .is_some_and(|told| now - told < MIN_UPDATE_INTERVAL)
+        {
             return;
         }
         engine.told_at = Some(now);
         let load = LoadAt { load, at: now };
-        self.push(now + age, Event::News { replica, load });
+        self.push(now + age, Event::LoadUpdate { replica, load });
     }
 
-    fn news(&mut self, replica: usize, told: LoadAt) {
+    fn apply_load_update(&mut self, replica: usize, told: LoadAt) {
         let id = replica_id(replica);
         let load = self.as_heard(told.load);
-        let is_lossy = matches!(self.run.news, News::Lost(_));
+        let is_lossy = matches!(self.run.updates, LoadUpdates::Lost(_));
         for table in &mut self.nodes {
             if !(is_lossy && self.random.random_bool(0.5)) {
                 table.record_load(&id, load, at(told.at));
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -3,18 +3,18 @@
 
 use std::time::Duration;
 
-use croftrill_bench::spread::{play, News, RoutingPolicy, SpreadRun};
+use croftrill_bench::spread::{play, LoadUpdates, RoutingPolicy, SpreadRun};
 
 /// Rate at which half of the slots are in use on average, so that no stream needs to wait.
 const DEMAND_PER_S: f64 = 500.0;
 /// Maximum fraction of streams that may wait although other replicas have free slots.
 const MOST_WAITING: f64 = 0.02;
 
-fn run(nodes: usize, news: News) -> SpreadRun {
+fn run(nodes: usize, updates: LoadUpdates) -> SpreadRun {
     SpreadRun {
         nodes,
         policy: RoutingPolicy::Chosen,
-        news,
+        updates,
         demand_per_s: DEMAND_PER_S,
         seed: 7,
         length: Duration::from_secs(10),
@@ -27,7 +27,7 @@
 fn old_news_draws_no_herd() {
     for nodes in [7, 65] {
         for age in [Duration::from_millis(200), Duration::from_secs(1)] {
-            let outcome = play(run(nodes, News::After(age)));
+            let outcome = play(run(nodes, LoadUpdates::After(age)));
             assert!(
                 outcome.waited < MOST_WAITING,
                 "{nodes} nodes, {age:?}: {outcome:?}"
@@ -40,21 +40,21 @@
 /// Without updates, a node observes the load of a replica only about once in ten seconds.
 #[test]
 fn nodes_that_hear_nothing_of_others_fill_no_replica() {
-    let outcome = play(run(65, News::None));
+    let outcome = play(run(65, LoadUpdates::None));
     assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
 }
 
 /// Half of the load updates are lost.
 #[test]
 fn lost_news_fills_no_replica() {
-    let outcome = play(run(65, News::Lost(Duration::from_millis(200))));
+    let outcome = play(run(65, LoadUpdates::Lost(Duration::from_millis(200))));
     assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
 }
 
 /// Replicas that falsely report to be empty receive more than their share, but the others still serve.
 #[test]
 fn false_news_costs_less_than_going_by_it_alone() {
-    let lies = News::False(Duration::from_millis(200));
+    let lies = LoadUpdates::False(Duration::from_millis(200));
     let drawn = play(run(65, lies));
     let least_cost = play(SpreadRun {
         policy: RoutingPolicy::LeastCost,
@@ -67,6 +67,6 @@
 /// Guards against hidden state or randomness in a run.
 #[test]
 fn play_depends_on_nothing_but_the_run() {
-    let news = News::After(Duration::from_millis(200));
-    assert_eq!(play(run(7, news)), play(run(7, news)));
+    let updates = LoadUpdates::After(Duration::from_millis(200));
+    assert_eq!(play(run(7, updates)), play(run(7, updates)));
 }
