--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -86,19 +86,19 @@
 /// Number of models, each held by ten replicas.
 const MODELS: usize = 12;
 /// Number of models that a replica holds.
-const MODELS_HELD: usize = 2;
+const MODELS_PER_REPLICA: usize = 2;
 /// Requests that a replica runs concurrently.
 const SLOTS: usize = 24;
 /// Requests that may wait at a replica in addition.
-const QUEUE: usize = 72;
+const MAX_WAITING: usize = 72;
 /// Work times of the replicas, assigned round-robin, in percent of the usual.
 const WORK_TIMES_PCT: [u32; 3] = [60, 100, 160];
 /// Interval at which the disturbed replicas are drawn again.
-const DISTURBED_EVERY: Duration = Duration::from_millis(600);
+const DISTURBANCE_INTERVAL: Duration = Duration::from_millis(600);
 /// Probability that a replica is disturbed.
-const DISTURBED_PART: f64 = 0.15;
+const DISTURBED_FRACTION: f64 = 0.15;
 /// Factor by which work takes longer on a disturbed replica.
-const DISTURBED_TIMES: f64 = 2.5;
+const DISTURBED_FACTOR: f64 = 2.5;
 /// Objective for the time to the first event.
 const OBJECTIVE: Duration = Duration::from_millis(400);
 /// Time within which a stream must end.
@@ -106,15 +106,15 @@
 /// Tokens in the prompt of a stream.
 const PROMPT_TOKENS: u64 = 600;
 /// Mean number of output tokens of a long stream.
-const LONG_OUTPUT: f64 = 280.0;
+const LONG_OUTPUT_TOKENS: f64 = 280.0;
 /// Mean number of output tokens of a short stream.
-const SHORT_OUTPUT: f64 = 48.0;
+const SHORT_OUTPUT_TOKENS: f64 = 48.0;
 /// Maximum number of output tokens of a stream.
-const MOST_OUTPUT: f64 = 952.0;
+const MAX_OUTPUT_TOKENS: f64 = 952.0;
 /// Fraction of the streams that are short.
-const SHORT_PART: f64 = 0.44;
+const SHORT_FRACTION: f64 = 0.44;
 /// Maximum error of the output length that a caller hints, as the natural logarithm of the ratio.
-const HINT_ERROR: f64 = 0.5;
+const MAX_HINT_ERROR: f64 = 0.5;
 /// Minimum time between two load samples of one replica that are forwarded to other nodes.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// Exponent by which demand falls with the index of a model (Zipf's law).
@@ -190,7 +190,7 @@
 }
 
 fn listing(index: usize) -> ReplicaListing {
-    let models = (0..MODELS_HELD).map(|place| HeldModel {
+    let models = (0..MODELS_PER_REPLICA).map(|place| HeldModel {
         model: model_name((index + place * (1 + index / MODELS)) % MODELS).into(),
         adapters: Vec::new(),
     });
@@ -255,7 +255,7 @@
 
     fn work_time_now(&self) -> f64 {
         if self.disturbed {
-            self.work_time * DISTURBED_TIMES
+            self.work_time * DISTURBED_FACTOR
         } else {
             self.work_time
         }
@@ -297,9 +297,9 @@
 
     fn disturb(&mut self, now: Duration) {
         for engine in &mut self.engines {
-            engine.disturbed = self.random.random_bool(DISTURBED_PART);
+            engine.disturbed = self.random.random_bool(DISTURBED_FRACTION);
         }
-        self.push(now + DISTURBED_EVERY, Event::Disturbances);
+        self.push(now + DISTURBANCE_INTERVAL, Event::Disturbances);
     }
 
     fn arrival(&mut self, now: Duration) {
@@ -307,14 +307,14 @@
         self.push(now + Duration::from_secs_f64(pause_s), Event::Arrival);
         let node = self.random.random_range(0..self.run.nodes);
         let model = self.model();
-        let mean = if self.random.random_bool(SHORT_PART) {
-            SHORT_OUTPUT
+        let mean = if self.random.random_bool(SHORT_FRACTION) {
+            SHORT_OUTPUT_TOKENS
         } else {
-            LONG_OUTPUT
+            LONG_OUTPUT_TOKENS
         };
         let drawn = -self.random.random_range(f64::MIN_POSITIVE..1.0).ln() * mean;
-        let output = drawn.clamp(1.0, MOST_OUTPUT);
-        let error = self.random.random_range(-1.0..1.0) * HINT_ERROR;
+        let output = drawn.clamp(1.0, MAX_OUTPUT_TOKENS);
+        let error = self.random.random_range(-1.0..1.0) * MAX_HINT_ERROR;
         let hinted = RequestWork {
             prompt_tokens: PROMPT_TOKENS,
             output_tokens: (output * f64::exp(error)) as u64,
@@ -385,7 +385,7 @@
         let engine = &mut self.engines[replica];
         if engine.running < SLOTS {
             self.start(replica, stream, now);
-        } else if engine.waiting.len() < QUEUE {
+        } else if engine.waiting.len() < MAX_WAITING {
             self.waited += 1;
             engine.waiting.push_back(stream);
         } else {
@@ -401,7 +401,7 @@
         engine.running += 1;
         let reading =
             TIME_PER_PROMPT_TOKEN.mul_f64(stream.work.prompt_tokens as f64 * engine.work_time_now());
-        let disturbed = 1.0 + DISTURBED_PART * (DISTURBED_TIMES - 1.0);
+        let disturbed = 1.0 + DISTURBED_FRACTION * (DISTURBED_FACTOR - 1.0);
         let per_token = TIME_PER_OUTPUT_TOKEN.mul_f64(engine.work_time * disturbed);
         let first_event_at = now + reading;
         let end_at = first_event_at + per_token * stream.work.output_tokens as u32;
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -8,7 +8,7 @@
 /// Rate at which half of the slots are in use on average, so that no stream needs to wait.
 const DEMAND_PER_S: f64 = 500.0;
 /// Maximum fraction of streams that may wait although other replicas have free slots.
-const MOST_WAITING: f64 = 0.02;
+const MAX_WAITED_FRACTION: f64 = 0.02;
 
 fn run(nodes: usize, updates: LoadUpdates) -> SpreadRun {
     SpreadRun {
@@ -29,7 +29,7 @@
         for age in [Duration::from_millis(200), Duration::from_secs(1)] {
             let outcome = play(run(nodes, LoadUpdates::After(age)));
             assert!(
-                outcome.waited < MOST_WAITING,
+                outcome.waited < MAX_WAITED_FRACTION,
                 "{nodes} nodes, {age:?}: {outcome:?}"
             );
             assert_eq!(outcome.rejected, 0.0);
@@ -41,14 +41,14 @@
 #[test]
 fn nodes_that_hear_nothing_of_others_fill_no_replica() {
     let outcome = play(run(65, LoadUpdates::None));
-    assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
+    assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
 /// Half of the load updates are lost.
 #[test]
 fn lost_news_fills_no_replica() {
     let outcome = play(run(65, LoadUpdates::Lost(Duration::from_millis(200))));
-    assert!(outcome.waited < MOST_WAITING, "{outcome:?}");
+    assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
 /// Replicas that falsely report to be empty receive more than their share, but the others still serve.
