--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -139,7 +139,7 @@
     taken_s: f64,
     /// Time up to which `taken_s` is counted.
     since: Duration,
-    told_at: Option<Duration>,
+    forwarded_at: Option<Duration>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -153,12 +153,12 @@
     },
     LoadUpdate {
         replica: usize,
-        load: LoadAt,
+        load: TimedLoad,
     },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct LoadAt {
+struct TimedLoad {
     load: ReplicaLoad,
     at: Duration,
 }
@@ -390,7 +390,7 @@
             engine.waiting.push_back(stream);
         } else {
             self.rejected += 1;
-            self.tell(replica, stream.node, now);
+            self.report_load(replica, stream.node, now);
             self.leave(replica, stream.node, stream.work);
         }
     }
@@ -419,7 +419,7 @@
                 begun_at: now,
             },
         );
-        self.tell(replica, node, now);
+        self.report_load(replica, node, now);
     }
 
     fn end(&mut self, replica: usize, node: usize, begun_at: Duration, now: Duration) {
@@ -447,7 +447,7 @@
     }
 
     /// Reports the load of a replica to a node, which forwards it to the others if a sample is due.
-    fn tell(&mut self, replica: usize, node: usize, now: Duration) {
+    fn report_load(&mut self, replica: usize, node: usize, now: Duration) {
         let mut load = self.engines[replica].load();
         if matches!(self.run.updates, LoadUpdates::False(_)) && replica % 10 == 0 {
             load = ReplicaLoad {
@@ -456,37 +456,37 @@
                 ..load
             };
         }
-        let heard = self.as_heard(load);
-        self.nodes[node].record_load(&replica_id(replica), heard, at(now));
+        let recorded = self.as_recorded(load);
+        self.nodes[node].record_load(&replica_id(replica), recorded, at(now));
         let age = match self.run.updates {
             LoadUpdates::None => return,
             LoadUpdates::After(age) | LoadUpdates::Lost(age) | LoadUpdates::False(age) => age,
         };
         let engine = &mut self.engines[replica];
         if engine
-            .told_at
-            .is_some_and(|told| now - told < MIN_UPDATE_INTERVAL)
+            .forwarded_at
+            .is_some_and(|last| now - last < MIN_UPDATE_INTERVAL)
         {
             return;
         }
-        engine.told_at = Some(now);
-        let load = LoadAt { load, at: now };
+        engine.forwarded_at = Some(now);
+        let load = TimedLoad { load, at: now };
         self.push(now + age, Event::LoadUpdate { replica, load });
     }
 
-    fn apply_load_update(&mut self, replica: usize, told: LoadAt) {
+    fn apply_load_update(&mut self, replica: usize, sample: TimedLoad) {
         let id = replica_id(replica);
-        let load = self.as_heard(told.load);
+        let load = self.as_recorded(sample.load);
         let is_lossy = matches!(self.run.updates, LoadUpdates::Lost(_));
         for table in &mut self.nodes {
             if !(is_lossy && self.random.random_bool(0.5)) {
-                table.record_load(&id, load, at(told.at));
+                table.record_load(&id, load, at(sample.at));
             }
         }
     }
 
     /// Returns a load as a node records it: without the work time where replicas are treated as equal.
-    fn as_heard(&self, load: ReplicaLoad) -> ReplicaLoad {
+    fn as_recorded(&self, load: ReplicaLoad) -> ReplicaLoad {
         ReplicaLoad {
             work_time_pct: load
                 .work_time_pct
