--- a/crates/croftrill-bench/src/main.rs
+++ b/crates/croftrill-bench/src/main.rs
@@ -149,7 +149,7 @@
             ] {
                 let outcomes: Vec<SpreadOutcome> = (1..=seeds)
                     .map(|seed| {
-                        spread::play(SpreadRun {
+                        spread::simulate(SpreadRun {
                             nodes,
                             policy,
                             updates,
--- a/crates/croftrill-bench/src/spread.rs
+++ b/crates/croftrill-bench/src/spread.rs
@@ -125,7 +125,7 @@
 struct Stream {
     node: usize,
     work: RequestWork,
-    came_at: Duration,
+    arrived_at: Duration,
 }
 
 /// State of a replica during a run.
@@ -136,8 +136,8 @@
     work_time: f64,
     disturbed: bool,
     /// Slot-seconds used up to `since`.
-    taken_s: f64,
-    /// Time up to which `taken_s` is counted.
+    used_slot_s: f64,
+    /// Time up to which `used_slot_s` is counted.
     since: Duration,
     forwarded_at: Option<Duration>,
 }
@@ -149,7 +149,7 @@
     End {
         replica: usize,
         node: usize,
-        begun_at: Duration,
+        started_at: Duration,
     },
     LoadUpdate {
         replica: usize,
@@ -163,7 +163,7 @@
     at: Duration,
 }
 
-struct Play {
+struct Simulation {
     run: SpreadRun,
     random: SmallRng,
     engines: Vec<Engine>,
@@ -190,8 +190,8 @@
 }
 
 fn listing(index: usize) -> ReplicaListing {
-    let models = (0..MODELS_PER_REPLICA).map(|place| HeldModel {
-        model: model_name((index + place * (1 + index / MODELS)) % MODELS).into(),
+    let models = (0..MODELS_PER_REPLICA).map(|offset| HeldModel {
+        model: model_name((index + offset * (1 + index / MODELS)) % MODELS).into(),
         adapters: Vec::new(),
     });
     ReplicaListing {
@@ -211,7 +211,7 @@
 }
 
 /// Simulates a run.
-pub fn play(run: SpreadRun) -> SpreadOutcome {
+pub fn simulate(run: SpreadRun) -> SpreadOutcome {
     let tables = (0..run.nodes).map(|_| {
         let mut table = ReplicaTable::new();
         (0..REPLICAS).for_each(|index| table.apply_listing(listing(index)));
@@ -220,7 +220,7 @@
         }
         table
     });
-    let mut play = Play {
+    let mut simulation = Simulation {
         run,
         random: SmallRng::seed_from_u64(run.seed),
         engines: (0..REPLICAS).map(Engine::new).collect(),
@@ -233,16 +233,16 @@
         rejected: 0,
         overdue: 0,
     };
-    play.push(Duration::ZERO, Event::Arrival);
-    play.push(Duration::ZERO, Event::Disturbances);
-    while let Some(Reverse((now, number))) = play.queue.pop() {
+    simulation.push(Duration::ZERO, Event::Arrival);
+    simulation.push(Duration::ZERO, Event::Disturbances);
+    while let Some(Reverse((now, number))) = simulation.queue.pop() {
         if now >= run.length {
             break;
         }
-        let event = play.events[number as usize].take();
-        play.handle(event.expect("each event is handled once"), now);
+        let event = simulation.events[number as usize].take();
+        simulation.handle(event.expect("each event is handled once"), now);
     }
-    play.outcome()
+    simulation.outcome()
 }
 
 impl Engine {
@@ -270,13 +270,13 @@
         }
     }
 
-    fn count(&mut self, now: Duration) {
-        self.taken_s += self.running as f64 * (now - self.since).as_secs_f64();
+    fn count_slot_time(&mut self, now: Duration) {
+        self.used_slot_s += self.running as f64 * (now - self.since).as_secs_f64();
         self.since = now;
     }
 }
 
-impl Play {
+impl Simulation {
     fn push(&mut self, at: Duration, event: Event) {
         self.queue.push(Reverse((at, self.events.len() as u64)));
         self.events.push(Some(event));
@@ -284,13 +284,13 @@
 
     fn handle(&mut self, event: Event, now: Duration) {
         match event {
-            Event::Arrival => self.arrival(now),
+            Event::Arrival => self.handle_arrival(now),
             Event::Disturbances => self.disturb(now),
             Event::End {
                 replica,
                 node,
-                begun_at,
-            } => self.end(replica, node, begun_at, now),
+                started_at,
+            } => self.end(replica, node, started_at, now),
             Event::LoadUpdate { replica, load } => self.apply_load_update(replica, load),
         }
     }
@@ -302,11 +302,11 @@
         self.push(now + DISTURBANCE_INTERVAL, Event::Disturbances);
     }
 
-    fn arrival(&mut self, now: Duration) {
+    fn handle_arrival(&mut self, now: Duration) {
         let pause_s = -self.random.random_range(f64::MIN_POSITIVE..1.0).ln() / self.run.demand_per_s;
         self.push(now + Duration::from_secs_f64(pause_s), Event::Arrival);
         let node = self.random.random_range(0..self.run.nodes);
-        let model = self.model();
+        let model = self.draw_model();
         let mean = if self.random.random_bool(SHORT_FRACTION) {
             SHORT_OUTPUT_TOKENS
         } else {
@@ -333,13 +333,13 @@
             Stream {
                 node,
                 work,
-                came_at: now,
+                arrived_at: now,
             },
             now,
         );
     }
 
-    fn model(&mut self) -> String {
+    fn draw_model(&mut self) -> String {
         let weight = |index: usize| (index as f64 + 1.0).powf(-MODEL_SKEW);
         let mut drawn = self.random.random_range(0.0..(0..MODELS).map(weight).sum());
         let mut chosen = 0;
@@ -373,9 +373,9 @@
         let chosen = match self.run.policy {
             RoutingPolicy::Alike | RoutingPolicy::Chosen => choose(table, &request, at(now)),
             policy => {
-                let weighed: Vec<WeightedReplica> = weighted_candidates(table, &request, at(now)).collect();
-                let chosen = pick(policy, &weighed, at(now), &mut self.random);
-                chosen.map(|weighed| weighed.entry.listing.id.clone())
+                let weighted: Vec<WeightedReplica> = weighted_candidates(table, &request, at(now)).collect();
+                let chosen = pick(policy, &weighted, at(now), &mut self.random);
+                chosen.map(|weighted| weighted.entry.listing.id.clone())
             }
         };
         chosen.and_then(|id| id[1..].parse().ok())
@@ -391,56 +391,56 @@
         } else {
             self.rejected += 1;
             self.report_load(replica, stream.node, now);
-            self.leave(replica, stream.node, stream.work);
+            self.drop_stream(replica, stream.node, stream.work);
         }
     }
 
     fn start(&mut self, replica: usize, stream: Stream, now: Duration) {
         let engine = &mut self.engines[replica];
-        engine.count(now);
+        engine.count_slot_time(now);
         engine.running += 1;
-        let reading =
+        let prompt_time =
             TIME_PER_PROMPT_TOKEN.mul_f64(stream.work.prompt_tokens as f64 * engine.work_time_now());
         let disturbed = 1.0 + DISTURBED_FRACTION * (DISTURBED_FACTOR - 1.0);
         let per_token = TIME_PER_OUTPUT_TOKEN.mul_f64(engine.work_time * disturbed);
-        let first_event_at = now + reading;
+        let first_event_at = now + prompt_time;
         let end_at = first_event_at + per_token * stream.work.output_tokens as u32;
-        self.first_events.push(first_event_at - stream.came_at);
-        if end_at - stream.came_at > DEADLINE {
+        self.first_events.push(first_event_at - stream.arrived_at);
+        if end_at - stream.arrived_at > DEADLINE {
             self.overdue += 1;
         }
         let node = stream.node;
         self.nodes[node].prompt_done(&replica_id(replica), stream.work.prompt_tokens);
         self.push(
-            end_at.min(stream.came_at + DEADLINE).max(now),
+            end_at.min(stream.arrived_at + DEADLINE).max(now),
             Event::End {
                 replica,
                 node,
-                begun_at: now,
+                started_at: now,
             },
         );
         self.report_load(replica, node, now);
     }
 
-    fn end(&mut self, replica: usize, node: usize, begun_at: Duration, now: Duration) {
+    fn end(&mut self, replica: usize, node: usize, started_at: Duration, now: Duration) {
         let engine = &mut self.engines[replica];
-        engine.count(now);
+        engine.count_slot_time(now);
         engine.running -= 1;
         let next = engine.waiting.pop_front();
         self.nodes[node].end_send(&replica_id(replica));
-        self.nodes[node].record_run_time(&replica_id(replica), now - begun_at);
+        self.nodes[node].record_run_time(&replica_id(replica), now - started_at);
         if let Some(stream) = next {
-            if now - stream.came_at < DEADLINE {
+            if now - stream.arrived_at < DEADLINE {
                 self.start(replica, stream, now);
             } else {
                 self.overdue += 1;
-                self.leave(replica, stream.node, stream.work);
+                self.drop_stream(replica, stream.node, stream.work);
             }
         }
     }
 
     /// Removes a stream that never ran from the load that its node counts for the replica.
-    fn leave(&mut self, replica: usize, node: usize, work: RequestWork) {
+    fn drop_stream(&mut self, replica: usize, node: usize, work: RequestWork) {
         let (table, id) = (&mut self.nodes[node], replica_id(replica));
         table.prompt_done(&id, work.prompt_tokens);
         table.end_send(&id);
@@ -497,9 +497,11 @@
 
     fn outcome(mut self) -> SpreadOutcome {
         let end = self.run.length;
-        self.engines.iter_mut().for_each(|engine| engine.count(end));
-        let taken: Vec<f64> = self.engines.iter().map(|engine| engine.taken_s).collect();
-        let mean = taken.iter().sum::<f64>() / taken.len() as f64;
+        self.engines
+            .iter_mut()
+            .for_each(|engine| engine.count_slot_time(end));
+        let used_slots_s: Vec<f64> = self.engines.iter().map(|engine| engine.used_slot_s).collect();
+        let mean = used_slots_s.iter().sum::<f64>() / used_slots_s.len() as f64;
         let streams = self.streams.max(1) as f64;
         self.first_events.sort_unstable();
         let p99 = self.first_events.get(self.first_events.len() * 99 / 100);
@@ -510,7 +512,7 @@
             late: late as f64 / streams,
             overdue: self.overdue as f64 / streams,
             first_event_p99_ms: p99.map_or(0.0, |time| time.as_secs_f64() * 1000.0),
-            busiest_to_mean: taken.iter().copied().fold(0.0, f64::max) / mean,
+            busiest_to_mean: used_slots_s.iter().copied().fold(0.0, f64::max) / mean,
         }
     }
 }
@@ -518,7 +520,7 @@
 /// Chooses by one of the ways that exist only for comparison.
 fn pick<'a, 'b>(
     policy: RoutingPolicy,
-    weighed: &'b [WeightedReplica<'a>],
+    weighted: &'b [WeightedReplica<'a>],
     now: Moment,
     random: &mut SmallRng,
 ) -> Option<&'b WeightedReplica<'a>> {
@@ -526,24 +528,25 @@
         |left: &&WeightedReplica<'_>, right: &&WeightedReplica<'_>| left.cost.total_cmp(&right.cost);
     match policy {
         RoutingPolicy::TwoChoices => {
-            let drawn = (0..2).filter_map(|_| weighed.get(random.random_range(0..weighed.len().max(1))));
+            let drawn = (0..2).filter_map(|_| weighted.get(random.random_range(0..weighted.len().max(1))));
             drawn.min_by(cheaper)
         }
         RoutingPolicy::ByRoom => {
-            let room = |weighed: &WeightedReplica<'_>| {
-                let entry = weighed.entry;
+            let free_capacity = |weighted: &WeightedReplica<'_>| {
+                let entry = weighted.entry;
                 let requests = entry.running_load(now);
                 (f64::from(entry.slots()) - requests).max(0.0) * entry.capacity.speed()
             };
-            let mut drawn = random.random_range(0.0..weighed.iter().map(room).sum::<f64>().max(1e-9));
-            let hit = weighed.iter().find(|weighed| {
-                drawn -= room(weighed);
+            let mut drawn =
+                random.random_range(0.0..weighted.iter().map(free_capacity).sum::<f64>().max(1e-9));
+            let hit = weighted.iter().find(|weighted| {
+                drawn -= free_capacity(weighted);
                 drawn < 0.0
             });
-            hit.or_else(|| weighed.iter().min_by(cheaper))
+            hit.or_else(|| weighted.iter().min_by(cheaper))
         }
         RoutingPolicy::Alike | RoutingPolicy::LeastCost | RoutingPolicy::Chosen => {
-            weighed.iter().min_by(cheaper)
+            weighted.iter().min_by(cheaper)
         }
     }
 }
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use croftrill_bench::spread::{play, LoadUpdates, RoutingPolicy, SpreadRun};
+use croftrill_bench::spread::{simulate, LoadUpdates, RoutingPolicy, SpreadRun};
 
 /// Rate at which half of the slots are in use on average, so that no stream needs to wait.
 const DEMAND_PER_S: f64 = 500.0;
@@ -27,7 +27,7 @@
 fn old_news_draws_no_herd() {
     for nodes in [7, 65] {
         for age in [Duration::from_millis(200), Duration::from_secs(1)] {
-            let outcome = play(run(nodes, LoadUpdates::After(age)));
+            let outcome = simulate(run(nodes, LoadUpdates::After(age)));
             assert!(
                 outcome.waited < MAX_WAITED_FRACTION,
                 "{nodes} nodes, {age:?}: {outcome:?}"
@@ -40,14 +40,14 @@
 /// Without updates, a node observes the load of a replica only about once in ten seconds.
 #[test]
 fn nodes_that_hear_nothing_of_others_fill_no_replica() {
-    let outcome = play(run(65, LoadUpdates::None));
+    let outcome = simulate(run(65, LoadUpdates::None));
     assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
 /// Half of the load updates are lost.
 #[test]
 fn lost_news_fills_no_replica() {
-    let outcome = play(run(65, LoadUpdates::Lost(Duration::from_millis(200))));
+    let outcome = simulate(run(65, LoadUpdates::Lost(Duration::from_millis(200))));
     assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
@@ -55,8 +55,8 @@
 #[test]
 fn false_news_costs_less_than_going_by_it_alone() {
     let lies = LoadUpdates::False(Duration::from_millis(200));
-    let drawn = play(run(65, lies));
-    let least_cost = play(SpreadRun {
+    let drawn = simulate(run(65, lies));
+    let least_cost = simulate(SpreadRun {
         policy: RoutingPolicy::LeastCost,
         ..run(65, lies)
     });
@@ -68,5 +68,5 @@
 #[test]
 fn play_depends_on_nothing_but_the_run() {
     let updates = LoadUpdates::After(Duration::from_millis(200));
-    assert_eq!(play(run(7, updates)), play(run(7, updates)));
+    assert_eq!(simulate(run(7, updates)), simulate(run(7, updates)));
 }
