--- a/crates/croftrill-bench/tests/experiment.rs
+++ b/crates/croftrill-bench/tests/experiment.rs
@@ -5,7 +5,7 @@
 use croftrill_bench::experiment::{policies, simulate, Load};
 
 #[test]
-fn the_same_seed_gives_the_same_outcome() {
+fn simulate_with_same_seed_gives_same_outcome() {
     let load = Load {
         seconds: 10,
         ..Load::default()
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn fewer_holders_of_busy_models_leave_more_requests_warm() {
+fn simulate_with_fewer_holders_of_busy_models_serves_more_requests_warm() {
     let load = Load {
         seconds: 40,
         ..Load::default()
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_change_costs_the_same_bytes_at_any_size() {
+fn measure_change_bytes_are_the_same_at_any_size() {
     let small = measure(Size {
         replicas: 18,
         models: 61,
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -17,15 +17,15 @@
 }
 
 /// Returns the number of reports requested over the given number of plans at intervals of 40 ms.
-fn reports_asked(world: &mut World, plans: usize) -> usize {
+fn requested_reports(world: &mut World, plans: usize) -> usize {
     let mut reports = 0;
     for _ in 0..plans {
         world.now = world.now + Duration::from_millis(40);
         let actions = world.orderer.plan(true, world.now);
-        let asked = actions
+        let requests = actions
             .iter()
             .filter(|action| matches!(action, OrdererAction::RequestReport { .. }));
-        reports += asked.count();
+        reports += requests.count();
     }
     reports
 }
@@ -34,22 +34,22 @@
 /// each per 2.5 s are 3,856 reports per second, over as many connections, which use up the
 /// processor time of a small machine.
 #[test]
-fn reports_that_no_order_waits_for_are_asked_at_a_bounded_rate() {
+fn plan_without_waiting_orders_requests_reports_at_bounded_rate() {
     let counts: Vec<usize> = [2000, 4000]
         .into_iter()
         .map(|replicas| {
             let mut world = World::round_robin(replicas, 300, orderer_config());
-            reports_asked(&mut world, 250)
+            requested_reports(&mut world, 250)
         })
         .collect();
     assert_eq!(counts[0], counts[1]);
     assert!(counts[0] <= 64 + 24 * 10, "{counts:?}");
 }
 
-/// The best replica for a model with waiting requests is asked for a report at once, ahead of those
+/// The best replica for a model with waiting requests is requests for a report at once, ahead of those
 /// that are due.
 #[test]
-fn model_that_is_waited_for_is_loaded_although_few_replicas_are_confirmed() {
+fn mark_waiting_loads_model_although_few_replicas_are_confirmed() {
     let mut world = World::round_robin(2000, 300, orderer_config());
     world.run(200);
     for replica in world.replicas.values_mut() {
@@ -76,7 +76,7 @@
 /// What a follower knows and receives depends on the models that its requests need, not on the
 /// size of the fleet.
 #[test]
-fn work_out_of_twice_the_fleet_leaves_a_follower_as_it_was() {
+fn fleet_cost_of_follower_is_the_same_in_twice_the_fleet() {
     let size = |nodes, replicas| fleet_cost(FleetSize { nodes, replicas });
     let (fleet, twice) = (size(1000, 10_000), size(2000, 20_000));
     assert_eq!(fleet.follower_replicas, twice.follower_replicas);
--- a/crates/croftrill-bench/tests/limits.rs
+++ b/crates/croftrill-bench/tests/limits.rs
@@ -37,7 +37,7 @@
     /// No window holds more calls than allowed, whether keepers are killed, frozen,
     /// unreachable or duplicated.
     #[test]
-    fn play_of_any_trouble_stays_within_what_is_allowed(
+    fn simulate_with_any_failure_stays_within_allowed_calls(
         nodes in prop_oneof![Just(7usize), Just(295), Just(985)],
         limit_per_s in prop_oneof![0.3f64..3.0, 3.0..60.0],
         pressure in 0.5f64..12.0,
@@ -51,7 +51,7 @@
 
 /// Guards against a limit that is respected by sending too little.
 #[test]
-fn play_without_trouble_uses_the_limit_at_all_sizes() {
+fn simulate_without_failure_uses_limit_at_all_sizes() {
     for nodes in [7, 295, 985] {
         for limit_per_s in [1.0, 5.0, 50.0] {
             let runs = (1..=10)
@@ -68,7 +68,7 @@
 /// The baseline for the keeper: many nodes that each use an equal share on their own leave most of
 /// the limit unused.
 #[test]
-fn play_of_even_parts_wastes_the_limit_of_a_large_fleet() {
+fn simulate_with_even_shares_wastes_limit_of_large_fleet() {
     let shares = LimitRun {
         policy: LimitPolicy::EvenShares,
         ..run(985, 1.0, 4.0, KeeperFailure::None, 1)
--- a/crates/croftrill-bench/tests/spread.rs
+++ b/crates/croftrill-bench/tests/spread.rs
@@ -24,7 +24,7 @@
 /// Guards against herding: nodes that receive loads a second late all choose the replica that was
 /// empty then.
 #[test]
-fn old_news_draws_no_herd() {
+fn simulate_with_late_updates_does_not_herd() {
     for nodes in [7, 65] {
         for age in [Duration::from_millis(200), Duration::from_secs(1)] {
             let outcome = simulate(run(nodes, LoadUpdates::After(age)));
@@ -39,26 +39,26 @@
 
 /// Without updates, a node observes the load of a replica only about once in ten seconds.
 #[test]
-fn nodes_that_hear_nothing_of_others_fill_no_replica() {
+fn simulate_without_updates_overloads_no_replica() {
     let outcome = simulate(run(65, LoadUpdates::None));
     assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
 /// Half of the load updates are lost.
 #[test]
-fn lost_news_fills_no_replica() {
+fn simulate_with_lost_updates_overloads_no_replica() {
     let outcome = simulate(run(65, LoadUpdates::Lost(Duration::from_millis(200))));
     assert!(outcome.waited < MAX_WAITED_FRACTION, "{outcome:?}");
 }
 
 /// Replicas that falsely report to be empty receive more than their share, but the others still serve.
 #[test]
-fn false_news_costs_less_than_going_by_it_alone() {
-    let lies = LoadUpdates::False(Duration::from_millis(200));
-    let drawn = simulate(run(65, lies));
+fn simulate_with_false_updates_beats_least_cost() {
+    let false_updates = LoadUpdates::False(Duration::from_millis(200));
+    let drawn = simulate(run(65, false_updates));
     let least_cost = simulate(SpreadRun {
         policy: RoutingPolicy::LeastCost,
-        ..run(65, lies)
+        ..run(65, false_updates)
     });
     assert!(drawn.rejected < least_cost.rejected, "{drawn:?} {least_cost:?}");
     assert!(drawn.late < least_cost.late, "{drawn:?} {least_cost:?}");
@@ -66,7 +66,7 @@
 
 /// Guards against hidden state or randomness in a run.
 #[test]
-fn play_depends_on_nothing_but_the_run() {
+fn simulate_same_run_gives_same_outcome() {
     let updates = LoadUpdates::After(Duration::from_millis(200));
     assert_eq!(simulate(run(7, updates)), simulate(run(7, updates)));
 }
