--- a/crates/croftrill-bench/src/capacity.rs
+++ b/crates/croftrill-bench/src/capacity.rs
@@ -69,7 +69,7 @@
     pub change_bytes: usize,
 }
 
-/// Number of plans over which a time is averaged.
+/// Number of rounds over which a time is averaged.
 const MEASURED_ROUNDS: u32 = 20;
 
 /// Measures the cost of the orderer at a fleet size.
--- a/crates/croftrill-bench/src/emulator.rs
+++ b/crates/croftrill-bench/src/emulator.rs
@@ -269,11 +269,11 @@
 /// What happens to an order and its answer.
 #[derive(Debug, Clone, Copy)]
 pub enum OrderDelivery {
-    /// The order is executed and answered.
+    /// The order and its answer arrive.
     Answered,
-    /// The order is executed, but the answer is lost.
+    /// The order arrives, but its answer is lost.
     AnswerLost,
-    /// The order is executed after the given number of milliseconds and not answered.
+    /// The order arrives after the given number of milliseconds, and its answer is lost.
     Late(u64),
 }
 
--- a/crates/croftrill-bench/tests/fleet.rs
+++ b/crates/croftrill-bench/tests/fleet.rs
@@ -46,7 +46,7 @@
     assert!(counts[0] <= 64 + 24 * 10, "{counts:?}");
 }
 
-/// The best replica for a model with waiting requests is requests for a report at once, ahead of those
+/// The best replica for a model with waiting requests is asked for a report at once, ahead of those
 /// that are due.
 #[test]
 fn mark_waiting_loads_model_although_few_replicas_are_confirmed() {
