--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Calls during a round, and the promises judged from them.
+//! Sends requests during a round and checks the guarantees by their outcomes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,14 +17,14 @@
 use crate::cluster::{status, Cluster, MODELS};
 use crate::faults::{Crash, Planned};
 
-/// Time between two calls.
+/// Time between two requests.
 const CALL_EVERY: Duration = Duration::from_millis(25);
-/// Longest time for a call.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(4);
-/// Longest time after the faults until every node serves every model.
+/// Maximum time from the end of the faults until every node serves every model.
 pub const RECOVERY: Duration = Duration::from_secs(40);
 
-/// A call and its end.
+/// A request and its outcome.
 #[derive(Debug, Clone)]
 pub struct Ended {
     pub attempt: String,
@@ -32,13 +32,12 @@
     pub took: Duration,
 }
 
-/// What callers ask.
 const USUAL_PROMPT: &str = "a question";
-/// Most replicas that may end under one request: three, and one to which a copy was on
-/// its way meanwhile.
+/// Maximum number of replicas that one request may crash: three, and one to which a copy was
+/// already on its way.
 const MOST_ENDS: usize = 4;
 
-/// The same crashing request, so often, to the nodes in turn.
+/// Sends the same crashing request `crash.times` times, to the nodes in turn.
 pub async fn call_crashing(cluster: &Cluster, crash: &Crash, seed: u64) {
     let calls = (0..crash.times).map(|number| async move {
         sleep(crash.gap * number).await;
@@ -52,20 +51,21 @@
             key: None,
         };
         let node = &cluster.nodes[(crash.number + number as usize) % cluster.nodes.len()];
-        // Nobody misses its answer.
+        // The ledgers show which replicas crashed; the answer does not matter.
         let _ = call(node.front, &drawn).await;
     });
     join_all(calls).await;
 }
 
-/// Judges how many replicas ended under each crashing request.
+/// Checks how many replicas each crashing request ended.
 pub fn crashes_are_bounded(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let ledgers = cluster.ledgers();
     for crash in plan.iter().filter_map(Planned::crash) {
         let attempts: Vec<String> = (0..crash.times)
             .map(|number| crash.attempt(seed, number))
             .collect();
-        // Copies that begin at one replica end it together, so runs are no measure.
+        // Copies that start at the same replica crash it together, so the number of runs is
+        // no measure.
         let began_there = |ledger: &&Ledger| attempts.iter().any(|attempt| ledger.runs.contains_key(attempt));
         let ends = ledgers.iter().filter(began_there).count();
         println!(
@@ -74,7 +74,7 @@
         );
         assert!(
             ends <= MOST_ENDS,
-            "seed {seed}: {ends} replicas ended under {crash:?}"
+            "seed {seed}: {ends} replicas were crashed by {crash:?}"
         );
     }
 }
@@ -93,13 +93,13 @@
     }
 }
 
-/// Time between two calls over a kept connection.
+/// Time between two requests over a persistent connection.
 const KEPT_CALL_EVERY: Duration = Duration::from_millis(60);
-/// Nodes that callers with kept connections call, at most.
+/// Maximum number of nodes that get a caller with a persistent connection.
 const MOST_KEPT: usize = 8;
 
-/// Calls all nodes for a time, over new connections in turn and over connections
-/// that are kept until the node's process is gone; waits for the last answers.
+/// Sends requests to all nodes for the time `round`, over new connections and over
+/// persistent ones that last until the node's process is gone. Waits for the last answers.
 pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
     let kept = cluster.nodes.iter().take(MOST_KEPT).enumerate();
     let kept = kept.map(|(index, node)| call_over_kept(node.front, round, seed, index));
@@ -112,7 +112,7 @@
     ended
 }
 
-/// One call after the other over a connection that is used as long as it stands.
+/// Sends one request after the other over a connection that is reused while it lasts.
 async fn call_over_kept(front: SocketAddr, round: Duration, seed: u64, index: usize) -> Vec<Ended> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0xcee9 ^ index as u64);
     let pool = persistent_connections();
@@ -131,8 +131,8 @@
     ended
 }
 
-/// Calls all nodes in turn for a time, each time over a new connection; waits for the
-/// last answers. `draw`: the call of a number.
+/// Sends requests to all nodes in turn for the time `round`, each over a new connection.
+/// Waits for the last answers. `draw` returns the request with a number.
 pub async fn call_anew(
     cluster: &Cluster,
     round: Duration,
@@ -158,12 +158,13 @@
         sleep(CALL_EVERY).await;
     }
     for task in tasks {
-        task.await.expect("a call ends");
+        task.await.expect("the task of a request does not panic");
     }
     ended.take()
 }
 
-/// Waits until every node serves every model, and has the newest document in force.
+/// Waits until every node serves every model, and checks that the newest document is in
+/// force.
 pub async fn recovery(cluster: &Cluster, seed: u64) {
     let until = Instant::now() + RECOVERY;
     let newest = cluster.document.borrow().version;
@@ -198,12 +199,12 @@
         assert_eq!(
             believed,
             Some(newest),
-            "seed {seed}: node {index} has not the newest document"
+            "seed {seed}: node {index} does not have the newest document"
         );
     }
 }
 
-/// Judges the promises by what callers and replicas saw.
+/// Checks the guarantees by what callers and replicas observed.
 pub fn promises(cluster: &Cluster, calls: &[Ended], seed: u64) {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for ledger in cluster.ledgers() {
@@ -220,7 +221,7 @@
     for ended in calls {
         let count = runs.get(&ended.attempt).copied().unwrap_or(0);
         let name = match &ended.end {
-            CallOutcome::Complete => "whole",
+            CallOutcome::Complete => "complete",
             CallOutcome::Refused { .. } => "refused",
             CallOutcome::Failed(_) => "failed",
             CallOutcome::Broken => "broken",
@@ -231,10 +232,14 @@
         assert!(count <= 1, "seed {seed}: {} ran {count} times", ended.attempt);
         match ended.end {
             CallOutcome::Complete => {
-                assert_eq!(count, 1, "seed {seed}: {} is whole without a run", ended.attempt)
+                assert_eq!(
+                    count, 1,
+                    "seed {seed}: {} is complete but never ran",
+                    ended.attempt
+                )
             }
             CallOutcome::Refused { .. } | CallOutcome::NotSent => {
-                assert_eq!(count, 0, "seed {seed}: {} was refused, yet it ran", ended.attempt);
+                assert_eq!(count, 0, "seed {seed}: {} was refused but ran", ended.attempt);
             }
             _ => {}
         }
@@ -242,12 +247,15 @@
     println!("seed {seed}: {} calls, {counts:?}", calls.len());
 }
 
-/// Judges that a fifth of the calls that may be served is, whatever happens.
+/// Checks that at least a fifth of the calls that may be served are complete.
 pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a Ended>, seed: u64) {
     let (mut all, mut whole) = (0, 0);
     for ended in calls {
         all += 1;
         whole += usize::from(ended.end == CallOutcome::Complete);
     }
-    assert!(whole * 5 >= all, "seed {seed}: {whole} of {all}");
+    assert!(
+        whole * 5 >= all,
+        "seed {seed}: only {whole} of {all} calls are complete"
+    );
 }
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -1,4 +1,5 @@
-//! Daemons as processes, with stand-ins of store and replicas behind proxies.
+//! A cluster of daemon processes, with stand-ins for the store and the replicas behind
+//! proxies.
 
 use std::cell::{Cell, RefCell};
 use std::fs::OpenOptions;
@@ -25,25 +26,25 @@
 
 use crate::suspendable;
 
-/// Models; more than the replicas hold at the same time.
+/// Names of the models: more than the replicas can hold at the same time.
 pub const MODELS: [&str; 6] = ["m0", "m1", "m2", "m3", "m4", "m5"];
 /// Window of the groups' quotas.
 pub const QUOTA_WINDOW: Duration = Duration::from_secs(3);
-/// Part of a quota that a window may be over it.
+/// Fraction of a quota by which usage in a window may exceed it.
 pub const QUOTA_OVERAGE: f64 = 0.1;
-/// Tokens that it may be over that besides.
+/// Number of tokens by which usage in a window may exceed the quota in addition.
 pub const QUOTA_SLACK: f64 = 100.0;
-/// How many processes a cluster has.
+/// Number of nodes and replicas of a cluster.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Nodes, each a process.
+    /// Number of nodes, each of which is a process.
     pub nodes: usize,
-    /// Replicas, which the test's own process stands in for.
+    /// Number of replicas, which are stand-ins in the test's own process.
     pub engines: usize,
 }
 
 impl Size {
-    /// The same with so many replicas at least.
+    /// Returns the size with at least the given number of replicas.
     pub fn with_engines(self, least: usize) -> Self {
         Size {
             engines: self.engines.max(least),
@@ -52,12 +53,12 @@
     }
 }
 
-/// What a round's replicas and nodes are like.
+/// How the replicas and nodes of a round are configured.
 #[derive(Debug, Clone, Copy)]
 pub struct Conditions {
-    /// A replica, by its index.
+    /// Returns the configuration of the replica with an index.
     pub engine: fn(usize) -> EngineConfig,
-    /// Whether callers compete, as the nodes' settings say.
+    /// The setting `callers_compete` of the nodes.
     pub callers_compete: bool,
 }
 
@@ -70,12 +71,12 @@
     }
 }
 
-/// The continuous integration's.
+/// The size in continuous integration.
 pub const USUAL_SIZE: Size = Size { nodes: 3, engines: 2 };
-/// Longest wait for a cluster to be ready.
+/// Maximum time until a cluster is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A daemon's process. It is killed when it is dropped.
+/// A process of the daemon, which is killed on drop.
 pub struct NodeProcess {
     pub front: SocketAddr,
     pub operator: SocketAddr,
@@ -87,33 +88,33 @@
 /// Which program a node's process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Program {
-    /// The daemon as it is installed.
+    /// The daemon of this build.
     Daemon,
-    /// The daemon on a clock that a signal puts forward ([`crate::suspendable`]).
+    /// The daemon on a clock that a signal advances ([`crate::suspendable`]).
     Suspendable,
-    /// Another build of the daemon, which `CROFTRILL_SOAK_OLDER` names.
+    /// The daemon of another build, at the path in `CROFTRILL_SOAK_OLDER`.
     Older,
 }
 
-/// The other build, if one is named.
+/// Returns the path of the other build's daemon, if one is given.
 pub fn older_build() -> Option<PathBuf> {
     std::env::var_os("CROFTRILL_SOAK_OLDER").map(PathBuf::from)
 }
 
 impl NodeProcess {
-    /// The program that the next start runs.
+    /// Sets the program that the next start runs.
     pub fn set_program(&self, program: Program) {
         self.program.set(program);
     }
 
-    /// Sends a signal by the process's id.
+    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         let id = self.child.borrow().id().to_string();
         let _ = Command::new("kill").args([&format!("-{name}"), &id]).status();
     }
 
-    /// Sends signals one after the other, each followed by its pause, and starts
-    /// the process anew whenever it ended; ends once it runs and is not about to end.
+    /// Sends signals one after the other, each followed by its pause, and restarts the
+    /// process whenever it has ended. Returns once the process runs and is not about to end.
     pub async fn series(&self, signals: &[(&'static str, Duration)]) {
         let mut ending = None;
         for (name, pause) in signals {
@@ -131,14 +132,18 @@
     }
 
     fn start_if_ended(&self) {
-        let ended = self.child.borrow_mut().try_wait().expect("the child is ours");
+        let ended = self
+            .child
+            .borrow_mut()
+            .try_wait()
+            .expect("the child can be waited for");
         if ended.is_some() {
             *self.child.borrow_mut() = spawn(&self.config, self.program.get());
         }
     }
 
-    /// Kills the process, or waits for its end after a request to stop, and
-    /// starts it anew, unless another fault already has.
+    /// Kills the process, or asks it to stop, waits for its end and restarts it, unless
+    /// another fault has restarted it already.
     pub async fn restart(&self, kindly: bool) {
         let id = self.child.borrow().id();
         self.signal(if kindly { "TERM" } else { "KILL" });
@@ -159,7 +164,7 @@
 fn spawn(config: &Path, program: Program) -> Child {
     let mut command = match program {
         Program::Daemon => daemon(Path::new(env!("CARGO_BIN_EXE_croftrilld")), config),
-        Program::Older => daemon(&older_build().expect("another build is named"), config),
+        Program::Older => daemon(&older_build().expect("CROFTRILL_SOAK_OLDER is set"), config),
         Program::Suspendable => suspendable::command(config),
     };
     command.stdout(log_of(config)).spawn().expect("the daemon starts")
@@ -171,14 +176,14 @@
     command
 }
 
-/// Where a daemon's log goes: to a file in the directory that
-/// `CROFTRILL_SOAK_LOGS` names, or nowhere.
+/// Returns the output for a daemon's log: a file in the directory `CROFTRILL_SOAK_LOGS`, or
+/// none.
 fn log_of(config: &Path) -> Stdio {
     let Some(directory) = std::env::var_os("CROFTRILL_SOAK_LOGS") else {
         return Stdio::null();
     };
     let name = config.with_extension("log");
-    let name = name.file_name().expect("the settings have a name");
+    let name = name.file_name().expect("the settings file has a name");
     let file = OpenOptions::new()
         .create(true)
         .append(true)
@@ -189,13 +194,13 @@
 pub struct Cluster {
     pub store: Rc<StoreStandin>,
     store_address: SocketAddr,
-    /// Each node's way to the store.
+    /// The proxy between each node and the store.
     pub store_proxies: Vec<Rc<Proxy>>,
-    /// The replicas, each as its present incarnation.
+    /// The current incarnation of each replica.
     pub engines: RefCell<Vec<Rc<EngineStandin>>>,
-    /// Incarnations of replicas that ended.
+    /// Former incarnations of replicas, which have ended.
     pub ended_engines: RefCell<Vec<Rc<EngineStandin>>>,
-    /// The nodes' way to each replica.
+    /// The proxy between the nodes and each replica.
     pub engine_proxies: Vec<Rc<Proxy>>,
     pub nodes: Vec<NodeProcess>,
     pub document: RefCell<Document>,
@@ -224,19 +229,20 @@
     }
 }
 
-/// First of the ports that daemons listen on. They lie below those that the
-/// operating system gives to outgoing connections (from 32768 on), which could
-/// take one while its daemon restarts.
+/// First port that daemons listen on. The range is below the ephemeral ports of the operating
+/// system (from 32768 on): an outgoing connection could take such a port while its daemon
+/// restarts.
 const FIRST_PORT: u16 = 10_000;
 /// Number of these ports.
 const PORTS: u16 = 22_000;
 
 thread_local! {
-    /// Ports handed out; soaks that run side by side begin at different ones.
+    /// Number of the next port to try. It starts at a different port in each process, so that
+    /// soak tests can run in parallel.
     static PORTS_TAKEN: Cell<u32> = Cell::new(std::process::id() * 61);
 }
 
-/// A free port of the loopback address, which this process gives to nobody else.
+/// Returns a free port of the loopback address that this process uses only once.
 fn free_address() -> SocketAddr {
     for _ in 0..PORTS {
         let number = PORTS_TAKEN.get();
@@ -249,7 +255,7 @@
     panic!("no free port");
 }
 
-/// Time until a replica that crashed is back.
+/// Time after which a crashed replica restarts.
 const ENGINE_BACK_AFTER: Duration = Duration::from_millis(700);
 
 fn engine(
@@ -297,11 +303,11 @@
         }
         tokio::time::timeout(START_TIMEOUT, cluster.until_ready())
             .await
-            .expect("the cluster gets ready");
+            .expect("the cluster becomes ready");
         cluster
     }
 
-    /// Writes the document as the operators' newest.
+    /// Writes the current document to the store, as an operator would.
     pub fn write_document(&self) {
         let value = serde_json::to_vec(&*self.document.borrow()).expect("a document");
         let write = WireWrite {
@@ -326,8 +332,8 @@
         self.engine_proxies.push(Proxy::start(proxy_listener, upstream));
     }
 
-    /// Ends replicas at requests that crash them; each is back, empty, at its address
-    /// after a time. Runs until it is dropped.
+    /// Ends replicas at requests that crash them, and restarts each one, with no models, at
+    /// the same address after `ENGINE_BACK_AFTER`. Runs until it is dropped.
     pub async fn crash_engines(&self) {
         let each = (0..self.engine_proxies.len()).map(|index| async move {
             loop {
@@ -351,12 +357,12 @@
         join_all(each).await;
     }
 
-    /// The present incarnation of a replica.
+    /// Returns the current incarnation of a replica.
     pub fn engine(&self, index: usize) -> Rc<EngineStandin> {
         self.engines.borrow()[index].clone()
     }
 
-    /// Runs of all replicas and of all that ended, by attempt, and broken promises.
+    /// Returns the ledgers of all replicas, including incarnations that have ended.
     pub fn ledgers(&self) -> Vec<Ledger> {
         let engines = self.engines.borrow();
         let ended = self.ended_engines.borrow();
@@ -379,7 +385,7 @@
         if self.conditions.callers_compete {
             text += "callers_compete = true\n";
         }
-        // An older build may not know quotas.
+        // An older build may not support quotas.
         if program != Program::Older {
             text += &format!(
                 "[quota]\nwindow_seconds = {}\noverage = {}\nslack = {}\n",
@@ -413,7 +419,7 @@
         }
     }
 
-    /// Takes every fault away.
+    /// Removes all faults and waits until all nodes are ready.
     pub async fn mend(&self) {
         self.store.set_fault(StoreFault::None);
         for proxy in self.store_proxies.iter().chain(&self.engine_proxies) {
@@ -424,7 +430,7 @@
         }
         tokio::time::timeout(START_TIMEOUT, self.until_ready())
             .await
-            .expect("every node is back");
+            .expect("every node becomes ready");
     }
 
     pub async fn stop(self) {
@@ -432,7 +438,7 @@
     }
 }
 
-/// What a node believes, if it answers.
+/// Returns the status that a node reports, if it answers.
 pub async fn status(node: &NodeProcess) -> Option<NodeStatus> {
     let pool = ConnectionPool::new(ConnectionConfig::default());
     let request = Request::builder()
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside the daemons, drawn from a seed.
+//! Faults from outside the daemons, drawn from a seeded generator.
 
 use std::time::Duration;
 
@@ -13,99 +13,106 @@
 use crate::cluster::{Cluster, Program, Size};
 use crate::{suspendable, tenants};
 
-/// Time for which a replica goes on naming its limit: longer than it takes until the limit
-/// holds (3 s), and a window of its sum (4 s).
+/// Time for which a replica keeps announcing its limit: longer than the time until the limit
+/// holds (3 s) plus the window in which requests are counted (4 s).
 const NEED: Duration = Duration::from_millis(7_500);
 
-/// How faults are drawn.
+/// The kinds of faults of a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
-    /// Two to four faults.
+    /// Two to four single faults.
     Few,
-    /// Six to ten, among them series of signals, restarts and changes, which
-    /// overlap, and connections that go silent for good.
+    /// Six to ten faults, among them overlapping series of signals, restarts and document
+    /// changes, and connections that go silent for good.
     Series,
-    /// Requests that crash replicas come in series, beside suspensions, kills, stops
-    /// and restarts of nodes and connections that go silent; the store serves all.
+    /// Series of requests that crash replicas, with suspensions, kills, stops and restarts
+    /// of nodes and connections that go silent. The store stays available.
     Crashes,
-    /// Callers show keys of groups, one of them with a quota; keys are taken away and
-    /// given back and the quota is changed, beside kills, stops, restarts, pauses and a
-    /// store that is away for some nodes.
+    /// Callers send keys of groups, one of which has a quota. Keys are removed and restored
+    /// and the quota is changed, with kills, stops, restarts, pauses and a store that is
+    /// unreachable for some nodes.
     Tenants,
-    /// Replicas say in answers that they leave, or turn requests away and ask for rest,
-    /// while the store is away, nodes restart and connections are reset.
+    /// Replicas signal in answers that they leave, or reject requests and ask for a
+    /// cooldown, while the store is unavailable, nodes restart and connections are reset.
     Words,
-    /// Nodes of another build are replaced by this one, one after the other, and some
-    /// of them back, beside kills and cuts.
+    /// Nodes of another build are replaced by this build, one after the other, and some of
+    /// them back, with kills and connection faults.
     Builds,
-    /// Replicas name limits on the requests that they take from all nodes together, beside
-    /// kills, pauses, signals, cuts, a store that is away and connections that go silent.
+    /// Replicas announce limits on the requests that they accept from all nodes together,
+    /// with kills, pauses, signals, connection faults, an unavailable store and connections
+    /// that go silent.
     Limits,
-    /// The store comes back from older copies, beside kills, stops, pauses and cuts.
+    /// The store is restored from older copies, with kills, stops, pauses and connection
+    /// faults.
     Restores,
-    /// Replicas of few slots and several speeds, some slowed for a time, tell their load to
-    /// callers of two ranks, beside stops, kills, pauses, cuts and connections that go silent.
+    /// Replicas with few slots and several speeds, some slowed for a time, report their load.
+    /// Callers have two priorities. Stops, kills, pauses, connection faults and connections
+    /// that go silent are injected.
     Uneven,
 }
 
-/// One fault.
+/// A fault.
 #[derive(Debug, Clone)]
 pub enum Injection {
-    /// A node's way to the store.
+    /// The connections between a node and the store fail.
     StorePath(usize, Fault),
-    /// All nodes' ways to the store.
+    /// The connections between all nodes and the store fail.
     AllStorePaths(Fault),
-    /// The store itself.
+    /// The store itself fails.
     Store(StoreFault),
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     Compaction,
-    /// The ways to a replica.
+    /// The connections between the nodes and a replica fail.
     EnginePath(usize, Fault),
-    /// A node's process stands still.
+    /// A node's process is stopped by SIGSTOP and continued later.
     Pause(usize),
-    /// A node's process is killed and started anew.
+    /// A node's process is killed and restarted.
     Kill(usize),
-    /// A node's process is asked to stop, and started anew.
+    /// A node's process is asked to stop, and restarted.
     Stop(usize),
-    /// All nodes are killed and started anew.
+    /// All nodes are killed and restarted.
     KillAll,
-    /// Operators change the document.
+    /// An operator changes the document.
     Change,
-    /// A node's present connections to the store go silent for good.
+    /// The existing connections of a node to the store go silent for good.
     SilentStoreConnections(usize),
-    /// The present connections to a replica go silent for good.
+    /// The existing connections to a replica go silent for good.
     SilentEngineConnections(usize),
     /// Signals to a node's process, each with the pause after it.
     Signals(usize, Vec<(&'static str, Duration)>),
-    /// All nodes are asked to stop and started anew, one after the other, so long
-    /// apart; one may still be stopping when the next one is asked.
+    /// All nodes are asked to stop and restarted, one after the other at this interval. One
+    /// may still be stopping when the next one is asked.
     Roll(Duration),
-    /// The document changes so often, so long apart.
+    /// The document changes this number of times, at this interval.
     Changes(u32, Duration),
-    /// A request that crashes replicas comes.
+    /// A request that crashes replicas is sent.
     Crash(Crash),
-    /// Operators take a key away, or give it back.
+    /// An operator removes a key, or restores it.
     ToggleKey,
-    /// Operators lower or raise the quota.
+    /// An operator lowers or raises the quota.
     ToggleQuota,
-    /// A node's clock goes on as in suspensions, so often, so long apart.
+    /// A node's clock jumps ahead as after a suspension, this number of times, at this
+    /// interval.
     Suspensions(usize, u32, Duration),
-    /// A replica's answers say that it leaves, its entry does not; then it is gone.
+    /// A replica signals in its answers, but not in its entry in the store, that it leaves;
+    /// later it is removed.
     Leaving(usize),
-    /// A replica turns requests away and asks for so much rest each time.
+    /// A replica rejects requests and asks for this cooldown each time.
     Rest(usize, Duration),
-    /// A replica's work takes longer.
+    /// A replica becomes slower.
     Slowed(usize),
-    /// A replica names a limit, in requests a second.
+    /// A replica announces a limit, in requests per second.
     Limit(usize, f64),
-    /// The store is away for a time and comes back from a copy that is so old.
+    /// The store is restored from a copy: the age of the copy when the store becomes
+    /// unavailable, and the time for which it is unavailable.
     Restore(Duration, Duration),
-    /// So many nodes, from the first, are stopped and run another program, so long apart.
+    /// The first nodes, this number of them, are restarted with another program, at this
+    /// interval.
     Replace(usize, Program, Duration),
 }
 
 impl Injection {
-    /// True if it takes a node's memory, or stops it for a while.
+    /// Returns true if the fault clears the node's memory or interrupts it for a time.
     pub fn interrupts(&self, node: usize) -> bool {
         match self {
             Injection::Pause(hit) | Injection::Kill(hit) | Injection::Stop(hit) => *hit == node,
@@ -116,25 +123,25 @@
     }
 }
 
-/// A request that crashes each replica that begins to run it.
+/// A request that crashes each replica that starts to run it.
 #[derive(Debug, Clone)]
 pub struct Crash {
-    /// Tells it from others of the round.
+    /// Identifies the request within the round.
     pub number: usize,
-    /// How often it comes.
+    /// How many times the request is sent.
     pub times: u32,
-    /// Time between two arrivals.
+    /// Time between two sends.
     pub gap: Duration,
 }
 
 impl Crash {
-    /// The id of its so-manieth arrival.
+    /// Returns the attempt id of the send with this number.
     pub fn attempt(&self, seed: u64, number: u32) -> String {
         format!("x{seed}-{}-{number}", self.number)
     }
 }
 
-/// A fault with its time, both from the start of the round.
+/// A fault with its start, relative to the start of the round, and its duration.
 #[derive(Debug, Clone)]
 pub struct Planned {
     pub at: Duration,
@@ -143,7 +150,7 @@
 }
 
 impl Planned {
-    /// The crashing request, if it is one.
+    /// Returns the crashing request, if the fault is one.
     pub fn crash(&self) -> Option<&Crash> {
         match &self.injection {
             Injection::Crash(crash) => Some(crash),
@@ -188,15 +195,15 @@
     Duration::from_millis(random.random_range(10..longest_ms))
 }
 
-/// Signals to one process: reloads, stops of several kinds, and requests to stop
-/// that come while it is stopping.
+/// Draws signals to one process: reloads, stops of several kinds, and requests to stop while
+/// the process is already stopping.
 fn signals(random: &mut SmallRng) -> Vec<(&'static str, Duration)> {
     let names = ["HUP", "HUP", "TERM", "TERM", "KILL", "STOP", "CONT"];
     let count = random.random_range(2..=6);
     let mut signals: Vec<_> = (0..count)
         .map(|_| (*names.choose(random).expect("there are some"), pause(random, 600)))
         .collect();
-    // Nothing that stands still could end.
+    // A process that is stopped by SIGSTOP could not end.
     signals.push(("CONT", Duration::ZERO));
     signals
 }
@@ -215,7 +222,7 @@
 
 fn crashes_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
-    // There is always one crashing request, and often several.
+    // Each round has at least one crashing request.
     match if index == 0 { 0 } else { random.random_range(0..8) } {
         0..=2 => Injection::Crash(Crash {
             number: index,
@@ -372,7 +379,7 @@
     planned.collect()
 }
 
-/// Plays the faults; ends when the round's time is over.
+/// Injects the planned faults. Returns when all have ended and the round's time is over.
 pub async fn play(cluster: &Cluster, plan: &[Planned], round: Duration, seed: u64) {
     let each = plan.iter().map(|planned| async move {
         sleep(planned.at).await;
@@ -448,19 +455,19 @@
     cluster.write_document();
 }
 
-/// Asks all nodes to stop, so long apart, and waits until each runs anew.
+/// Asks all nodes to stop, at the interval `gap`, and waits until each has restarted.
 async fn roll(cluster: &Cluster, gap: Duration) {
     let each = cluster.nodes.iter().enumerate().map(|(index, node)| async move {
         sleep(gap * index as u32).await;
-        // One that another fault holds still could not end.
+        // A node that another fault has paused could not end.
         node.signal("CONT");
         node.restart(true).await;
     });
     futures_join(each).await;
 }
 
-/// The store goes away, and comes back from the copy of now, `age` later. Operators and
-/// replicas write again what they wrote.
+/// Copies the store, makes it unavailable after `age`, and restores it from the copy after
+/// `away`. Operators and replicas then repeat their writes.
 async fn restore(cluster: &Cluster, age: Duration, away: Duration) {
     let copy = cluster.store.copy();
     sleep(age).await;
@@ -476,7 +483,7 @@
         .for_each(|engine| engine.rewrite_entry());
 }
 
-/// Has nodes run another program, one after the other.
+/// Restarts nodes with another program, one after the other.
 async fn replace(cluster: &Cluster, nodes: usize, program: Program, gap: Duration) {
     for node in cluster.nodes.iter().take(nodes) {
         node.set_program(program);
--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -1,4 +1,4 @@
-//! Judges that the limits which replicas name hold over all nodes together.
+//! Checks that the limits that replicas announce hold over all nodes together.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,19 @@
 use crate::faults::Planned;
 use crate::words::node_of;
 
-/// Time from a replica's first word until its limit holds, in milliseconds.
+/// Time from a replica's first answer with a limit until the limit holds.
 const HOLDS_AFTER_MS: u64 = 3000;
-/// Window in which calls are summed.
+/// Window in which requests are counted.
 const WINDOW_MS: u64 = 4000;
-/// Time after its first answer with a limit from which a node counts as told.
+/// Time after which a node that received an answer with a limit must apply it.
 const TOLD_AFTER_MS: u64 = 500;
-/// Most that a window may hold, in what the limit allows, and calls besides.
+/// Factor on the number of requests that the limit allows in a window, and number of
+/// requests allowed in addition.
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 
-/// Judges all replicas, by the nodes whose processes ran on throughout. Calls of orderers
-/// name no node: they count where all nodes ran on.
+/// Checks all replicas by the requests of nodes whose processes ran without interruption.
+/// Requests of orderers do not name a node: they count if no node was interrupted.
 pub fn are_kept(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
@@ -36,16 +37,16 @@
             need_is_respected(&told(&counted, nodes), need[0].at_ms, seed);
         }
     }
-    println!("seed {seed}: {named} answers that name a limit");
+    println!("seed {seed}: {named} answers with a limit");
 }
 
-/// Calls in a row whose answers name the same limit.
+/// Returns the runs of consecutive requests whose answers announce the same limit.
 fn needs(arrivals: &[Arrival]) -> Vec<&[Arrival]> {
     let runs = arrivals.chunk_by(|left, right| left.limit_per_s == right.limit_per_s);
     runs.filter(|run| run[0].limit_per_s.is_some()).collect()
 }
 
-/// Of these, the calls from nodes that had been told some time before.
+/// Returns those of the requests whose node received the limit `TOLD_AFTER_MS` before.
 fn told<'a>(calls: &[&'a Arrival], nodes: usize) -> Vec<&'a Arrival> {
     let mut first_ms: BTreeMap<Option<usize>, u64> = BTreeMap::new();
     let is_told = |call: &&&Arrival| {
@@ -70,7 +71,7 @@
         let allowed = OVERAGE * limit_per_s * WINDOW_MS as f64 / 1000.0 + SLACK;
         assert!(
             count as f64 <= allowed,
-            "seed {seed}: {count} calls in a window that begins with {first:?}; allowed {allowed}"
+            "seed {seed}: {count} requests in a window that starts with {first:?}; allowed {allowed}"
         );
     }
 }
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -1,27 +1,35 @@
-//! A randomized soak: real daemons as processes, faults from outside.
+//! A randomized soak test: runs real daemons as processes and injects faults from outside.
 //!
-//! Each round draws faults from its seed, lets them meet calls, mends them, and
-//! checks the promises from what callers and replicas saw:
+//! Each round draws faults from its seed, injects them while callers send requests, removes
+//! them, and checks these guarantees by what callers and replicas observed:
 //!
-//! - a call runs at most once, and one that was refused never;
-//! - a success is the whole answer to that very call, from one run;
-//! - no replica gets an older token after a newer one, or a load that does not fit;
-//! - the configuration never goes back, and the newest is in force afterwards;
-//! - no key reaches a replica, nobody without one is served, a group is named rightly,
-//!   and the tokens of a group stay within its quota;
-//! - a request that crashes replicas reaches no more than it may;
-//! - a replica that told a node that it leaves, or wants rest, gets nothing more from it;
-//! - a replica that named a limit gets no more than it may from the nodes that it told;
+//! - a request runs at most once, and never if it was refused;
+//! - a successful answer is complete, belongs to that request and comes from one run;
+//! - no replica receives an older fencing token after a newer one, or a load that does not
+//!   fit;
+//! - the configuration version never decreases, and the newest is in force afterwards;
+//! - no key reaches a replica, no caller without a key is served, the group that a replica
+//!   receives is right, and the tokens of a group stay within its quota;
+//! - a request that crashes replicas reaches only a bounded number of them;
+//! - a replica that signals to a node that it leaves or needs a cooldown gets nothing more
+//!   from that node;
+//! - a replica that announces a limit gets no more than allowed from the nodes that received
+//!   the limit;
 //! - a request that waits at a node that is asked to stop gets an answer;
 //! - afterwards every node serves every model.
 //!
-//! Some callers keep their connections until the process behind them is gone.
+//! Some callers reuse their connections until the process at the other end is gone.
 //!
-//! `CROFTRILL_SOAK_ROUNDS` and `CROFTRILL_SOAK_SEED` choose other rounds than the
-//! continuous integration's, `CROFTRILL_SOAK_NODES` and `CROFTRILL_SOAK_ENGINES`
-//! other sizes, `CROFTRILL_SOAK_OLDER` the program of another build, which seeds from two
-//! millions on replace by this one and back, `CROFTRILL_SOAK_LOGS` a directory for the nodes' logs. Seeds that ever failed stand in `seeds.txt`, with how their
-//! faults are drawn.
+//! Environment variables:
+//!
+//! - `CROFTRILL_SOAK_SEED` and `CROFTRILL_SOAK_ROUNDS`: the first seed and the number of
+//!   rounds, if others than those of continuous integration;
+//! - `CROFTRILL_SOAK_NODES` and `CROFTRILL_SOAK_ENGINES`: the size of the cluster;
+//! - `CROFTRILL_SOAK_OLDER`: the daemon of another build; rounds with seeds from 2,000,000
+//!   replace it by this build and back;
+//! - `CROFTRILL_SOAK_LOGS`: a directory for the nodes' logs.
+//!
+//! `seeds.txt` lists seeds that failed, each with its mix of faults.
 
 mod checks;
 mod cluster;
@@ -40,40 +48,39 @@
 use rand::SeedableRng;
 use tokio::task::LocalSet;
 
-/// Rounds of the continuous integration: one of each mix, as the seed divided by
-/// four tells.
+/// Number of rounds in continuous integration: one of each mix that `seed % 4` selects.
 const USUAL_ROUNDS: u64 = 4;
-/// Seed of its first round.
+/// Seed of the first round in continuous integration.
 const USUAL_SEED: u64 = 2026;
-/// From this seed on all rounds are of the mix of words.
+/// Rounds from this seed on use `Mix::Words`.
 const FIRST_SEED_OF_WORDS: u64 = 1_000_000;
-/// From this seed on they are of the mix of builds, which needs another build.
+/// Rounds from this seed on use `Mix::Builds`, which needs the daemon of another build.
 const FIRST_SEED_OF_BUILDS: u64 = 2_000_000;
-/// From this seed on they are of the mix of restores.
+/// Rounds from this seed on use `Mix::Restores`.
 const FIRST_SEED_OF_RESTORES: u64 = 3_000_000;
-/// Seed of the continuous integration's round of that mix.
+/// Seed of the `Mix::Restores` round in continuous integration.
 const USUAL_SEED_OF_RESTORES: u64 = FIRST_SEED_OF_RESTORES + USUAL_SEED;
-/// Seed of the continuous integration's round of the mix of words.
+/// Seed of the `Mix::Words` round in continuous integration.
 const USUAL_SEED_OF_WORDS: u64 = FIRST_SEED_OF_WORDS + USUAL_SEED;
-/// From this seed on they are of the mix of limits.
+/// Rounds from this seed on use `Mix::Limits`.
 const FIRST_SEED_OF_LIMITS: u64 = 4_000_000;
-/// Seed of the continuous integration's round of that mix.
+/// Seed of the `Mix::Limits` round in continuous integration.
 const USUAL_SEED_OF_LIMITS: u64 = FIRST_SEED_OF_LIMITS + USUAL_SEED;
-/// From this seed on they are of the mix of uneven replicas.
+/// Rounds from this seed on use `Mix::Uneven`.
 const FIRST_SEED_OF_UNEVEN: u64 = 5_000_000;
-/// Seed of the continuous integration's round of that mix.
+/// Seed of the `Mix::Uneven` round in continuous integration.
 const USUAL_SEED_OF_UNEVEN: u64 = FIRST_SEED_OF_UNEVEN + USUAL_SEED;
-/// Time in which calls and faults meet.
+/// Time for which requests are sent and faults injected.
 const ROUND: Duration = Duration::from_secs(6);
-/// The same where replicas name limits, which hold after 3 s in any 4 s.
+/// The same for `Mix::Limits`: a limit takes 3 s to hold and is checked in windows of 4 s.
 const ROUND_OF_LIMITS: Duration = Duration::from_secs(14);
 
-/// Fewest replicas of a round with requests that crash them: there are always some
-/// left, and without any bound on them more would end than may.
+/// Minimum number of replicas in a round with requests that crash them. It leaves some
+/// replicas alive, yet lets more crash than allowed if nodes do not bound the crashes.
 const LEAST_CRASHING_ENGINES: usize = 6;
 
-/// Fewest replicas of a round in which some leave, want rest or name a limit: their models
-/// have holders besides.
+/// Minimum number of replicas in a round in which some leave, need a cooldown or announce a
+/// limit, so that their models have other holders.
 const LEAST_SPEAKING_ENGINES: usize = 4;
 
 fn number(variable: &str, usual: u64) -> u64 {
@@ -83,7 +90,7 @@
         .unwrap_or(usual)
 }
 
-/// Seeds that failed once, with how their faults are drawn.
+/// Returns the seeds that failed in the past, with the mix of each.
 fn kept_seeds() -> Vec<(u64, Mix)> {
     include_str!("seeds.txt")
         .lines()
@@ -100,7 +107,7 @@
                 Some("restores") => Mix::Restores,
                 Some("limits") => Mix::Limits,
                 Some("uneven") => Mix::Uneven,
-                other => panic!("seeds.txt: {other:?} is no mix"),
+                other => panic!("seeds.txt: unknown mix {other:?}"),
             };
             (seed.expect("a seed"), mix)
         })
@@ -151,7 +158,7 @@
     };
     let calls = tokio::select! {
         calls = played => calls,
-        () = cluster.crash_engines() => unreachable!("it goes on"),
+        () = cluster.crash_engines() => unreachable!("runs until dropped"),
     };
     checks::promises(&cluster, &calls, seed);
     if mix == Mix::Tenants {
@@ -198,7 +205,7 @@
         _ => Mix::Tenants,
     };
     let drawn = (first..first + rounds).map(|seed| (seed, mix_of(seed)));
-    // Rounds of these mixes are drawn by hand, without the usual ones before them.
+    // Seeds above this are chosen by hand and run without the default rounds.
     let is_usual = first < FIRST_SEED_OF_WORDS;
     let mut usual = if is_usual { kept_seeds() } else { Vec::new() };
     if is_usual {
--- a/crates/croftrill-daemon/tests/soak/suspendable.rs
+++ b/crates/croftrill-daemon/tests/soak/suspendable.rs
@@ -1,9 +1,9 @@
-//! A daemon on a clock that a signal puts forward, as after a suspension.
+//! A daemon on a clock that a signal advances, as after a suspension.
 //!
-//! Only the machine can be suspended, so the jump alone is played: the time since
-//! boot has gone on by some seconds while the steady clock, and all timers, have not.
-//! Unlike in a suspension the others have not waited meanwhile; signals that stop the
-//! process besides are drawn of their own.
+//! Only a whole machine can be suspended, so only the clock jump is simulated: the time since
+//! boot advances by some seconds while the monotonic clock and all timers do not. Unlike in
+//! a real suspension, other processes have not waited meanwhile. Signals that stop the process
+//! are drawn separately.
 
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
@@ -17,12 +17,12 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Names the settings of a process that this test's program is to run as.
+/// Path of the settings, for a process of this test program that runs as a node.
 const CONFIG_VARIABLE: &str = "CROFTRILL_SOAK_CONFIG";
-/// The signal that stands for a suspension.
+/// The signal that simulates a suspension.
 pub const SUSPENSION: &str = "USR1";
-/// How long it is: longer than an orderer's lease with its margin, and than the
-/// relay's word is believed, half of the times.
+/// Lengths of the suspensions, in turn. Every second one is longer than an orderer's lease
+/// with its margin, and than the time for which a relay's updates are trusted.
 const SUSPENSIONS: [Duration; 2] = [Duration::from_millis(1500), Duration::from_secs(5)];
 
 struct PutForward {
@@ -36,7 +36,7 @@
     }
 }
 
-/// This test's own program, which then runs as a node.
+/// Returns the command that runs this test program as a node.
 pub fn command(config: &Path) -> Command {
     let program = std::env::current_exe().expect("the test's own program");
     let mut command = Command::new(program);
@@ -50,12 +50,12 @@
     command
 }
 
-/// Puts the clock forward at each signal.
+/// Advances the clock at each signal.
 async fn suspend_on_signal(by: Rc<Cell<Duration>>) {
     let mut signals = signal(SignalKind::user_defined1()).expect("a handler");
     let mut lengths = SUSPENSIONS.iter().cycle();
     while signals.recv().await.is_some() {
-        by.set(by.get() + *lengths.next().expect("they never end"));
+        by.set(by.get() + *lengths.next().expect("a cycle never ends"));
     }
 }
 
@@ -64,7 +64,7 @@
     let Some(config) = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from) else {
         return;
     };
-    let settings = read_settings(&config).expect("good settings");
+    let settings = read_settings(&config).expect("the settings are valid");
     let log = logging::install(logging::LogConfig::default());
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -78,6 +78,8 @@
     let clock = Clock::with_source(Box::new(source));
     LocalSet::new().block_on(&runtime, async move {
         spawn_local(suspend_on_signal(by));
-        run(config, settings, clock, log).await.expect("it stops well");
+        run(config, settings, clock, log)
+            .await
+            .expect("the daemon stops without an error");
     });
 }
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -1,4 +1,4 @@
-//! Rounds with groups of callers: keys that come and go, and a quota.
+//! Rounds with groups of callers, keys that are removed and restored, and a quota.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use crate::checks::{call_anew, draw_call, Ended, RECOVERY};
 use crate::cluster::{status, Cluster, QUOTA_OVERAGE, QUOTA_SLACK, QUOTA_WINDOW};
 
-/// Group without a quota.
+/// Name of the group without a quota.
 const STEADY: &str = "steady";
-/// Its keys; operators take the second one away and give it back.
+/// Keys of that group. Operators remove and restore the second one.
 const STEADY_KEYS: [&str; 2] = ["steady-key-1", "steady-key-2"];
-/// Group with a quota.
+/// Name of the group with a quota.
 const BOUNDED: &str = "bounded";
 const BOUNDED_KEY: &str = "bounded-key";
-/// A key that no document ever has.
+/// A key that is in no document.
 const UNKNOWN_KEY: &str = "nobodys-key";
-/// Its quota, as it begins and as it is lowered: some 7 tokens a call.
+/// Quota of the bounded group at the start and when lowered, in tokens per second. A request
+/// uses some 7 tokens.
 const QUOTAS: [f64; 2] = [60.0, 20.0];
 
-/// Who makes a call, as its attempt's id tells.
+/// The kind of caller that sends a request. The attempt id ends with its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Who {
     Steady,
@@ -75,7 +76,10 @@
     fn of(attempt: &str) -> Self {
         let name = attempt.rsplit('-').next().unwrap_or_default();
         let of_name = |who: &Who| format!("{who:?}") == name;
-        Who::ALL.into_iter().find(of_name).expect("attempts end with it")
+        Who::ALL
+            .into_iter()
+            .find(of_name)
+            .expect("an attempt id ends with the caller's kind")
     }
 }
 
@@ -90,7 +94,7 @@
     })
 }
 
-/// Puts the groups into the document; ends once all nodes have it.
+/// Adds the groups to the document, and waits until it is in force at all nodes.
 pub async fn begin(cluster: &Cluster) {
     cluster.document.borrow_mut().groups = groups();
     publish(cluster);
@@ -152,7 +156,7 @@
         while status(node).await.map(|status| status.configuration_version) != Some(newest) {
             assert!(
                 Instant::now() < until,
-                "seed {seed}: node {index} has not the newest document"
+                "seed {seed}: node {index} does not have the newest document"
             );
             sleep(Duration::from_millis(20)).await;
         }
@@ -163,19 +167,20 @@
     let who = Who::draw(random);
     Call {
         key: who.key().map(str::to_string),
-        // What a caller says of itself counts for nothing.
+        // Nodes must ignore the group that a caller claims.
         group: Some(STEADY.to_string()),
         ..draw_call(random, format!("t{seed}-{number}-{who:?}"))
     }
 }
 
-/// Calls all nodes in turn; waits for the last answers.
+/// Sends requests to all nodes in turn, and waits for the last answers.
 pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x7e4a);
     call_anew(cluster, round, |number| draw(&mut random, seed, number)).await
 }
 
-/// Waits until every node has the newest document, and serves and denies as it says.
+/// Waits until every node has the newest document in force, and serves or denies callers
+/// accordingly.
 pub async fn recovery(cluster: &Cluster, seed: u64) {
     until_in_force(cluster, seed).await;
     let until = Instant::now() + RECOVERY;
@@ -212,7 +217,7 @@
     }
 }
 
-/// Judges keys, groups and the quota by what replicas ran.
+/// Checks keys, groups and the quota by what replicas ran.
 pub fn promises(cluster: &Cluster, calls: &[Ended], seed: u64) {
     let ledgers = cluster.ledgers();
     let runs: Vec<&GroupRun> = ledgers.iter().flat_map(|ledger| &ledger.group_runs).collect();
@@ -252,8 +257,8 @@
     );
 }
 
-/// The calls of which each is owed an answer: with a key that is never taken away, and
-/// without a quota.
+/// Returns the requests that must be served: those with a key that is never removed, of a
+/// group without a quota.
 pub fn owed(calls: &[Ended]) -> impl Iterator<Item = &Ended> {
     calls
         .iter()
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -1,4 +1,4 @@
-//! Rounds with replicas of several speeds and few slots, and callers of two ranks.
+//! Rounds with replicas of several speeds and few slots, and callers of two priorities.
 
 use std::time::Duration;
 
@@ -14,18 +14,20 @@
 use crate::tenants::{publish, until_in_force};
 use crate::words::node_of;
 
-/// Work times of the replicas in turn, in percent.
+/// Work times of the replicas in turn, in percent of the default.
 const WORK_TIMES_PCT: [u32; 3] = [60, 100, 160];
-/// Slots of each, some of them taken most of the time.
+/// Slots of each replica: few, so that some are in use most of the time.
 const SLOTS: usize = 3;
-/// Time of an event at the usual work time.
+/// Time per event at a work time of 100 percent.
 const EVENT_TIME: Duration = Duration::from_millis(25);
 
-/// Groups with their ranks; the last one asks most, and half of that for one model.
+/// Groups with their priorities. The last one sends most requests, half of them for one
+/// model.
 const GROUPS: [(&str, u8); 3] = [("urgent", 0), ("patient", 2), ("hot", 2)];
 const HOT: usize = 2;
 
-/// From this time on a request counts as taken: none rests so long before a node that runs.
+/// A request that took at least this long counts as received: a running node leaves none
+/// unread for so long.
 const TAKEN_AFTER: Duration = Duration::from_millis(100);
 
 pub fn conditions(seed: u64) -> Conditions {
@@ -40,7 +42,7 @@
     }
 }
 
-/// Puts the groups into the document; ends once all nodes have it.
+/// Adds the groups to the document, and waits until it is in force at all nodes.
 pub async fn begin(cluster: &Cluster, seed: u64) {
     let groups = GROUPS.iter().map(|(name, rank)| GroupDocument {
         name: (*name).to_string(),
@@ -63,7 +65,7 @@
     drawn
 }
 
-/// Calls all nodes in turn; waits for the last answers.
+/// Sends requests to all nodes in turn, and waits for the last answers.
 pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x51de);
     call_anew(cluster, round, |number| {
@@ -72,8 +74,8 @@
     .await
 }
 
-/// Judges that no request which no replica ran is left without an answer, where the node
-/// was neither killed nor paused; it may have been asked to stop.
+/// Checks that each request that no replica ran got an answer, if its node was neither killed
+/// nor paused. The node may have been asked to stop.
 pub fn promises(cluster: &Cluster, plan: &[Planned], calls: &[Ended], seed: u64) {
     let ledgers = cluster.ledgers();
     let turned_away: u32 = ledgers.iter().map(|ledger| ledger.turned_away).sum();
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -1,4 +1,4 @@
-//! Judges that nodes heed what replicas tell them of themselves in answers.
+//! Checks that nodes respect the signals that replicas send in their answers.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 use crate::cluster::Cluster;
 use crate::faults::Planned;
 
-/// Time from an answer to when the node must have taken it in, and what was on its way
-/// to the replica has come there, in milliseconds.
+/// Time after an answer by which the node must have applied its signals, and requests that
+/// were on their way to the replica have arrived.
 const ON_ITS_WAY_MS: u64 = 500;
-/// Time after a replica's word that it leaves until nothing more may reach it.
+/// Time after a replica's first signal that it leaves until no more requests may reach it.
 const LEAVING_BOUND_MS: u64 = 2000;
-/// Requests of one node that may reach a replica in its rest all the same.
+/// Maximum number of requests of one node that may reach a replica during its cooldown.
 const MOST_IN_REST: usize = 2;
 
-/// The node that an attempt was sent to, as [`crate::checks`] names attempts.
+/// Returns the node that an attempt was sent to, by the attempt ids of [`crate::checks`].
 pub(super) fn node_of(attempt: &str, nodes: usize) -> Option<usize> {
     let (kind, rest) = attempt.split_at_checked(1)?;
     let mut numbers = rest.split('-').skip(1);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Judges all replicas and all nodes whose processes ran on throughout.
+/// Checks all replicas and all nodes whose processes ran without interruption.
 pub fn are_heeded(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed =
@@ -45,7 +45,7 @@
         }
     }
     let words = cluster.ledgers().iter().map(words_of).sum::<usize>();
-    println!("seed {seed}: {words} answers that tell of leaving or rest");
+    println!("seed {seed}: {words} answers that signal leaving or a cooldown");
 }
 
 fn words_of(ledger: &Ledger) -> usize {
@@ -75,7 +75,7 @@
         let count = in_rest.count();
         assert!(
             count <= MOST_IN_REST,
-            "seed {seed}: {count} requests of node {node} in the rest of {asked:?}"
+            "seed {seed}: {count} requests of node {node} during the cooldown of {asked:?}"
         );
     }
 }
