--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -32,7 +32,7 @@
     pub took: Duration,
 }
 
-const USUAL_PROMPT: &str = "a question";
+const DEFAULT_PROMPT: &str = "a question";
 /// Maximum number of replicas that one request may crash: three, and one to which a copy was
 /// already on its way.
 const MOST_ENDS: usize = 4;
@@ -85,7 +85,7 @@
     Call {
         attempt,
         model: format!("{model}{adapter}"),
-        prompt: USUAL_PROMPT.to_string(),
+        prompt: DEFAULT_PROMPT.to_string(),
         events: random.random_range(2..12),
         deadline: DEADLINE,
         group: None,
@@ -176,7 +176,7 @@
                 let request = Call {
                     attempt: format!("r{seed}-{index}-{model}-{number}"),
                     model: model.to_string(),
-                    prompt: USUAL_PROMPT.to_string(),
+                    prompt: DEFAULT_PROMPT.to_string(),
                     events: 2,
                     deadline: DEADLINE,
                     group: None,
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -72,7 +72,7 @@
 }
 
 /// The size in continuous integration.
-pub const USUAL_SIZE: Size = Size { nodes: 3, engines: 2 };
+pub const DEFAULT_SIZE: Size = Size { nodes: 3, engines: 2 };
 /// Maximum time until a cluster is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -42,16 +42,16 @@
 
 use std::time::Duration;
 
-use cluster::{Cluster, Conditions, Program, Size, USUAL_SIZE};
+use cluster::{Cluster, Conditions, Program, Size, DEFAULT_SIZE};
 use faults::Mix;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use tokio::task::LocalSet;
 
 /// Number of rounds in continuous integration: one of each mix that `seed % 4` selects.
-const USUAL_ROUNDS: u64 = 4;
+const DEFAULT_ROUNDS: u64 = 4;
 /// Seed of the first round in continuous integration.
-const USUAL_SEED: u64 = 2026;
+const DEFAULT_SEED: u64 = 2026;
 /// Rounds from this seed on use `Mix::Words`.
 const FIRST_SEED_OF_WORDS: u64 = 1_000_000;
 /// Rounds from this seed on use `Mix::Builds`, which needs the daemon of another build.
@@ -59,17 +59,17 @@
 /// Rounds from this seed on use `Mix::Restores`.
 const FIRST_SEED_OF_RESTORES: u64 = 3_000_000;
 /// Seed of the `Mix::Restores` round in continuous integration.
-const USUAL_SEED_OF_RESTORES: u64 = FIRST_SEED_OF_RESTORES + USUAL_SEED;
+const DEFAULT_SEED_OF_RESTORES: u64 = FIRST_SEED_OF_RESTORES + DEFAULT_SEED;
 /// Seed of the `Mix::Words` round in continuous integration.
-const USUAL_SEED_OF_WORDS: u64 = FIRST_SEED_OF_WORDS + USUAL_SEED;
+const DEFAULT_SEED_OF_WORDS: u64 = FIRST_SEED_OF_WORDS + DEFAULT_SEED;
 /// Rounds from this seed on use `Mix::Limits`.
 const FIRST_SEED_OF_LIMITS: u64 = 4_000_000;
 /// Seed of the `Mix::Limits` round in continuous integration.
-const USUAL_SEED_OF_LIMITS: u64 = FIRST_SEED_OF_LIMITS + USUAL_SEED;
+const DEFAULT_SEED_OF_LIMITS: u64 = FIRST_SEED_OF_LIMITS + DEFAULT_SEED;
 /// Rounds from this seed on use `Mix::Uneven`.
 const FIRST_SEED_OF_UNEVEN: u64 = 5_000_000;
 /// Seed of the `Mix::Uneven` round in continuous integration.
-const USUAL_SEED_OF_UNEVEN: u64 = FIRST_SEED_OF_UNEVEN + USUAL_SEED;
+const DEFAULT_SEED_OF_UNEVEN: u64 = FIRST_SEED_OF_UNEVEN + DEFAULT_SEED;
 /// Time for which requests are sent and faults injected.
 const ROUND: Duration = Duration::from_secs(6);
 /// The same for `Mix::Limits`: a limit takes 3 s to hold and is checked in windows of 4 s.
@@ -83,11 +83,11 @@
 /// limit, so that their models have other holders.
 const LEAST_SPEAKING_ENGINES: usize = 4;
 
-fn number(variable: &str, usual: u64) -> u64 {
+fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
         .ok()
         .and_then(|value| value.parse().ok())
-        .unwrap_or(usual)
+        .unwrap_or(default)
 }
 
 /// Returns the seeds that failed in the past, with the mix of each.
@@ -177,8 +177,8 @@
 }
 
 fn size() -> Size {
-    let nodes = number("CROFTRILL_SOAK_NODES", USUAL_SIZE.nodes as u64);
-    let engines = number("CROFTRILL_SOAK_ENGINES", USUAL_SIZE.engines as u64);
+    let nodes = number("CROFTRILL_SOAK_NODES", DEFAULT_SIZE.nodes as u64);
+    let engines = number("CROFTRILL_SOAK_ENGINES", DEFAULT_SIZE.engines as u64);
     Size {
         nodes: nodes as usize,
         engines: engines as usize,
@@ -187,8 +187,8 @@
 
 #[test]
 fn promises_hold_under_random_faults() {
-    let first = number("CROFTRILL_SOAK_SEED", USUAL_SEED);
-    let rounds = number("CROFTRILL_SOAK_ROUNDS", USUAL_ROUNDS);
+    let first = number("CROFTRILL_SOAK_SEED", DEFAULT_SEED);
+    let rounds = number("CROFTRILL_SOAK_ROUNDS", DEFAULT_ROUNDS);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -206,16 +206,20 @@
     };
     let drawn = (first..first + rounds).map(|seed| (seed, mix_of(seed)));
     // Seeds above this are chosen by hand and run without the default rounds.
-    let is_usual = first < FIRST_SEED_OF_WORDS;
-    let mut usual = if is_usual { kept_seeds() } else { Vec::new() };
-    if is_usual {
-        usual.push((USUAL_SEED_OF_WORDS, Mix::Words));
-        usual.push((USUAL_SEED_OF_RESTORES, Mix::Restores));
-        usual.push((USUAL_SEED_OF_LIMITS, Mix::Limits));
-        usual.push((USUAL_SEED_OF_UNEVEN, Mix::Uneven));
+    let uses_default_seeds = first < FIRST_SEED_OF_WORDS;
+    let mut default_rounds = if uses_default_seeds {
+        kept_seeds()
+    } else {
+        Vec::new()
+    };
+    if uses_default_seeds {
+        default_rounds.push((DEFAULT_SEED_OF_WORDS, Mix::Words));
+        default_rounds.push((DEFAULT_SEED_OF_RESTORES, Mix::Restores));
+        default_rounds.push((DEFAULT_SEED_OF_LIMITS, Mix::Limits));
+        default_rounds.push((DEFAULT_SEED_OF_UNEVEN, Mix::Uneven));
     }
-    for (seed, mix) in usual {
-        LocalSet::new().block_on(&runtime, round(seed, mix, USUAL_SIZE));
+    for (seed, mix) in default_rounds {
+        LocalSet::new().block_on(&runtime, round(seed, mix, DEFAULT_SIZE));
     }
     for (seed, mix) in drawn {
         LocalSet::new().block_on(&runtime, round(seed, mix, size()));
