--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -18,7 +18,7 @@
 use crate::faults::{Crash, Planned};
 
 /// Time between two requests.
-const CALL_EVERY: Duration = Duration::from_millis(25);
+const CALL_INTERVAL: Duration = Duration::from_millis(25);
 /// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Maximum time from the end of the faults until every node serves every model.
@@ -35,7 +35,7 @@
 const DEFAULT_PROMPT: &str = "a question";
 /// Maximum number of replicas that one request may crash: three, and one to which a copy was
 /// already on its way.
-const MOST_ENDS: usize = 4;
+const MAX_CRASHED_REPLICAS: usize = 4;
 
 /// Sends the same crashing request `crash.times` times, to the nodes in turn.
 pub async fn call_crashing(cluster: &Cluster, crash: &Crash, seed: u64) {
@@ -73,7 +73,7 @@
             crash.number, crash.times
         );
         assert!(
-            ends <= MOST_ENDS,
+            ends <= MAX_CRASHED_REPLICAS,
             "seed {seed}: {ends} replicas were crashed by {crash:?}"
         );
     }
@@ -94,14 +94,14 @@
 }
 
 /// Time between two requests over a persistent connection.
-const KEPT_CALL_EVERY: Duration = Duration::from_millis(60);
+const PERSISTENT_CALL_INTERVAL: Duration = Duration::from_millis(60);
 /// Maximum number of nodes that get a caller with a persistent connection.
-const MOST_KEPT: usize = 8;
+const MAX_PERSISTENT_CALLERS: usize = 8;
 
 /// Sends requests to all nodes for the time `round`, over new connections and over
 /// persistent ones that last until the node's process is gone. Waits for the last answers.
 pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
-    let kept = cluster.nodes.iter().take(MOST_KEPT).enumerate();
+    let kept = cluster.nodes.iter().take(MAX_PERSISTENT_CALLERS).enumerate();
     let kept = kept.map(|(index, node)| call_over_kept(node.front, round, seed, index));
     let mut random = SmallRng::seed_from_u64(seed ^ 0xca11);
     let anew = call_anew(cluster, round, |number| {
@@ -126,7 +126,7 @@
             end,
             took,
         });
-        sleep(KEPT_CALL_EVERY).await;
+        sleep(PERSISTENT_CALL_INTERVAL).await;
     }
     ended
 }
@@ -155,7 +155,7 @@
                 took,
             });
         }));
-        sleep(CALL_EVERY).await;
+        sleep(CALL_INTERVAL).await;
     }
     for task in tasks {
         task.await.expect("the task of a request does not panic");
@@ -247,7 +247,7 @@
     println!("seed {seed}: {} calls, {counts:?}", calls.len());
 }
 
-/// Checks that at least a fifth of the calls that may be served are complete.
+/// Checks that at min_engines a fifth of the calls that may be served are complete.
 pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a Ended>, seed: u64) {
     let (mut all, mut whole) = (0, 0);
     for ended in calls {
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -191,8 +191,8 @@
     }
 }
 
-fn pause(random: &mut SmallRng, longest_ms: u64) -> Duration {
-    Duration::from_millis(random.random_range(10..longest_ms))
+fn pause(random: &mut SmallRng, max_ms: u64) -> Duration {
+    Duration::from_millis(random.random_range(10..max_ms))
 }
 
 /// Draws signals to one process: reloads, stops of several kinds, and requests to stop while
@@ -222,7 +222,7 @@
 
 fn crashes_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
-    // Each round has at least one crashing request.
+    // Each round has at min_engines one crashing request.
     match if index == 0 { 0 } else { random.random_range(0..8) } {
         0..=2 => Injection::Crash(Crash {
             number: index,
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -77,11 +77,11 @@
 
 /// Minimum number of replicas in a round with requests that crash them. It leaves some
 /// replicas alive, yet lets more crash than allowed if nodes do not bound the crashes.
-const LEAST_CRASHING_ENGINES: usize = 6;
+const MIN_CRASHING_ENGINES: usize = 6;
 
 /// Minimum number of replicas in a round in which some leave, need a cooldown or announce a
 /// limit, so that their models have other holders.
-const LEAST_SPEAKING_ENGINES: usize = 4;
+const MIN_SIGNALING_ENGINES: usize = 4;
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
@@ -117,10 +117,8 @@
 async fn round(seed: u64, mix: Mix, size: Size) {
     let mut random = SmallRng::seed_from_u64(seed);
     let (program, size) = match mix {
-        Mix::Crashes => (Program::Suspendable, size.with_engines(LEAST_CRASHING_ENGINES)),
-        Mix::Words | Mix::Limits | Mix::Uneven => {
-            (Program::Daemon, size.with_engines(LEAST_SPEAKING_ENGINES))
-        }
+        Mix::Crashes => (Program::Suspendable, size.with_engines(MIN_CRASHING_ENGINES)),
+        Mix::Words | Mix::Limits | Mix::Uneven => (Program::Daemon, size.with_engines(MIN_SIGNALING_ENGINES)),
         Mix::Builds => (Program::Older, size),
         Mix::Few | Mix::Series | Mix::Tenants | Mix::Restores => (Program::Daemon, size),
     };
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -13,7 +13,7 @@
 /// Time after a replica's first signal that it leaves until no more requests may reach it.
 const LEAVING_BOUND_MS: u64 = 2000;
 /// Maximum number of requests of one node that may reach a replica during its cooldown.
-const MOST_IN_REST: usize = 2;
+const MAX_REQUESTS_IN_COOLDOWN: usize = 2;
 
 /// Returns the node that an attempt was sent to, by the attempt ids of [`crate::checks`].
 pub(super) fn node_of(attempt: &str, nodes: usize) -> Option<usize> {
@@ -74,7 +74,7 @@
             .filter(|other| other.at_ms > begin_ms && other.at_ms < end_ms);
         let count = in_rest.count();
         assert!(
-            count <= MOST_IN_REST,
+            count <= MAX_REQUESTS_IN_COOLDOWN,
             "seed {seed}: {count} requests of node {node} during the cooldown of {asked:?}"
         );
     }
