--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -22,7 +22,7 @@
 /// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Maximum time from the end of the faults until every node serves every model.
-pub const RECOVERY: Duration = Duration::from_secs(40);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A request and its outcome.
 #[derive(Debug, Clone)]
@@ -166,7 +166,7 @@
 /// Waits until every node serves every model, and checks that the newest document is in
 /// force.
 pub async fn recovery(cluster: &Cluster, seed: u64) {
-    let until = Instant::now() + RECOVERY;
+    let until = Instant::now() + RECOVERY_TIMEOUT;
     let newest = cluster.document.borrow().version;
     for index in 0..cluster.nodes.len() {
         for model in MODELS {
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -256,7 +256,7 @@
 }
 
 /// Time after which a crashed replica restarts.
-const ENGINE_BACK_AFTER: Duration = Duration::from_millis(700);
+const ENGINE_RESTART_DELAY: Duration = Duration::from_millis(700);
 
 fn engine(
     listener: tokio::net::TcpListener,
@@ -333,7 +333,7 @@
     }
 
     /// Ends replicas at requests that crash them, and restarts each one, with no models, at
-    /// the same address after `ENGINE_BACK_AFTER`. Runs until it is dropped.
+    /// the same address after `ENGINE_RESTART_DELAY`. Runs until it is dropped.
     pub async fn crash_engines(&self) {
         let each = (0..self.engine_proxies.len()).map(|index| async move {
             loop {
@@ -342,7 +342,7 @@
                 engine.end();
                 let proxy = &self.engine_proxies[index];
                 proxy.end();
-                sleep(ENGINE_BACK_AFTER).await;
+                sleep(ENGINE_RESTART_DELAY).await;
                 let (listener, upstream) = listen().await.expect("a port");
                 let ended = self.ended_engines.borrow().len();
                 let id = format!("e{index}.{ended}");
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -15,7 +15,7 @@
 
 /// Time for which a replica keeps announcing its limit: longer than the time until the limit
 /// holds (3 s) plus the window in which requests are counted (4 s).
-const NEED: Duration = Duration::from_millis(7_500);
+const LIMIT_DURATION: Duration = Duration::from_millis(7_500);
 
 /// The kinds of faults of a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -504,7 +504,7 @@
         Injection::EnginePath(engine, _) => cluster.engine_proxies[*engine].set(Fault::None),
         Injection::Pause(node) => cluster.nodes[*node].signal("CONT"),
         Injection::Limit(engine, _) => {
-            sleep(NEED).await;
+            sleep(LIMIT_DURATION).await;
             cluster.engine(*engine).set_limit(None);
         }
         Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(false),
--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -9,11 +9,11 @@
 use crate::words::node_of;
 
 /// Time from a replica's first answer with a limit until the limit holds.
-const HOLDS_AFTER_MS: u64 = 3000;
+const LIMIT_HOLDS_AFTER_MS: u64 = 3000;
 /// Window in which requests are counted.
 const WINDOW_MS: u64 = 4000;
 /// Time after which a node that received an answer with a limit must apply it.
-const TOLD_AFTER_MS: u64 = 500;
+const LIMIT_APPLIED_AFTER_MS: u64 = 500;
 /// Factor on the number of requests that the limit allows in a window, and number of
 /// requests allowed in addition.
 const OVERAGE: f64 = 1.5;
@@ -46,13 +46,13 @@
     runs.filter(|run| run[0].limit_per_s.is_some()).collect()
 }
 
-/// Returns those of the requests whose node received the limit `TOLD_AFTER_MS` before.
+/// Returns those of the requests whose node received the limit `LIMIT_APPLIED_AFTER_MS` before.
 fn told<'a>(calls: &[&'a Arrival], nodes: usize) -> Vec<&'a Arrival> {
     let mut first_ms: BTreeMap<Option<usize>, u64> = BTreeMap::new();
     let is_told = |call: &&&Arrival| {
         let node = node_of(&call.attempt, nodes);
         let first = *first_ms.entry(node).or_insert(call.at_ms);
-        call.at_ms >= first + TOLD_AFTER_MS
+        call.at_ms >= first + LIMIT_APPLIED_AFTER_MS
     };
     calls.iter().filter(is_told).copied().collect()
 }
@@ -60,7 +60,7 @@
 fn need_is_respected(calls: &[&Arrival], begun_ms: u64, seed: u64) {
     let holding: Vec<&&Arrival> = calls
         .iter()
-        .filter(|call| call.at_ms >= begun_ms + HOLDS_AFTER_MS)
+        .filter(|call| call.at_ms >= begun_ms + LIMIT_HOLDS_AFTER_MS)
         .collect();
     for (index, first) in holding.iter().enumerate() {
         let window = holding[index..]
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -71,9 +71,9 @@
 /// Seed of the `Mix::Uneven` round in continuous integration.
 const DEFAULT_SEED_OF_UNEVEN: u64 = FIRST_SEED_OF_UNEVEN + DEFAULT_SEED;
 /// Time for which requests are sent and faults injected.
-const ROUND: Duration = Duration::from_secs(6);
+const ROUND_DURATION: Duration = Duration::from_secs(6);
 /// The same for `Mix::Limits`: a limit takes 3 s to hold and is checked in windows of 4 s.
-const ROUND_OF_LIMITS: Duration = Duration::from_secs(14);
+const LIMITS_ROUND_DURATION: Duration = Duration::from_secs(14);
 
 /// Minimum number of replicas in a round with requests that crash them. It leaves some
 /// replicas alive, yet lets more crash than allowed if nodes do not bound the crashes.
@@ -135,9 +135,9 @@
     let plan = faults::draw(&mut random, mix, size);
     println!("seed {seed} {mix:?}: {plan:?}");
     let length = if mix == Mix::Limits {
-        ROUND_OF_LIMITS
+        LIMITS_ROUND_DURATION
     } else {
-        ROUND
+        ROUND_DURATION
     };
     let played = async {
         let faults = faults::play(&cluster, &plan, length, seed);
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::{sleep, Instant};
 
-use crate::checks::{call_anew, draw_call, Ended, RECOVERY};
+use crate::checks::{call_anew, draw_call, Ended, RECOVERY_TIMEOUT};
 use crate::cluster::{status, Cluster, QUOTA_OVERAGE, QUOTA_SLACK, QUOTA_WINDOW};
 
 /// Name of the group without a quota.
@@ -150,7 +150,7 @@
 }
 
 pub async fn until_in_force(cluster: &Cluster, seed: u64) {
-    let until = Instant::now() + RECOVERY;
+    let until = Instant::now() + RECOVERY_TIMEOUT;
     let newest = cluster.document.borrow().version;
     for (index, node) in cluster.nodes.iter().enumerate() {
         while status(node).await.map(|status| status.configuration_version) != Some(newest) {
@@ -183,7 +183,7 @@
 /// accordingly.
 pub async fn recovery(cluster: &Cluster, seed: u64) {
     until_in_force(cluster, seed).await;
-    let until = Instant::now() + RECOVERY;
+    let until = Instant::now() + RECOVERY_TIMEOUT;
     let is_known = cluster.document.borrow().groups[0]
         .key_digests
         .contains(&digest(STEADY_KEYS[1]));
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -19,7 +19,7 @@
 /// Slots of each replica: few, so that some are in use most of the time.
 const SLOTS: usize = 3;
 /// Time per event at a work time of 100 percent.
-const EVENT_TIME: Duration = Duration::from_millis(25);
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Groups with their priorities. The last one sends most requests, half of them for one
 /// model.
@@ -28,13 +28,13 @@
 
 /// A request that took at min_engines this long counts as received: a running node leaves none
 /// unread for so long.
-const TAKEN_AFTER: Duration = Duration::from_millis(100);
+const RECEIVED_AFTER: Duration = Duration::from_millis(100);
 
 pub fn conditions(seed: u64) -> Conditions {
     Conditions {
         engine: |index| EngineConfig {
             slots: SLOTS,
-            event_interval: EVENT_TIME,
+            event_interval: EVENT_INTERVAL,
             work_time_pct: Some(WORK_TIMES_PCT[index % WORK_TIMES_PCT.len()]),
             ..EngineConfig::default()
         },
@@ -90,7 +90,7 @@
         let ran = ledgers
             .iter()
             .any(|ledger| ledger.runs.contains_key(&ended.attempt));
-        let is_lost = ended.end == CallOutcome::Broken && ended.took >= TAKEN_AFTER && !ran;
+        let is_lost = ended.end == CallOutcome::Broken && ended.took >= RECEIVED_AFTER && !ran;
         assert!(!(is_judged && is_lost), "seed {seed}: {ended:?} was lost");
     }
 }
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -9,9 +9,9 @@
 
 /// Time after an answer by which the node must have applied its signals, and requests that
 /// were on their way to the replica have arrived.
-const ON_ITS_WAY_MS: u64 = 500;
+const SIGNAL_DELAY_MS: u64 = 500;
 /// Time after a replica's first signal that it leaves until no more requests may reach it.
-const LEAVING_BOUND_MS: u64 = 2000;
+const MAX_LEAVING_MS: u64 = 2000;
 /// Maximum number of requests of one node that may reach a replica during its cooldown.
 const MAX_REQUESTS_IN_COOLDOWN: usize = 2;
 
@@ -57,7 +57,7 @@
     let Some(first) = arrivals.iter().find(|arrival| arrival.says_leaving) else {
         return;
     };
-    let bound_ms = first.at_ms + LEAVING_BOUND_MS;
+    let bound_ms = first.at_ms + MAX_LEAVING_MS;
     let late = arrivals.iter().find(|arrival| arrival.at_ms > bound_ms);
     assert!(
         late.is_none(),
@@ -68,7 +68,7 @@
 fn rests_are_heeded(arrivals: &[&Arrival], node: usize, seed: u64) {
     for asked in arrivals {
         let Some(rest_ms) = asked.rest_ms else { continue };
-        let (begin_ms, end_ms) = (asked.at_ms + ON_ITS_WAY_MS, asked.at_ms + rest_ms);
+        let (begin_ms, end_ms) = (asked.at_ms + SIGNAL_DELAY_MS, asked.at_ms + rest_ms);
         let in_rest = arrivals
             .iter()
             .filter(|other| other.at_ms > begin_ms && other.at_ms < end_ms);
