--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -83,7 +83,7 @@
 /// limit, so that their models have other holders.
 const MIN_SIGNALING_ENGINES: usize = 4;
 
-fn number(variable: &str, default: u64) -> u64 {
+fn env_number(variable: &str, default: u64) -> u64 {
     std::env::var(variable)
         .ok()
         .and_then(|value| value.parse().ok())
@@ -91,14 +91,14 @@
 }
 
 /// Returns the seeds that failed in the past, with the mix of each.
-fn kept_seeds() -> Vec<(u64, Mix)> {
+fn regression_seeds() -> Vec<(u64, Mix)> {
     include_str!("seeds.txt")
         .lines()
         .filter(|line| !line.starts_with('#'))
         .map(|line| {
-            let mut words = line.split_whitespace();
-            let seed = words.next().and_then(|seed| seed.parse().ok());
-            let mix = match words.next() {
+            let mut fields = line.split_whitespace();
+            let seed = fields.next().and_then(|seed| seed.parse().ok());
+            let mix = match fields.next() {
                 Some("few") => Mix::Few,
                 Some("series") => Mix::Series,
                 Some("crashes") => Mix::Crashes,
@@ -114,7 +114,7 @@
         .collect()
 }
 
-async fn round(seed: u64, mix: Mix, size: Size) {
+async fn play_round(seed: u64, mix: Mix, size: Size) {
     let mut random = SmallRng::seed_from_u64(seed);
     let (program, size) = match mix {
         Mix::Crashes => (Program::Suspendable, size.with_engines(MIN_CRASHING_ENGINES)),
@@ -175,8 +175,8 @@
 }
 
 fn size() -> Size {
-    let nodes = number("CROFTRILL_SOAK_NODES", DEFAULT_SIZE.nodes as u64);
-    let engines = number("CROFTRILL_SOAK_ENGINES", DEFAULT_SIZE.engines as u64);
+    let nodes = env_number("CROFTRILL_SOAK_NODES", DEFAULT_SIZE.nodes as u64);
+    let engines = env_number("CROFTRILL_SOAK_ENGINES", DEFAULT_SIZE.engines as u64);
     Size {
         nodes: nodes as usize,
         engines: engines as usize,
@@ -185,8 +185,8 @@
 
 #[test]
 fn promises_hold_under_random_faults() {
-    let first = number("CROFTRILL_SOAK_SEED", DEFAULT_SEED);
-    let rounds = number("CROFTRILL_SOAK_ROUNDS", DEFAULT_ROUNDS);
+    let first = env_number("CROFTRILL_SOAK_SEED", DEFAULT_SEED);
+    let rounds = env_number("CROFTRILL_SOAK_ROUNDS", DEFAULT_ROUNDS);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -206,7 +206,7 @@
     // Seeds above this are chosen by hand and run without the default rounds.
     let uses_default_seeds = first < FIRST_SEED_OF_WORDS;
     let mut default_rounds = if uses_default_seeds {
-        kept_seeds()
+        regression_seeds()
     } else {
         Vec::new()
     };
@@ -217,9 +217,9 @@
         default_rounds.push((DEFAULT_SEED_OF_UNEVEN, Mix::Uneven));
     }
     for (seed, mix) in default_rounds {
-        LocalSet::new().block_on(&runtime, round(seed, mix, DEFAULT_SIZE));
+        LocalSet::new().block_on(&runtime, play_round(seed, mix, DEFAULT_SIZE));
     }
     for (seed, mix) in drawn {
-        LocalSet::new().block_on(&runtime, round(seed, mix, size()));
+        LocalSet::new().block_on(&runtime, play_round(seed, mix, size()));
     }
 }
