--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -205,7 +205,7 @@
 }
 
 /// Checks the guarantees by what callers and replicas observed.
-pub fn promises(cluster: &Cluster, calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, calls: &[Ended], seed: u64) {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for ledger in cluster.ledgers() {
         assert!(
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -158,9 +158,9 @@
         calls = played => calls,
         () = cluster.crash_engines() => unreachable!("runs until dropped"),
     };
-    checks::promises(&cluster, &calls, seed);
+    checks::check_guarantees(&cluster, &calls, seed);
     if mix == Mix::Tenants {
-        tenants::promises(&cluster, &calls, seed);
+        tenants::check_guarantees(&cluster, &calls, seed);
         checks::enough_are_whole(tenants::owed(&calls), seed);
     } else {
         checks::enough_are_whole(calls.iter(), seed);
@@ -169,7 +169,7 @@
     words::are_heeded(&cluster, &plan, seed);
     limits::are_kept(&cluster, &plan, seed);
     if mix == Mix::Uneven {
-        uneven::promises(&cluster, &plan, &calls, seed);
+        uneven::check_guarantees(&cluster, &plan, &calls, seed);
     }
     cluster.stop().await;
 }
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn guarantees_hold_under_random_faults() {
     let first = env_number("CROFTRILL_SOAK_SEED", DEFAULT_SEED);
     let rounds = env_number("CROFTRILL_SOAK_ROUNDS", DEFAULT_ROUNDS);
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -218,7 +218,7 @@
 }
 
 /// Checks keys, groups and the quota by what replicas ran.
-pub fn promises(cluster: &Cluster, calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, calls: &[Ended], seed: u64) {
     let ledgers = cluster.ledgers();
     let runs: Vec<&GroupRun> = ledgers.iter().flat_map(|ledger| &ledger.group_runs).collect();
     for run in &runs {
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -76,7 +76,7 @@
 
 /// Checks that each request that no replica ran got an answer, if its node was neither killed
 /// nor paused. The node may have been asked to stop.
-pub fn promises(cluster: &Cluster, plan: &[Planned], calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, plan: &[Planned], calls: &[Ended], seed: u64) {
     let ledgers = cluster.ledgers();
     let turned_away: u32 = ledgers.iter().map(|ledger| ledger.turned_away).sum();
     println!("seed {seed}: {turned_away} requests found no free slot");
