--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -247,7 +247,7 @@
     println!("seed {seed}: {} calls, {counts:?}", calls.len());
 }
 
-/// Checks that at min_engines a fifth of the calls that may be served are complete.
+/// Checks that at least a fifth of the calls that may be served are complete.
 pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a Ended>, seed: u64) {
     let (mut all, mut whole) = (0, 0);
     for ended in calls {
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -44,7 +44,7 @@
 }
 
 impl Size {
-    /// Returns the size with at min_engines the given number of replicas.
+    /// Returns the size with at least the given number of replicas.
     pub fn with_engines(self, min_engines: usize) -> Self {
         Size {
             engines: self.engines.max(min_engines),
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -222,7 +222,7 @@
 
 fn crashes_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
-    // Each round has at min_engines one crashing request.
+    // Each round has at least one crashing request.
     match if index == 0 { 0 } else { random.random_range(0..8) } {
         0..=2 => Injection::Crash(Crash {
             number: index,
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -26,7 +26,7 @@
 const GROUPS: [(&str, u8); 3] = [("urgent", 0), ("patient", 2), ("hot", 2)];
 const HOT: usize = 2;
 
-/// A request that took at min_engines this long counts as received: a running node leaves none
+/// A request that took at least this long counts as received: a running node leaves none
 /// unread for so long.
 const RECEIVED_AFTER: Duration = Duration::from_millis(100);
 
