--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -26,7 +26,7 @@
 
 /// A request and its outcome.
 #[derive(Debug, Clone)]
-pub struct Ended {
+pub struct CallRecord {
     pub attempt: String,
     pub end: CallOutcome,
     pub took: Duration,
@@ -100,35 +100,36 @@
 
 /// Sends requests to all nodes for the time `round`, over new connections and over
 /// persistent ones that last until the node's process is gone. Waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
-    let kept = cluster.nodes.iter().take(MAX_PERSISTENT_CALLERS).enumerate();
-    let kept = kept.map(|(index, node)| call_over_kept(node.front, round, seed, index));
+pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
+    let persistent_callers = cluster.nodes.iter().take(MAX_PERSISTENT_CALLERS).enumerate();
+    let persistent_callers =
+        persistent_callers.map(|(index, node)| call_over_kept(node.front, round, seed, index));
     let mut random = SmallRng::seed_from_u64(seed ^ 0xca11);
     let anew = call_anew(cluster, round, |number| {
         draw_call(&mut random, format!("s{seed}-{number}"))
     });
-    let (mut ended, kept) = tokio::join!(anew, join_all(kept));
-    ended.extend(kept.into_iter().flatten());
-    ended
+    let (mut records, persistent) = tokio::join!(anew, join_all(persistent_callers));
+    records.extend(persistent.into_iter().flatten());
+    records
 }
 
 /// Sends one request after the other over a connection that is reused while it lasts.
-async fn call_over_kept(front: SocketAddr, round: Duration, seed: u64, index: usize) -> Vec<Ended> {
+async fn call_over_kept(front: SocketAddr, round: Duration, seed: u64, index: usize) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0xcee9 ^ index as u64);
     let pool = persistent_connections();
     let until = Instant::now() + round;
-    let mut ended = Vec::new();
+    let mut records = Vec::new();
     while Instant::now() < until {
-        let drawn = draw_call(&mut random, format!("k{seed}-{index}-{}", ended.len()));
+        let drawn = draw_call(&mut random, format!("k{seed}-{index}-{}", records.len()));
         let (end, took) = call_over(&pool, front, &drawn).await;
-        ended.push(Ended {
+        records.push(CallRecord {
             attempt: drawn.attempt,
             end,
             took,
         });
         sleep(PERSISTENT_CALL_INTERVAL).await;
     }
-    ended
+    records
 }
 
 /// Sends requests to all nodes in turn for the time `round`, each over a new connection.
@@ -137,8 +138,8 @@
     cluster: &Cluster,
     round: Duration,
     mut draw: impl FnMut(usize) -> Call,
-) -> Vec<Ended> {
-    let ended = Rc::new(RefCell::new(Vec::new()));
+) -> Vec<CallRecord> {
+    let records = Rc::new(RefCell::new(Vec::new()));
     let until = Instant::now() + round;
     let mut tasks = Vec::new();
     for number in 0.. {
@@ -146,10 +147,10 @@
             break;
         }
         let drawn = draw(number);
-        let (front, ended) = (cluster.nodes[number % cluster.nodes.len()].front, ended.clone());
+        let (front, records) = (cluster.nodes[number % cluster.nodes.len()].front, records.clone());
         tasks.push(spawn_local(async move {
             let (end, took) = call(front, &drawn).await;
-            ended.borrow_mut().push(Ended {
+            records.borrow_mut().push(CallRecord {
                 attempt: drawn.attempt,
                 end,
                 took,
@@ -160,7 +161,7 @@
     for task in tasks {
         task.await.expect("the task of a request does not panic");
     }
-    ended.take()
+    records.take()
 }
 
 /// Waits until every node serves every model, and checks that the newest document is in
@@ -205,7 +206,7 @@
 }
 
 /// Checks the guarantees by what callers and replicas observed.
-pub fn check_guarantees(cluster: &Cluster, calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, calls: &[CallRecord], seed: u64) {
     let mut runs: BTreeMap<String, u32> = BTreeMap::new();
     for ledger in cluster.ledgers() {
         assert!(
@@ -218,28 +219,28 @@
         }
     }
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for ended in calls {
-        let count = runs.get(&ended.attempt).copied().unwrap_or(0);
-        let name = match &ended.end {
+    for record in calls {
+        let count = runs.get(&record.attempt).copied().unwrap_or(0);
+        let name = match &record.end {
             CallOutcome::Complete => "complete",
             CallOutcome::Refused { .. } => "refused",
             CallOutcome::Failed(_) => "failed",
             CallOutcome::Broken => "broken",
             CallOutcome::NotSent => "not sent",
-            CallOutcome::Wrong(what) => panic!("seed {seed}: {} got {what}", ended.attempt),
+            CallOutcome::Wrong(what) => panic!("seed {seed}: {} got {what}", record.attempt),
         };
         *counts.entry(name).or_default() += 1;
-        assert!(count <= 1, "seed {seed}: {} ran {count} times", ended.attempt);
-        match ended.end {
+        assert!(count <= 1, "seed {seed}: {} ran {count} times", record.attempt);
+        match record.end {
             CallOutcome::Complete => {
                 assert_eq!(
                     count, 1,
                     "seed {seed}: {} is complete but never ran",
-                    ended.attempt
+                    record.attempt
                 )
             }
             CallOutcome::Refused { .. } | CallOutcome::NotSent => {
-                assert_eq!(count, 0, "seed {seed}: {} was refused but ran", ended.attempt);
+                assert_eq!(count, 0, "seed {seed}: {} was refused but ran", record.attempt);
             }
             _ => {}
         }
@@ -248,11 +249,11 @@
 }
 
 /// Checks that at least a fifth of the calls that may be served are complete.
-pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a Ended>, seed: u64) {
+pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a CallRecord>, seed: u64) {
     let (mut all, mut whole) = (0, 0);
-    for ended in calls {
+    for record in calls {
         all += 1;
-        whole += usize::from(ended.end == CallOutcome::Complete);
+        whole += usize::from(record.end == CallOutcome::Complete);
     }
     assert!(
         whole * 5 >= all,
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::{sleep, Instant};
 
-use crate::checks::{call_anew, draw_call, Ended, RECOVERY_TIMEOUT};
+use crate::checks::{call_anew, draw_call, CallRecord, RECOVERY_TIMEOUT};
 use crate::cluster::{status, Cluster, QUOTA_OVERAGE, QUOTA_SLACK, QUOTA_WINDOW};
 
 /// Name of the group without a quota.
@@ -174,7 +174,7 @@
 }
 
 /// Sends requests to all nodes in turn, and waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
+pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x7e4a);
     call_anew(cluster, round, |number| draw(&mut random, seed, number)).await
 }
@@ -218,7 +218,7 @@
 }
 
 /// Checks keys, groups and the quota by what replicas ran.
-pub fn check_guarantees(cluster: &Cluster, calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, calls: &[CallRecord], seed: u64) {
     let ledgers = cluster.ledgers();
     let runs: Vec<&GroupRun> = ledgers.iter().flat_map(|ledger| &ledger.group_runs).collect();
     for run in &runs {
@@ -230,11 +230,16 @@
         );
         assert_eq!(run.group.as_deref(), who.group(), "seed {seed}: {}", run.attempt);
     }
-    for ended in calls
+    for record in calls
         .iter()
-        .filter(|ended| Who::of(&ended.attempt).group().is_none())
+        .filter(|record| Who::of(&record.attempt).group().is_none())
     {
-        assert_ne!(ended.end, CallOutcome::Complete, "seed {seed}: {}", ended.attempt);
+        assert_ne!(
+            record.end,
+            CallOutcome::Complete,
+            "seed {seed}: {}",
+            record.attempt
+        );
     }
     let bounded: Vec<_> = runs
         .iter()
@@ -259,8 +264,8 @@
 
 /// Returns the requests that must be served: those with a key that is never removed, of a
 /// group without a quota.
-pub fn owed(calls: &[Ended]) -> impl Iterator<Item = &Ended> {
+pub fn owed(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
     calls
         .iter()
-        .filter(|ended| Who::of(&ended.attempt) == Who::Steady)
+        .filter(|record| Who::of(&record.attempt) == Who::Steady)
 }
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::checks::{call_anew, draw_call, Ended};
+use crate::checks::{call_anew, draw_call, CallRecord};
 use crate::cluster::{Cluster, Conditions, MODELS};
 use crate::faults::{Injection, Planned};
 use crate::tenants::{publish, until_in_force};
@@ -66,7 +66,7 @@
 }
 
 /// Sends requests to all nodes in turn, and waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<Ended> {
+pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x51de);
     call_anew(cluster, round, |number| {
         draw(&mut random, format!("s{seed}-{number}"))
@@ -76,7 +76,7 @@
 
 /// Checks that each request that no replica ran got an answer, if its node was neither killed
 /// nor paused. The node may have been asked to stop.
-pub fn check_guarantees(cluster: &Cluster, plan: &[Planned], calls: &[Ended], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, plan: &[Planned], calls: &[CallRecord], seed: u64) {
     let ledgers = cluster.ledgers();
     let turned_away: u32 = ledgers.iter().map(|ledger| ledger.turned_away).sum();
     println!("seed {seed}: {turned_away} requests found no free slot");
@@ -85,12 +85,12 @@
         let mut cuts = plan.iter().filter(|planned| planned.injection.interrupts(node));
         cuts.all(|planned| matches!(planned.injection, Injection::Stop(_)))
     };
-    for ended in calls {
-        let is_judged = node_of(&ended.attempt, nodes).is_some_and(ran_or_ended_well);
+    for record in calls {
+        let is_judged = node_of(&record.attempt, nodes).is_some_and(ran_or_ended_well);
         let ran = ledgers
             .iter()
-            .any(|ledger| ledger.runs.contains_key(&ended.attempt));
-        let is_lost = ended.end == CallOutcome::Broken && ended.took >= RECEIVED_AFTER && !ran;
-        assert!(!(is_judged && is_lost), "seed {seed}: {ended:?} was lost");
+            .any(|ledger| ledger.runs.contains_key(&record.attempt));
+        let is_lost = record.end == CallOutcome::Broken && record.took >= RECEIVED_AFTER && !ran;
+        assert!(!(is_judged && is_lost), "seed {seed}: {record:?} was lost");
     }
 }
