--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -28,8 +28,8 @@
 #[derive(Debug, Clone)]
 pub struct CallRecord {
     pub attempt: String,
-    pub end: CallOutcome,
-    pub took: Duration,
+    pub outcome: CallOutcome,
+    pub elapsed: Duration,
 }
 
 const DEFAULT_PROMPT: &str = "a question";
@@ -121,11 +121,11 @@
     let mut records = Vec::new();
     while Instant::now() < until {
         let drawn = draw_call(&mut random, format!("k{seed}-{index}-{}", records.len()));
-        let (end, took) = call_over(&pool, front, &drawn).await;
+        let (outcome, elapsed) = call_over(&pool, front, &drawn).await;
         records.push(CallRecord {
             attempt: drawn.attempt,
-            end,
-            took,
+            outcome,
+            elapsed,
         });
         sleep(PERSISTENT_CALL_INTERVAL).await;
     }
@@ -149,11 +149,11 @@
         let drawn = draw(number);
         let (front, records) = (cluster.nodes[number % cluster.nodes.len()].front, records.clone());
         tasks.push(spawn_local(async move {
-            let (end, took) = call(front, &drawn).await;
+            let (outcome, elapsed) = call(front, &drawn).await;
             records.borrow_mut().push(CallRecord {
                 attempt: drawn.attempt,
-                end,
-                took,
+                outcome,
+                elapsed,
             });
         }));
         sleep(CALL_INTERVAL).await;
@@ -183,13 +183,13 @@
                     group: None,
                     key: None,
                 };
-                let (end, _) = call(cluster.nodes[index].front, &request).await;
-                if end == CallOutcome::Complete {
+                let (outcome, _) = call(cluster.nodes[index].front, &request).await;
+                if outcome == CallOutcome::Complete {
                     break;
                 }
                 assert!(
                     Instant::now() < until,
-                    "seed {seed}: node {index} does not serve {model}: {end:?}"
+                    "seed {seed}: node {index} does not serve {model}: {outcome:?}"
                 );
                 sleep(Duration::from_millis(100)).await;
             }
@@ -221,7 +221,7 @@
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for record in calls {
         let count = runs.get(&record.attempt).copied().unwrap_or(0);
-        let name = match &record.end {
+        let name = match &record.outcome {
             CallOutcome::Complete => "complete",
             CallOutcome::Refused { .. } => "refused",
             CallOutcome::Failed(_) => "failed",
@@ -231,7 +231,7 @@
         };
         *counts.entry(name).or_default() += 1;
         assert!(count <= 1, "seed {seed}: {} ran {count} times", record.attempt);
-        match record.end {
+        match record.outcome {
             CallOutcome::Complete => {
                 assert_eq!(
                     count, 1,
@@ -253,7 +253,7 @@
     let (mut all, mut whole) = (0, 0);
     for record in calls {
         all += 1;
-        whole += usize::from(record.end == CallOutcome::Complete);
+        whole += usize::from(record.outcome == CallOutcome::Complete);
     }
     assert!(
         whole * 5 >= all,
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -198,18 +198,18 @@
                     key: who.key().map(str::to_string),
                     ..draw_call(&mut random, format!("r{seed}-{index}-{number}-{who:?}"))
                 };
-                let (end, _) = call(node.front, &asked).await;
-                let is_denied = end == CallOutcome::Failed(http::StatusCode::UNAUTHORIZED);
+                let (outcome, _) = call(node.front, &asked).await;
+                let is_denied = outcome == CallOutcome::Failed(http::StatusCode::UNAUTHORIZED);
                 assert!(
                     is_allowed || is_denied,
-                    "seed {seed}: node {index}, {who:?}: {end:?}"
+                    "seed {seed}: node {index}, {who:?}: {outcome:?}"
                 );
-                if !is_allowed || end == CallOutcome::Complete {
+                if !is_allowed || outcome == CallOutcome::Complete {
                     break;
                 }
                 assert!(
                     Instant::now() < until,
-                    "seed {seed}: node {index} does not serve {who:?}: {end:?}"
+                    "seed {seed}: node {index} does not serve {who:?}: {outcome:?}"
                 );
                 sleep(Duration::from_millis(100)).await;
             }
@@ -235,7 +235,7 @@
         .filter(|record| Who::of(&record.attempt).group().is_none())
     {
         assert_ne!(
-            record.end,
+            record.outcome,
             CallOutcome::Complete,
             "seed {seed}: {}",
             record.attempt
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -90,7 +90,7 @@
         let ran = ledgers
             .iter()
             .any(|ledger| ledger.runs.contains_key(&record.attempt));
-        let is_lost = record.end == CallOutcome::Broken && record.took >= RECEIVED_AFTER && !ran;
+        let is_lost = record.outcome == CallOutcome::Broken && record.elapsed >= RECEIVED_AFTER && !ran;
         assert!(!(is_judged && is_lost), "seed {seed}: {record:?} was lost");
     }
 }
