--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -38,7 +38,7 @@
 const MAX_CRASHED_REPLICAS: usize = 4;
 
 /// Sends the same crashing request `crash.times` times, to the nodes in turn.
-pub async fn call_crashing(cluster: &Cluster, crash: &Crash, seed: u64) {
+pub async fn send_crashing_request(cluster: &Cluster, crash: &Crash, seed: u64) {
     let calls = (0..crash.times).map(|number| async move {
         sleep(crash.gap * number).await;
         let drawn = Call {
@@ -100,21 +100,26 @@
 
 /// Sends requests to all nodes for the time `round`, over new connections and over
 /// persistent ones that last until the node's process is gone. Waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
+pub async fn call_nodes(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
     let persistent_callers = cluster.nodes.iter().take(MAX_PERSISTENT_CALLERS).enumerate();
-    let persistent_callers =
-        persistent_callers.map(|(index, node)| call_over_kept(node.front, round, seed, index));
+    let persistent_callers = persistent_callers
+        .map(|(index, node)| call_over_persistent_connection(node.front, round, seed, index));
     let mut random = SmallRng::seed_from_u64(seed ^ 0xca11);
-    let anew = call_anew(cluster, round, |number| {
+    let over_new_connections = call_over_new_connections(cluster, round, |number| {
         draw_call(&mut random, format!("s{seed}-{number}"))
     });
-    let (mut records, persistent) = tokio::join!(anew, join_all(persistent_callers));
+    let (mut records, persistent) = tokio::join!(over_new_connections, join_all(persistent_callers));
     records.extend(persistent.into_iter().flatten());
     records
 }
 
 /// Sends one request after the other over a connection that is reused while it lasts.
-async fn call_over_kept(front: SocketAddr, round: Duration, seed: u64, index: usize) -> Vec<CallRecord> {
+async fn call_over_persistent_connection(
+    front: SocketAddr,
+    round: Duration,
+    seed: u64,
+    index: usize,
+) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0xcee9 ^ index as u64);
     let pool = persistent_connections();
     let until = Instant::now() + round;
@@ -134,7 +139,7 @@
 
 /// Sends requests to all nodes in turn for the time `round`, each over a new connection.
 /// Waits for the last answers. `draw` returns the request with a number.
-pub async fn call_anew(
+pub async fn call_over_new_connections(
     cluster: &Cluster,
     round: Duration,
     mut draw: impl FnMut(usize) -> Call,
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -427,7 +427,7 @@
         Injection::SilentEngineConnections(engine) => cluster.engine_proxies[*engine].silence_existing(),
         Injection::Signals(node, signals) => cluster.nodes[*node].series(signals).await,
         Injection::Roll(gap) => roll(cluster, *gap).await,
-        Injection::Crash(crash) => checks::call_crashing(cluster, crash, seed).await,
+        Injection::Crash(crash) => checks::send_crashing_request(cluster, crash, seed).await,
         Injection::Suspensions(node, count, gap) => {
             for _ in 0..*count {
                 cluster.nodes[*node].signal(suspendable::SUSPENSION);
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -142,9 +142,9 @@
     let played = async {
         let faults = faults::play(&cluster, &plan, length, seed);
         let calls = match mix {
-            Mix::Tenants => tokio::join!(tenants::call_for(&cluster, length, seed), faults).0,
-            Mix::Uneven => tokio::join!(uneven::call_for(&cluster, length, seed), faults).0,
-            _ => tokio::join!(checks::call_for(&cluster, length, seed), faults).0,
+            Mix::Tenants => tokio::join!(tenants::call_nodes(&cluster, length, seed), faults).0,
+            Mix::Uneven => tokio::join!(uneven::call_nodes(&cluster, length, seed), faults).0,
+            _ => tokio::join!(checks::call_nodes(&cluster, length, seed), faults).0,
         };
         cluster.mend().await;
         if mix == Mix::Tenants {
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::{sleep, Instant};
 
-use crate::checks::{call_anew, draw_call, CallRecord, RECOVERY_TIMEOUT};
+use crate::checks::{call_over_new_connections, draw_call, CallRecord, RECOVERY_TIMEOUT};
 use crate::cluster::{status, Cluster, QUOTA_OVERAGE, QUOTA_SLACK, QUOTA_WINDOW};
 
 /// Name of the group without a quota.
@@ -174,9 +174,9 @@
 }
 
 /// Sends requests to all nodes in turn, and waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
+pub async fn call_nodes(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x7e4a);
-    call_anew(cluster, round, |number| draw(&mut random, seed, number)).await
+    call_over_new_connections(cluster, round, |number| draw(&mut random, seed, number)).await
 }
 
 /// Waits until every node has the newest document in force, and serves or denies callers
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::checks::{call_anew, draw_call, CallRecord};
+use crate::checks::{call_over_new_connections, draw_call, CallRecord};
 use crate::cluster::{Cluster, Conditions, MODELS};
 use crate::faults::{Injection, Planned};
 use crate::tenants::{publish, until_in_force};
@@ -66,9 +66,9 @@
 }
 
 /// Sends requests to all nodes in turn, and waits for the last answers.
-pub async fn call_for(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
+pub async fn call_nodes(cluster: &Cluster, round: Duration, seed: u64) -> Vec<CallRecord> {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x51de);
-    call_anew(cluster, round, |number| {
+    call_over_new_connections(cluster, round, |number| {
         draw(&mut random, format!("s{seed}-{number}"))
     })
     .await
