--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -58,7 +58,7 @@
 }
 
 /// Checks how many replicas each crashing request ended.
-pub fn crashes_are_bounded(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_crashes_are_bounded(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let ledgers = cluster.ledgers();
     for crash in plan.iter().filter_map(Planned::crash) {
         let attempts: Vec<String> = (0..crash.times)
@@ -254,7 +254,7 @@
 }
 
 /// Checks that at least a fifth of the calls that may be served are complete.
-pub fn enough_are_whole<'a>(calls: impl Iterator<Item = &'a CallRecord>, seed: u64) {
+pub fn check_enough_are_complete<'a>(calls: impl Iterator<Item = &'a CallRecord>, seed: u64) {
     let (mut all, mut whole) = (0, 0);
     for record in calls {
         all += 1;
--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -21,7 +21,7 @@
 
 /// Checks all replicas by the requests of nodes whose processes ran without interruption.
 /// Requests of orderers do not name a node: they count if no node was interrupted.
-pub fn are_kept(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_limits_hold(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
     let all_ran_on = (0..nodes).all(undisturbed);
@@ -34,7 +34,7 @@
         for need in needs(&ledger.arrivals) {
             named += need.len();
             let counted: Vec<&Arrival> = need.iter().filter(counts).collect();
-            need_is_respected(&told(&counted, nodes), need[0].at_ms, seed);
+            check_limit_holds(&told(&counted, nodes), need[0].at_ms, seed);
         }
     }
     println!("seed {seed}: {named} answers with a limit");
@@ -57,7 +57,7 @@
     calls.iter().filter(is_told).copied().collect()
 }
 
-fn need_is_respected(calls: &[&Arrival], begun_ms: u64, seed: u64) {
+fn check_limit_holds(calls: &[&Arrival], begun_ms: u64, seed: u64) {
     let holding: Vec<&&Arrival> = calls
         .iter()
         .filter(|call| call.at_ms >= begun_ms + LIMIT_HOLDS_AFTER_MS)
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -161,13 +161,13 @@
     checks::check_guarantees(&cluster, &calls, seed);
     if mix == Mix::Tenants {
         tenants::check_guarantees(&cluster, &calls, seed);
-        checks::enough_are_whole(tenants::owed(&calls), seed);
+        checks::check_enough_are_complete(tenants::owed(&calls), seed);
     } else {
-        checks::enough_are_whole(calls.iter(), seed);
+        checks::check_enough_are_complete(calls.iter(), seed);
     }
-    checks::crashes_are_bounded(&cluster, &plan, seed);
-    words::are_heeded(&cluster, &plan, seed);
-    limits::are_kept(&cluster, &plan, seed);
+    checks::check_crashes_are_bounded(&cluster, &plan, seed);
+    words::check_signals_are_respected(&cluster, &plan, seed);
+    limits::check_limits_hold(&cluster, &plan, seed);
     if mix == Mix::Uneven {
         uneven::check_guarantees(&cluster, &plan, &calls, seed);
     }
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -28,7 +28,7 @@
 }
 
 /// Checks all replicas and all nodes whose processes ran without interruption.
-pub fn are_heeded(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_signals_are_respected(cluster: &Cluster, plan: &[Planned], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed =
         |node: &usize| -> bool { !plan.iter().any(|planned| planned.injection.interrupts(*node)) };
@@ -40,8 +40,8 @@
             }
         }
         for (node, arrivals) in by_node {
-            leaving_is_heeded(&arrivals, node, seed);
-            rests_are_heeded(&arrivals, node, seed);
+            check_leaving_is_respected(&arrivals, node, seed);
+            check_cooldowns_are_respected(&arrivals, node, seed);
         }
     }
     let words = cluster.ledgers().iter().map(words_of).sum::<usize>();
@@ -53,7 +53,7 @@
     ledger.arrivals.iter().filter(tells).count()
 }
 
-fn leaving_is_heeded(arrivals: &[&Arrival], node: usize, seed: u64) {
+fn check_leaving_is_respected(arrivals: &[&Arrival], node: usize, seed: u64) {
     let Some(first) = arrivals.iter().find(|arrival| arrival.says_leaving) else {
         return;
     };
@@ -65,7 +65,7 @@
     );
 }
 
-fn rests_are_heeded(arrivals: &[&Arrival], node: usize, seed: u64) {
+fn check_cooldowns_are_respected(arrivals: &[&Arrival], node: usize, seed: u64) {
     for asked in arrivals {
         let Some(rest_ms) = asked.rest_ms else { continue };
         let (begin_ms, end_ms) = (asked.at_ms + SIGNAL_DELAY_MS, asked.at_ms + rest_ms);
