--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -171,7 +171,7 @@
 
 /// Waits until every node serves every model, and checks that the newest document is in
 /// force.
-pub async fn recovery(cluster: &Cluster, seed: u64) {
+pub async fn wait_for_recovery(cluster: &Cluster, seed: u64) {
     let until = Instant::now() + RECOVERY_TIMEOUT;
     let newest = cluster.document.borrow().version;
     for index in 0..cluster.nodes.len() {
--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -301,7 +301,7 @@
         for index in 0..size.nodes {
             cluster.add_node(index, store_address, program).await;
         }
-        tokio::time::timeout(START_TIMEOUT, cluster.until_ready())
+        tokio::time::timeout(START_TIMEOUT, cluster.wait_until_ready())
             .await
             .expect("the cluster becomes ready");
         cluster
@@ -405,7 +405,7 @@
         });
     }
 
-    async fn until_ready(&self) {
+    async fn wait_until_ready(&self) {
         for node in &self.nodes {
             loop {
                 let status = status(node).await;
@@ -428,7 +428,7 @@
         for node in &self.nodes {
             node.signal("CONT");
         }
-        tokio::time::timeout(START_TIMEOUT, self.until_ready())
+        tokio::time::timeout(START_TIMEOUT, self.wait_until_ready())
             .await
             .expect("every node becomes ready");
     }
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -148,10 +148,10 @@
         };
         cluster.mend().await;
         if mix == Mix::Tenants {
-            tenants::recovery(&cluster, seed).await;
+            tenants::wait_for_recovery(&cluster, seed).await;
             return calls;
         }
-        checks::recovery(&cluster, seed).await;
+        checks::wait_for_recovery(&cluster, seed).await;
         calls
     };
     let calls = tokio::select! {
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -98,7 +98,7 @@
 pub async fn begin(cluster: &Cluster) {
     cluster.document.borrow_mut().groups = groups();
     publish(cluster);
-    until_in_force(cluster, 0).await;
+    wait_until_in_force(cluster, 0).await;
 }
 
 fn groups() -> Vec<GroupDocument> {
@@ -149,7 +149,7 @@
     publish(cluster);
 }
 
-pub async fn until_in_force(cluster: &Cluster, seed: u64) {
+pub async fn wait_until_in_force(cluster: &Cluster, seed: u64) {
     let until = Instant::now() + RECOVERY_TIMEOUT;
     let newest = cluster.document.borrow().version;
     for (index, node) in cluster.nodes.iter().enumerate() {
@@ -181,8 +181,8 @@
 
 /// Waits until every node has the newest document in force, and serves or denies callers
 /// accordingly.
-pub async fn recovery(cluster: &Cluster, seed: u64) {
-    until_in_force(cluster, seed).await;
+pub async fn wait_for_recovery(cluster: &Cluster, seed: u64) {
+    wait_until_in_force(cluster, seed).await;
     let until = Instant::now() + RECOVERY_TIMEOUT;
     let is_known = cluster.document.borrow().groups[0]
         .key_digests
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -11,7 +11,7 @@
 use crate::checks::{call_over_new_connections, draw_call, CallRecord};
 use crate::cluster::{Cluster, Conditions, MODELS};
 use crate::faults::{Injection, Planned};
-use crate::tenants::{publish, until_in_force};
+use crate::tenants::{publish, wait_until_in_force};
 use crate::words::node_of;
 
 /// Work times of the replicas in turn, in percent of the default.
@@ -52,7 +52,7 @@
     });
     cluster.document.borrow_mut().groups = groups.collect();
     publish(cluster);
-    until_in_force(cluster, seed).await;
+    wait_until_in_force(cluster, seed).await;
 }
 
 fn draw(random: &mut SmallRng, attempt: String) -> Call {
