--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -66,15 +66,16 @@
             .collect();
         // Copies that start at the same replica crash it together, so the number of runs is
         // no measure.
-        let began_there = |ledger: &&Ledger| attempts.iter().any(|attempt| ledger.runs.contains_key(attempt));
-        let ends = ledgers.iter().filter(began_there).count();
+        let started_there =
+            |ledger: &&Ledger| attempts.iter().any(|attempt| ledger.runs.contains_key(attempt));
+        let crashed_replicas = ledgers.iter().filter(started_there).count();
         println!(
-            "seed {seed}: crashing request {}: {ends} replicas, {} calls",
+            "seed {seed}: crashing request {}: {crashed_replicas} replicas, {} calls",
             crash.number, crash.times
         );
         assert!(
-            ends <= MAX_CRASHED_REPLICAS,
-            "seed {seed}: {ends} replicas were crashed by {crash:?}"
+            crashed_replicas <= MAX_CRASHED_REPLICAS,
+            "seed {seed}: {crashed_replicas} replicas were crashed by {crash:?}"
         );
     }
 }
@@ -199,11 +200,11 @@
                 sleep(Duration::from_millis(100)).await;
             }
         }
-        let believed = status(&cluster.nodes[index])
+        let reported_version = status(&cluster.nodes[index])
             .await
             .map(|status| status.configuration_version);
         assert_eq!(
-            believed,
+            reported_version,
             Some(newest),
             "seed {seed}: node {index} does not have the newest document"
         );
@@ -255,13 +256,13 @@
 
 /// Checks that at least a fifth of the calls that may be served are complete.
 pub fn check_enough_are_complete<'a>(calls: impl Iterator<Item = &'a CallRecord>, seed: u64) {
-    let (mut all, mut whole) = (0, 0);
+    let (mut all, mut complete) = (0, 0);
     for record in calls {
         all += 1;
-        whole += usize::from(record.outcome == CallOutcome::Complete);
+        complete += usize::from(record.outcome == CallOutcome::Complete);
     }
     assert!(
-        whole * 5 >= all,
-        "seed {seed}: only {whole} of {all} calls are complete"
+        complete * 5 >= all,
+        "seed {seed}: only {complete} of {all} calls are complete"
     );
 }
