--- a/crates/croftrill-daemon/tests/soak/cluster.rs
+++ b/crates/croftrill-daemon/tests/soak/cluster.rs
@@ -45,7 +45,7 @@
 
 impl Size {
     /// Returns the size with at least the given number of replicas.
-    pub fn with_engines(self, min_engines: usize) -> Self {
+    pub fn with_min_engines(self, min_engines: usize) -> Self {
         Size {
             engines: self.engines.max(min_engines),
             ..self
@@ -115,7 +115,7 @@
 
     /// Sends signals one after the other, each followed by its pause, and restarts the
     /// process whenever it has ended. Returns once the process runs and is not about to end.
-    pub async fn series(&self, signals: &[(&'static str, Duration)]) {
+    pub async fn send_signals(&self, signals: &[(&'static str, Duration)]) {
         let mut ending = None;
         for (name, pause) in signals {
             if matches!(*name, "TERM" | "KILL") {
@@ -144,9 +144,9 @@
 
     /// Kills the process, or asks it to stop, waits for its end and restarts it, unless
     /// another fault has restarted it already.
-    pub async fn restart(&self, kindly: bool) {
+    pub async fn restart(&self, is_graceful: bool) {
         let id = self.child.borrow().id();
-        self.signal(if kindly { "TERM" } else { "KILL" });
+        self.signal(if is_graceful { "TERM" } else { "KILL" });
         while self.child.borrow().id() == id {
             self.start_if_ended();
             sleep(Duration::from_millis(20)).await;
@@ -167,7 +167,10 @@
         Program::Older => daemon(&older_build().expect("CROFTRILL_SOAK_OLDER is set"), config),
         Program::Suspendable => suspendable::command(config),
     };
-    command.stdout(log_of(config)).spawn().expect("the daemon starts")
+    command
+        .stdout(log_output(config))
+        .spawn()
+        .expect("the daemon starts")
 }
 
 fn daemon(program: &Path, config: &Path) -> Command {
@@ -178,7 +181,7 @@
 
 /// Returns the output for a daemon's log: a file in the directory `CROFTRILL_SOAK_LOGS`, or
 /// none.
-fn log_of(config: &Path) -> Stdio {
+fn log_output(config: &Path) -> Stdio {
     let Some(directory) = std::env::var_os("CROFTRILL_SOAK_LOGS") else {
         return Stdio::null();
     };
@@ -234,20 +237,20 @@
 /// restarts.
 const FIRST_PORT: u16 = 10_000;
 /// Number of these ports.
-const PORTS: u16 = 22_000;
+const PORT_COUNT: u16 = 22_000;
 
 thread_local! {
     /// Number of the next port to try. It starts at a different port in each process, so that
     /// soak tests can run in parallel.
-    static PORTS_TAKEN: Cell<u32> = Cell::new(std::process::id() * 61);
+    static NEXT_PORT_NUMBER: Cell<u32> = Cell::new(std::process::id() * 61);
 }
 
 /// Returns a free port of the loopback address that this process uses only once.
 fn free_address() -> SocketAddr {
-    for _ in 0..PORTS {
-        let number = PORTS_TAKEN.get();
-        PORTS_TAKEN.set(number.wrapping_add(1));
-        let port = FIRST_PORT + (number % u32::from(PORTS)) as u16;
+    for _ in 0..PORT_COUNT {
+        let number = NEXT_PORT_NUMBER.get();
+        NEXT_PORT_NUMBER.set(number.wrapping_add(1));
+        let port = FIRST_PORT + (number % u32::from(PORT_COUNT)) as u16;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().expect("an address");
         }
@@ -348,8 +351,8 @@
                 let id = format!("e{index}.{ended}");
                 let address = proxy.address().expect("a proxy has an address");
                 let config = (self.conditions.engine)(index);
-                let anew = self::engine(listener, id, address, self.store_address, config, &[]);
-                self.engines.borrow_mut()[index] = anew;
+                let restarted = self::engine(listener, id, address, self.store_address, config, &[]);
+                self.engines.borrow_mut()[index] = restarted;
                 self.ended_engines.borrow_mut().push(engine);
                 proxy.restart(upstream).await.expect("its address is free");
             }
@@ -374,13 +377,13 @@
     }
 
     async fn add_node(&mut self, index: usize, store: SocketAddr, program: Program) {
-        let (proxy_listener, way) = listen().await.expect("a port");
+        let (proxy_listener, store_proxy_address) = listen().await.expect("a port");
         self.store_proxies.push(Proxy::start(proxy_listener, store));
         let (front, peer, operator) = (free_address(), free_address(), free_address());
         let config = self.directory.join(format!("node-{index}.toml"));
         let mut text = format!(
             "name = \"n{index}\"\nzone = \"z\"\nlisten = \"{front}\"\npeer = \"{peer}\"\n\
-             operator = \"{operator}\"\nstore = \"{way}\"\nstop_grace_seconds = 3.0\norder_gap_ms = 600\n",
+             operator = \"{operator}\"\nstore = \"{store_proxy_address}\"\nstop_grace_seconds = 3.0\norder_gap_ms = 600\n",
         );
         if self.conditions.callers_compete {
             text += "callers_compete = true\n";
@@ -420,7 +423,7 @@
     }
 
     /// Removes all faults and waits until all nodes are ready.
-    pub async fn mend(&self) {
+    pub async fn remove_faults(&self) {
         self.store.set_fault(StoreFault::None);
         for proxy in self.store_proxies.iter().chain(&self.engine_proxies) {
             proxy.set(Fault::None);
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -425,7 +425,7 @@
         Injection::ToggleQuota => tenants::toggle_quota(cluster),
         Injection::SilentStoreConnections(node) => cluster.store_proxies[*node].silence_existing(),
         Injection::SilentEngineConnections(engine) => cluster.engine_proxies[*engine].silence_existing(),
-        Injection::Signals(node, signals) => cluster.nodes[*node].series(signals).await,
+        Injection::Signals(node, signals) => cluster.nodes[*node].send_signals(signals).await,
         Injection::Roll(gap) => roll(cluster, *gap).await,
         Injection::Crash(crash) => checks::send_crashing_request(cluster, crash, seed).await,
         Injection::Suspensions(node, count, gap) => {
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -117,8 +117,10 @@
 async fn play_round(seed: u64, mix: Mix, size: Size) {
     let mut random = SmallRng::seed_from_u64(seed);
     let (program, size) = match mix {
-        Mix::Crashes => (Program::Suspendable, size.with_engines(MIN_CRASHING_ENGINES)),
-        Mix::Words | Mix::Limits | Mix::Uneven => (Program::Daemon, size.with_engines(MIN_SIGNALING_ENGINES)),
+        Mix::Crashes => (Program::Suspendable, size.with_min_engines(MIN_CRASHING_ENGINES)),
+        Mix::Words | Mix::Limits | Mix::Uneven => {
+            (Program::Daemon, size.with_min_engines(MIN_SIGNALING_ENGINES))
+        }
         Mix::Builds => (Program::Older, size),
         Mix::Few | Mix::Series | Mix::Tenants | Mix::Restores => (Program::Daemon, size),
     };
@@ -146,7 +148,7 @@
             Mix::Uneven => tokio::join!(uneven::call_nodes(&cluster, length, seed), faults).0,
             _ => tokio::join!(checks::call_nodes(&cluster, length, seed), faults).0,
         };
-        cluster.mend().await;
+        cluster.remove_faults().await;
         if mix == Mix::Tenants {
             tenants::wait_for_recovery(&cluster, seed).await;
             return calls;
