--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::cluster::{status, Cluster, MODELS};
-use crate::faults::{Crash, Planned};
+use crate::faults::{Crash, PlannedFault};
 
 /// Time between two requests.
 const CALL_INTERVAL: Duration = Duration::from_millis(25);
@@ -58,9 +58,9 @@
 }
 
 /// Checks how many replicas each crashing request ended.
-pub fn check_crashes_are_bounded(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_crashes_are_bounded(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let ledgers = cluster.ledgers();
-    for crash in plan.iter().filter_map(Planned::crash) {
+    for crash in plan.iter().filter_map(PlannedFault::crash) {
         let attempts: Vec<String> = (0..crash.times)
             .map(|number| crash.attempt(seed, number))
             .collect();
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -143,13 +143,13 @@
 
 /// A fault with its start, relative to the start of the round, and its duration.
 #[derive(Debug, Clone)]
-pub struct Planned {
+pub struct PlannedFault {
     pub at: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub injection: Injection,
 }
 
-impl Planned {
+impl PlannedFault {
     /// Returns the crashing request, if the fault is one.
     pub fn crash(&self) -> Option<&Crash> {
         match &self.injection {
@@ -349,7 +349,7 @@
 }
 
 /// Draws the faults of a round.
-pub fn draw(random: &mut SmallRng, mix: Mix, size: Size) -> Vec<Planned> {
+pub fn draw(random: &mut SmallRng, mix: Mix, size: Size) -> Vec<PlannedFault> {
     let (count, latest_ms) = match mix {
         Mix::Few => (random.random_range(2..=4), 3500),
         Mix::Series => (random.random_range(6..=10), 4500),
@@ -361,9 +361,9 @@
         Mix::Restores => (random.random_range(2..=6), 3000),
         Mix::Uneven => (random.random_range(3..=8), 3500),
     };
-    let planned = (0..count).map(|index| Planned {
+    let planned = (0..count).map(|index| PlannedFault {
         at: Duration::from_millis(random.random_range(200..latest_ms)),
-        lasts: Duration::from_millis(random.random_range(300..3000)),
+        duration: Duration::from_millis(random.random_range(300..3000)),
         injection: match mix {
             Mix::Limits => limits_injection(random, size, index),
             Mix::Few => injection(random, size),
@@ -380,7 +380,7 @@
 }
 
 /// Injects the planned faults. Returns when all have ended and the round's time is over.
-pub async fn play(cluster: &Cluster, plan: &[Planned], round: Duration, seed: u64) {
+pub async fn play(cluster: &Cluster, plan: &[PlannedFault], round: Duration, seed: u64) {
     let each = plan.iter().map(|planned| async move {
         sleep(planned.at).await;
         begin(cluster, planned, seed).await;
@@ -402,7 +402,7 @@
     .await;
 }
 
-async fn begin(cluster: &Cluster, planned: &Planned, seed: u64) {
+async fn begin(cluster: &Cluster, planned: &PlannedFault, seed: u64) {
     match &planned.injection {
         Injection::StorePath(node, fault) => cluster.store_proxies[*node].set(*fault),
         Injection::AllStorePaths(fault) => cluster.store_proxies.iter().for_each(|proxy| proxy.set(*fault)),
@@ -447,7 +447,7 @@
             }
         }
     }
-    sleep(planned.lasts).await;
+    sleep(planned.duration).await;
 }
 
 fn change(cluster: &Cluster) {
@@ -493,7 +493,7 @@
     }
 }
 
-async fn end(cluster: &Cluster, planned: &Planned) {
+async fn end(cluster: &Cluster, planned: &PlannedFault) {
     match &planned.injection {
         Injection::StorePath(node, _) => cluster.store_proxies[*node].set(Fault::None),
         Injection::AllStorePaths(_) => cluster
--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -5,7 +5,7 @@
 use croftrill_standin::engine::Arrival;
 
 use crate::cluster::Cluster;
-use crate::faults::Planned;
+use crate::faults::PlannedFault;
 use crate::words::node_of;
 
 /// Time from a replica's first answer with a limit until the limit holds.
@@ -21,7 +21,7 @@
 
 /// Checks all replicas by the requests of nodes whose processes ran without interruption.
 /// Requests of orderers do not name a node: they count if no node was interrupted.
-pub fn check_limits_hold(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_limits_hold(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
     let all_ran_on = (0..nodes).all(undisturbed);
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -10,7 +10,7 @@
 
 use crate::checks::{call_over_new_connections, draw_call, CallRecord};
 use crate::cluster::{Cluster, Conditions, MODELS};
-use crate::faults::{Injection, Planned};
+use crate::faults::{Injection, PlannedFault};
 use crate::tenants::{publish, wait_until_in_force};
 use crate::words::node_of;
 
@@ -76,7 +76,7 @@
 
 /// Checks that each request that no replica ran got an answer, if its node was neither killed
 /// nor paused. The node may have been asked to stop.
-pub fn check_guarantees(cluster: &Cluster, plan: &[Planned], calls: &[CallRecord], seed: u64) {
+pub fn check_guarantees(cluster: &Cluster, plan: &[PlannedFault], calls: &[CallRecord], seed: u64) {
     let ledgers = cluster.ledgers();
     let turned_away: u32 = ledgers.iter().map(|ledger| ledger.turned_away).sum();
     println!("seed {seed}: {turned_away} requests found no free slot");
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -5,7 +5,7 @@
 use croftrill_standin::engine::{Arrival, Ledger};
 
 use crate::cluster::Cluster;
-use crate::faults::Planned;
+use crate::faults::PlannedFault;
 
 /// Time after an answer by which the node must have applied its signals, and requests that
 /// were on their way to the replica have arrived.
@@ -28,7 +28,7 @@
 }
 
 /// Checks all replicas and all nodes whose processes ran without interruption.
-pub fn check_signals_are_respected(cluster: &Cluster, plan: &[Planned], seed: u64) {
+pub fn check_signals_are_respected(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let nodes = cluster.nodes.len();
     let undisturbed =
         |node: &usize| -> bool { !plan.iter().any(|planned| planned.injection.interrupts(*node)) };
