--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::cluster::{status, Cluster, MODELS};
-use crate::faults::{Crash, PlannedFault};
+use crate::faults::{CrashingRequest, PlannedFault};
 
 /// Time between two requests.
 const CALL_INTERVAL: Duration = Duration::from_millis(25);
@@ -38,9 +38,9 @@
 const MAX_CRASHED_REPLICAS: usize = 4;
 
 /// Sends the same crashing request `crash.times` times, to the nodes in turn.
-pub async fn send_crashing_request(cluster: &Cluster, crash: &Crash, seed: u64) {
+pub async fn send_crashing_request(cluster: &Cluster, crash: &CrashingRequest, seed: u64) {
     let calls = (0..crash.times).map(|number| async move {
-        sleep(crash.gap * number).await;
+        sleep(crash.interval * number).await;
         let drawn = Call {
             attempt: crash.attempt(seed, number),
             model: MODELS[crash.number % MODELS.len()].to_string(),
--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -86,7 +86,7 @@
     /// The document changes this number of times, at this interval.
     Changes(u32, Duration),
     /// A request that crashes replicas is sent.
-    Crash(Crash),
+    Crash(CrashingRequest),
     /// An operator removes a key, or restores it.
     ToggleKey,
     /// An operator lowers or raises the quota.
@@ -125,16 +125,16 @@
 
 /// A request that crashes each replica that starts to run it.
 #[derive(Debug, Clone)]
-pub struct Crash {
+pub struct CrashingRequest {
     /// Identifies the request within the round.
     pub number: usize,
     /// How many times the request is sent.
     pub times: u32,
     /// Time between two sends.
-    pub gap: Duration,
+    pub interval: Duration,
 }
 
-impl Crash {
+impl CrashingRequest {
     /// Returns the attempt id of the send with this number.
     pub fn attempt(&self, seed: u64, number: u32) -> String {
         format!("x{seed}-{}-{number}", self.number)
@@ -151,7 +151,7 @@
 
 impl PlannedFault {
     /// Returns the crashing request, if the fault is one.
-    pub fn crash(&self) -> Option<&Crash> {
+    pub fn crash(&self) -> Option<&CrashingRequest> {
         match &self.injection {
             Injection::Crash(crash) => Some(crash),
             _ => None,
@@ -224,10 +224,10 @@
     let node = random.random_range(0..size.nodes);
     // Each round has at least one crashing request.
     match if index == 0 { 0 } else { random.random_range(0..8) } {
-        0..=2 => Injection::Crash(Crash {
+        0..=2 => Injection::Crash(CrashingRequest {
             number: index,
             times: random.random_range(10..24),
-            gap: pause(random, 500),
+            interval: pause(random, 500),
         }),
         3 => Injection::Suspensions(node, random.random_range(1..4), pause(random, 800)),
         4 => Injection::Signals(node, signals(random)),
@@ -426,24 +426,24 @@
         Injection::SilentStoreConnections(node) => cluster.store_proxies[*node].silence_existing(),
         Injection::SilentEngineConnections(engine) => cluster.engine_proxies[*engine].silence_existing(),
         Injection::Signals(node, signals) => cluster.nodes[*node].send_signals(signals).await,
-        Injection::Roll(gap) => roll(cluster, *gap).await,
+        Injection::Roll(interval) => roll(cluster, *interval).await,
         Injection::Crash(crash) => checks::send_crashing_request(cluster, crash, seed).await,
-        Injection::Suspensions(node, count, gap) => {
+        Injection::Suspensions(node, count, interval) => {
             for _ in 0..*count {
                 cluster.nodes[*node].signal(suspendable::SUSPENSION);
-                sleep(*gap).await;
+                sleep(*interval).await;
             }
         }
         Injection::Restore(age, away) => restore(cluster, *age, *away).await,
-        Injection::Replace(nodes, program, gap) => replace(cluster, *nodes, *program, *gap).await,
+        Injection::Replace(nodes, program, interval) => replace(cluster, *nodes, *program, *interval).await,
         Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(true),
         Injection::Limit(engine, per_s) => cluster.engine(*engine).set_limit(Some(*per_s)),
         Injection::Leaving(engine) => cluster.engine(*engine).announce_leaving(),
         Injection::Rest(engine, rest) => cluster.engine(*engine).set_cooldown(Some(*rest)),
-        Injection::Changes(count, gap) => {
+        Injection::Changes(count, interval) => {
             for _ in 0..*count {
                 change(cluster);
-                sleep(*gap).await;
+                sleep(*interval).await;
             }
         }
     }
@@ -455,10 +455,10 @@
     cluster.write_document();
 }
 
-/// Asks all nodes to stop, at the interval `gap`, and waits until each has restarted.
-async fn roll(cluster: &Cluster, gap: Duration) {
+/// Asks all nodes to stop, at the interval `interval`, and waits until each has restarted.
+async fn roll(cluster: &Cluster, interval: Duration) {
     let each = cluster.nodes.iter().enumerate().map(|(index, node)| async move {
-        sleep(gap * index as u32).await;
+        sleep(interval * index as u32).await;
         // A node that another fault has paused could not end.
         node.signal("CONT");
         node.restart(true).await;
@@ -484,12 +484,12 @@
 }
 
 /// Restarts nodes with another program, one after the other.
-async fn replace(cluster: &Cluster, nodes: usize, program: Program, gap: Duration) {
+async fn replace(cluster: &Cluster, nodes: usize, program: Program, interval: Duration) {
     for node in cluster.nodes.iter().take(nodes) {
         node.set_program(program);
         node.signal("CONT");
         node.restart(true).await;
-        sleep(gap).await;
+        sleep(interval).await;
     }
 }
 
