--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -98,7 +98,7 @@
     /// later it is removed.
     Leaving(usize),
     /// A replica rejects requests and asks for this cooldown each time.
-    Rest(usize, Duration),
+    Cooldown(usize, Duration),
     /// A replica becomes slower.
     Slowed(usize),
     /// A replica announces a limit, in requests per second.
@@ -260,16 +260,16 @@
 fn words_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
     let engine = random.random_range(0..size.engines);
-    let rest = Duration::from_millis(random.random_range(700..2500));
+    let cooldown = Duration::from_millis(random.random_range(700..2500));
     match index {
         0 => return Injection::Leaving(engine),
-        1 => return Injection::Rest(engine, rest),
+        1 => return Injection::Cooldown(engine, cooldown),
         2 => return Injection::Store(StoreFault::Refusing),
         _ => {}
     }
     match random.random_range(0..7) {
         0 => Injection::Leaving(engine),
-        1 | 2 => Injection::Rest(engine, rest),
+        1 | 2 => Injection::Cooldown(engine, cooldown),
         3 => Injection::EnginePath(engine, fault(random)),
         4 => Injection::Kill(node),
         5 => Injection::Compaction,
@@ -439,7 +439,7 @@
         Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(true),
         Injection::Limit(engine, per_s) => cluster.engine(*engine).set_limit(Some(*per_s)),
         Injection::Leaving(engine) => cluster.engine(*engine).announce_leaving(),
-        Injection::Rest(engine, rest) => cluster.engine(*engine).set_cooldown(Some(*rest)),
+        Injection::Cooldown(engine, cooldown) => cluster.engine(*engine).set_cooldown(Some(*cooldown)),
         Injection::Changes(count, interval) => {
             for _ in 0..*count {
                 change(cluster);
@@ -509,7 +509,7 @@
         }
         Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(false),
         Injection::Leaving(engine) => cluster.engine(*engine).finish_leaving(),
-        Injection::Rest(engine, _) => cluster.engine(*engine).set_cooldown(None),
+        Injection::Cooldown(engine, _) => cluster.engine(*engine).set_cooldown(None),
         _ => {}
     }
 }
