--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -159,7 +159,7 @@
     }
 }
 
-fn fault(random: &mut SmallRng) -> Fault {
+fn draw_fault(random: &mut SmallRng) -> Fault {
     let faults = [
         Fault::Delay(Duration::from_millis(150)),
         Fault::Reset,
@@ -169,7 +169,7 @@
     *faults.choose(random).expect("there are some")
 }
 
-fn injection(random: &mut SmallRng, size: Size) -> Injection {
+fn single_injection(random: &mut SmallRng, size: Size) -> Injection {
     let node = random.random_range(0..size.nodes);
     let engine = random.random_range(0..size.engines);
     let store = [
@@ -178,11 +178,11 @@
         StoreFault::Silent,
     ];
     match random.random_range(0..10) {
-        0 => Injection::StorePath(node, fault(random)),
-        1 => Injection::AllStorePaths(fault(random)),
+        0 => Injection::StorePath(node, draw_fault(random)),
+        1 => Injection::AllStorePaths(draw_fault(random)),
         2 => Injection::Store(*store.choose(random).expect("there are some")),
         3 => Injection::Compaction,
-        4 => Injection::EnginePath(engine, fault(random)),
+        4 => Injection::EnginePath(engine, draw_fault(random)),
         5 => Injection::Pause(node),
         6 => Injection::Kill(node),
         7 => Injection::Stop(node),
@@ -191,17 +191,22 @@
     }
 }
 
-fn pause(random: &mut SmallRng, max_ms: u64) -> Duration {
+fn draw_pause(random: &mut SmallRng, max_ms: u64) -> Duration {
     Duration::from_millis(random.random_range(10..max_ms))
 }
 
 /// Draws signals to one process: reloads, stops of several kinds, and requests to stop while
 /// the process is already stopping.
-fn signals(random: &mut SmallRng) -> Vec<(&'static str, Duration)> {
+fn draw_signals(random: &mut SmallRng) -> Vec<(&'static str, Duration)> {
     let names = ["HUP", "HUP", "TERM", "TERM", "KILL", "STOP", "CONT"];
     let count = random.random_range(2..=6);
     let mut signals: Vec<_> = (0..count)
-        .map(|_| (*names.choose(random).expect("there are some"), pause(random, 600)))
+        .map(|_| {
+            (
+                *names.choose(random).expect("there are some"),
+                draw_pause(random, 600),
+            )
+        })
         .collect();
     // A process that is stopped by SIGSTOP could not end.
     signals.push(("CONT", Duration::ZERO));
@@ -213,10 +218,10 @@
     match random.random_range(0..8) {
         0 => Injection::SilentStoreConnections(node),
         1 => Injection::SilentEngineConnections(random.random_range(0..size.engines)),
-        2 | 3 => Injection::Signals(node, signals(random)),
-        4 => Injection::Roll(pause(random, 900)),
-        5 => Injection::Changes(random.random_range(3..12), pause(random, 300)),
-        _ => injection(random, size),
+        2 | 3 => Injection::Signals(node, draw_signals(random)),
+        4 => Injection::Roll(draw_pause(random, 900)),
+        5 => Injection::Changes(random.random_range(3..12), draw_pause(random, 300)),
+        _ => single_injection(random, size),
     }
 }
 
@@ -227,12 +232,12 @@
         0..=2 => Injection::Crash(CrashingRequest {
             number: index,
             times: random.random_range(10..24),
-            interval: pause(random, 500),
+            interval: draw_pause(random, 500),
         }),
-        3 => Injection::Suspensions(node, random.random_range(1..4), pause(random, 800)),
-        4 => Injection::Signals(node, signals(random)),
+        3 => Injection::Suspensions(node, random.random_range(1..4), draw_pause(random, 800)),
+        4 => Injection::Signals(node, draw_signals(random)),
         5 => Injection::Kill(node),
-        6 => Injection::Roll(pause(random, 900)),
+        6 => Injection::Roll(draw_pause(random, 900)),
         _ => Injection::SilentEngineConnections(random.random_range(0..size.engines)),
     }
 }
@@ -248,12 +253,12 @@
         0 => Injection::ToggleKey,
         1 => Injection::ToggleQuota,
         2 => Injection::Kill(node),
-        3 => Injection::Signals(node, signals(random)),
-        4 => Injection::Roll(pause(random, 900)),
+        3 => Injection::Signals(node, draw_signals(random)),
+        4 => Injection::Roll(draw_pause(random, 900)),
         5 => Injection::KillAll,
         6 => Injection::Pause(node),
-        7 => Injection::Changes(random.random_range(3..12), pause(random, 300)),
-        _ => Injection::StorePath(node, fault(random)),
+        7 => Injection::Changes(random.random_range(3..12), draw_pause(random, 300)),
+        _ => Injection::StorePath(node, draw_fault(random)),
     }
 }
 
@@ -270,10 +275,10 @@
     match random.random_range(0..7) {
         0 => Injection::Leaving(engine),
         1 | 2 => Injection::Cooldown(engine, cooldown),
-        3 => Injection::EnginePath(engine, fault(random)),
+        3 => Injection::EnginePath(engine, draw_fault(random)),
         4 => Injection::Kill(node),
         5 => Injection::Compaction,
-        _ => Injection::StorePath(node, fault(random)),
+        _ => Injection::StorePath(node, draw_fault(random)),
     }
 }
 
@@ -286,10 +291,10 @@
     match random.random_range(0..8) {
         0 | 1 => Injection::Kill(node),
         2 => Injection::Pause(node),
-        3 => Injection::StorePath(node, fault(random)),
+        3 => Injection::StorePath(node, draw_fault(random)),
         4 => Injection::Store(StoreFault::Refusing),
-        5 => Injection::EnginePath(engine, fault(random)),
-        6 => Injection::Signals(node, signals(random)),
+        5 => Injection::EnginePath(engine, draw_fault(random)),
+        6 => Injection::Signals(node, draw_signals(random)),
         _ => Injection::SilentEngineConnections(engine),
     }
 }
@@ -297,34 +302,34 @@
 fn builds_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
     match index {
-        0 => return Injection::Replace(size.nodes, Program::Daemon, pause(random, 500)),
+        0 => return Injection::Replace(size.nodes, Program::Daemon, draw_pause(random, 500)),
         1 => {
             let back = random.random_range(0..=size.nodes);
-            return Injection::Replace(back, Program::Older, pause(random, 500));
+            return Injection::Replace(back, Program::Older, draw_pause(random, 500));
         }
         _ => {}
     }
     match random.random_range(0..4) {
         0 => Injection::Kill(node),
-        1 => Injection::StorePath(node, fault(random)),
+        1 => Injection::StorePath(node, draw_fault(random)),
         2 => Injection::Change,
-        _ => Injection::EnginePath(random.random_range(0..size.engines), fault(random)),
+        _ => Injection::EnginePath(random.random_range(0..size.engines), draw_fault(random)),
     }
 }
 
 fn restores_injection(random: &mut SmallRng, size: Size, index: usize) -> Injection {
     let node = random.random_range(0..size.nodes);
     if index == 0 || random.random_range(0..6) == 0 {
-        return Injection::Restore(pause(random, 3000), pause(random, 1200));
+        return Injection::Restore(draw_pause(random, 3000), draw_pause(random, 1200));
     }
     match random.random_range(0..7) {
         0 => Injection::Kill(node),
         1 => Injection::Stop(node),
         2 => Injection::Pause(node),
-        3 => Injection::StorePath(node, fault(random)),
+        3 => Injection::StorePath(node, draw_fault(random)),
         4 => Injection::KillAll,
-        5 => Injection::Signals(node, signals(random)),
-        _ => Injection::Changes(random.random_range(3..12), pause(random, 300)),
+        5 => Injection::Signals(node, draw_signals(random)),
+        _ => Injection::Changes(random.random_range(3..12), draw_pause(random, 300)),
     }
 }
 
@@ -342,8 +347,8 @@
         3 => Injection::Kill(node),
         4 => Injection::Pause(node),
         5 => Injection::Leaving(engine),
-        6 => Injection::EnginePath(engine, fault(random)),
-        7 => Injection::StorePath(node, fault(random)),
+        6 => Injection::EnginePath(engine, draw_fault(random)),
+        7 => Injection::StorePath(node, draw_fault(random)),
         _ => Injection::SilentEngineConnections(engine),
     }
 }
@@ -366,7 +371,7 @@
         duration: Duration::from_millis(random.random_range(300..3000)),
         injection: match mix {
             Mix::Limits => limits_injection(random, size, index),
-            Mix::Few => injection(random, size),
+            Mix::Few => single_injection(random, size),
             Mix::Series => series_injection(random, size),
             Mix::Crashes => crashes_injection(random, size, index),
             Mix::Tenants => tenants_injection(random, size, index),
@@ -380,16 +385,16 @@
 }
 
 /// Injects the planned faults. Returns when all have ended and the round's time is over.
-pub async fn play(cluster: &Cluster, plan: &[PlannedFault], round: Duration, seed: u64) {
+pub async fn inject(cluster: &Cluster, plan: &[PlannedFault], round: Duration, seed: u64) {
     let each = plan.iter().map(|planned| async move {
         sleep(planned.at).await;
-        begin(cluster, planned, seed).await;
-        end(cluster, planned).await;
+        start_fault(cluster, planned, seed).await;
+        end_fault(cluster, planned).await;
     });
-    tokio::join!(futures_join(each), sleep(round));
+    tokio::join!(run_all(each), sleep(round));
 }
 
-async fn futures_join<F: std::future::Future<Output = ()>>(each: impl Iterator<Item = F>) {
+async fn run_all<F: std::future::Future<Output = ()>>(each: impl Iterator<Item = F>) {
     let mut each: Vec<_> = each.map(Box::pin).collect();
     std::future::poll_fn(|context| {
         each.retain_mut(|future| future.as_mut().poll(context).is_pending());
@@ -402,7 +407,7 @@
     .await;
 }
 
-async fn begin(cluster: &Cluster, planned: &PlannedFault, seed: u64) {
+async fn start_fault(cluster: &Cluster, planned: &PlannedFault, seed: u64) {
     match &planned.injection {
         Injection::StorePath(node, fault) => cluster.store_proxies[*node].set(*fault),
         Injection::AllStorePaths(fault) => cluster.store_proxies.iter().for_each(|proxy| proxy.set(*fault)),
@@ -420,13 +425,13 @@
                 node.restart(false).await;
             }
         }
-        Injection::Change => change(cluster),
+        Injection::Change => change_document(cluster),
         Injection::ToggleKey => tenants::toggle_key(cluster),
         Injection::ToggleQuota => tenants::toggle_quota(cluster),
         Injection::SilentStoreConnections(node) => cluster.store_proxies[*node].silence_existing(),
         Injection::SilentEngineConnections(engine) => cluster.engine_proxies[*engine].silence_existing(),
         Injection::Signals(node, signals) => cluster.nodes[*node].send_signals(signals).await,
-        Injection::Roll(interval) => roll(cluster, *interval).await,
+        Injection::Roll(interval) => rolling_restart(cluster, *interval).await,
         Injection::Crash(crash) => checks::send_crashing_request(cluster, crash, seed).await,
         Injection::Suspensions(node, count, interval) => {
             for _ in 0..*count {
@@ -434,15 +439,17 @@
                 sleep(*interval).await;
             }
         }
-        Injection::Restore(age, away) => restore(cluster, *age, *away).await,
-        Injection::Replace(nodes, program, interval) => replace(cluster, *nodes, *program, *interval).await,
+        Injection::Restore(age, away) => restore_store(cluster, *age, *away).await,
+        Injection::Replace(nodes, program, interval) => {
+            replace_programs(cluster, *nodes, *program, *interval).await
+        }
         Injection::Slowed(engine) => cluster.engine(*engine).set_slowed(true),
         Injection::Limit(engine, per_s) => cluster.engine(*engine).set_limit(Some(*per_s)),
         Injection::Leaving(engine) => cluster.engine(*engine).announce_leaving(),
         Injection::Cooldown(engine, cooldown) => cluster.engine(*engine).set_cooldown(Some(*cooldown)),
         Injection::Changes(count, interval) => {
             for _ in 0..*count {
-                change(cluster);
+                change_document(cluster);
                 sleep(*interval).await;
             }
         }
@@ -450,25 +457,25 @@
     sleep(planned.duration).await;
 }
 
-fn change(cluster: &Cluster) {
+fn change_document(cluster: &Cluster) {
     cluster.document.borrow_mut().version += 1;
     cluster.write_document();
 }
 
 /// Asks all nodes to stop, at the interval `interval`, and waits until each has restarted.
-async fn roll(cluster: &Cluster, interval: Duration) {
+async fn rolling_restart(cluster: &Cluster, interval: Duration) {
     let each = cluster.nodes.iter().enumerate().map(|(index, node)| async move {
         sleep(interval * index as u32).await;
         // A node that another fault has paused could not end.
         node.signal("CONT");
         node.restart(true).await;
     });
-    futures_join(each).await;
+    run_all(each).await;
 }
 
 /// Copies the store, makes it unavailable after `age`, and restores it from the copy after
 /// `away`. Operators and replicas then repeat their writes.
-async fn restore(cluster: &Cluster, age: Duration, away: Duration) {
+async fn restore_store(cluster: &Cluster, age: Duration, away: Duration) {
     let copy = cluster.store.copy();
     sleep(age).await;
     cluster.store.set_fault(StoreFault::Refusing);
@@ -484,7 +491,7 @@
 }
 
 /// Restarts nodes with another program, one after the other.
-async fn replace(cluster: &Cluster, nodes: usize, program: Program, interval: Duration) {
+async fn replace_programs(cluster: &Cluster, nodes: usize, program: Program, interval: Duration) {
     for node in cluster.nodes.iter().take(nodes) {
         node.set_program(program);
         node.signal("CONT");
@@ -493,7 +500,7 @@
     }
 }
 
-async fn end(cluster: &Cluster, planned: &PlannedFault) {
+async fn end_fault(cluster: &Cluster, planned: &PlannedFault) {
     match &planned.injection {
         Injection::StorePath(node, _) => cluster.store_proxies[*node].set(Fault::None),
         Injection::AllStorePaths(_) => cluster
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -142,7 +142,7 @@
         ROUND_DURATION
     };
     let played = async {
-        let faults = faults::play(&cluster, &plan, length, seed);
+        let faults = faults::inject(&cluster, &plan, length, seed);
         let calls = match mix {
             Mix::Tenants => tokio::join!(tenants::call_nodes(&cluster, length, seed), faults).0,
             Mix::Uneven => tokio::join!(uneven::call_nodes(&cluster, length, seed), faults).0,
