--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -130,8 +130,8 @@
     };
     let cluster = Cluster::start(&format!("{seed}"), size, program, conditions).await;
     match mix {
-        Mix::Tenants => tenants::begin(&cluster).await,
-        Mix::Uneven => uneven::begin(&cluster, seed).await,
+        Mix::Tenants => tenants::set_up_groups(&cluster).await,
+        Mix::Uneven => uneven::set_up_groups(&cluster, seed).await,
         _ => {}
     }
     let plan = faults::draw(&mut random, mix, size);
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -95,7 +95,7 @@
 }
 
 /// Adds the groups to the document, and waits until it is in force at all nodes.
-pub async fn begin(cluster: &Cluster) {
+pub async fn set_up_groups(cluster: &Cluster) {
     cluster.document.borrow_mut().groups = groups();
     publish(cluster);
     wait_until_in_force(cluster, 0).await;
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -43,7 +43,7 @@
 }
 
 /// Adds the groups to the document, and waits until it is in force at all nodes.
-pub async fn begin(cluster: &Cluster, seed: u64) {
+pub async fn set_up_groups(cluster: &Cluster, seed: u64) {
     let groups = GROUPS.iter().map(|(name, rank)| GroupDocument {
         name: (*name).to_string(),
         share: 1,
