--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -23,13 +23,13 @@
 /// Requests of orderers do not name a node: they count if no node was interrupted.
 pub fn check_limits_hold(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let nodes = cluster.nodes.len();
-    let undisturbed = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
-    let all_ran_on = (0..nodes).all(undisturbed);
+    let ran_uninterrupted = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
+    let all_ran_uninterrupted = (0..nodes).all(ran_uninterrupted);
     let mut named = 0;
     for ledger in cluster.ledgers() {
         let counts = |arrival: &&Arrival| match node_of(&arrival.attempt, nodes) {
-            Some(node) => undisturbed(node),
-            None => all_ran_on,
+            Some(node) => ran_uninterrupted(node),
+            None => all_ran_uninterrupted,
         };
         for need in needs(&ledger.arrivals) {
             named += need.len();
--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -30,12 +30,12 @@
 /// Checks all replicas and all nodes whose processes ran without interruption.
 pub fn check_signals_are_respected(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let nodes = cluster.nodes.len();
-    let undisturbed =
+    let ran_uninterrupted =
         |node: &usize| -> bool { !plan.iter().any(|planned| planned.injection.interrupts(*node)) };
     for ledger in cluster.ledgers() {
         let mut by_node: BTreeMap<usize, Vec<&Arrival>> = BTreeMap::new();
         for arrival in &ledger.arrivals {
-            if let Some(node) = node_of(&arrival.attempt, nodes).filter(undisturbed) {
+            if let Some(node) = node_of(&arrival.attempt, nodes).filter(ran_uninterrupted) {
                 by_node.entry(node).or_default().push(arrival);
             }
         }
