--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -25,42 +25,42 @@
     let nodes = cluster.nodes.len();
     let ran_uninterrupted = |node: usize| !plan.iter().any(|planned| planned.injection.interrupts(node));
     let all_ran_uninterrupted = (0..nodes).all(ran_uninterrupted);
-    let mut named = 0;
+    let mut limit_answers = 0;
     for ledger in cluster.ledgers() {
         let counts = |arrival: &&Arrival| match node_of(&arrival.attempt, nodes) {
             Some(node) => ran_uninterrupted(node),
             None => all_ran_uninterrupted,
         };
-        for need in needs(&ledger.arrivals) {
-            named += need.len();
-            let counted: Vec<&Arrival> = need.iter().filter(counts).collect();
-            check_limit_holds(&told(&counted, nodes), need[0].at_ms, seed);
+        for limit_run in limit_runs(&ledger.arrivals) {
+            limit_answers += limit_run.len();
+            let counted: Vec<&Arrival> = limit_run.iter().filter(counts).collect();
+            check_limit_holds(&after_limit_received(&counted, nodes), limit_run[0].at_ms, seed);
         }
     }
-    println!("seed {seed}: {named} answers with a limit");
+    println!("seed {seed}: {limit_answers} answers with a limit");
 }
 
 /// Returns the runs of consecutive requests whose answers announce the same limit.
-fn needs(arrivals: &[Arrival]) -> Vec<&[Arrival]> {
+fn limit_runs(arrivals: &[Arrival]) -> Vec<&[Arrival]> {
     let runs = arrivals.chunk_by(|left, right| left.limit_per_s == right.limit_per_s);
     runs.filter(|run| run[0].limit_per_s.is_some()).collect()
 }
 
 /// Returns those of the requests whose node received the limit `LIMIT_APPLIED_AFTER_MS` before.
-fn told<'a>(calls: &[&'a Arrival], nodes: usize) -> Vec<&'a Arrival> {
+fn after_limit_received<'a>(calls: &[&'a Arrival], nodes: usize) -> Vec<&'a Arrival> {
     let mut first_ms: BTreeMap<Option<usize>, u64> = BTreeMap::new();
-    let is_told = |call: &&&Arrival| {
+    let has_received_limit = |call: &&&Arrival| {
         let node = node_of(&call.attempt, nodes);
         let first = *first_ms.entry(node).or_insert(call.at_ms);
         call.at_ms >= first + LIMIT_APPLIED_AFTER_MS
     };
-    calls.iter().filter(is_told).copied().collect()
+    calls.iter().filter(has_received_limit).copied().collect()
 }
 
-fn check_limit_holds(calls: &[&Arrival], begun_ms: u64, seed: u64) {
+fn check_limit_holds(calls: &[&Arrival], limit_start_ms: u64, seed: u64) {
     let holding: Vec<&&Arrival> = calls
         .iter()
-        .filter(|call| call.at_ms >= begun_ms + LIMIT_HOLDS_AFTER_MS)
+        .filter(|call| call.at_ms >= limit_start_ms + LIMIT_HOLDS_AFTER_MS)
         .collect();
     for (index, first) in holding.iter().enumerate() {
         let window = holding[index..]
