--- a/crates/croftrill-daemon/tests/soak/faults.rs
+++ b/crates/croftrill-daemon/tests/soak/faults.rs
@@ -435,7 +435,7 @@
         Injection::Crash(crash) => checks::send_crashing_request(cluster, crash, seed).await,
         Injection::Suspensions(node, count, interval) => {
             for _ in 0..*count {
-                cluster.nodes[*node].signal(suspendable::SUSPENSION);
+                cluster.nodes[*node].signal(suspendable::SUSPENSION_SIGNAL);
                 sleep(*interval).await;
             }
         }
--- a/crates/croftrill-daemon/tests/soak/suspendable.rs
+++ b/crates/croftrill-daemon/tests/soak/suspendable.rs
@@ -20,19 +20,19 @@
 /// Path of the settings, for a process of this test program that runs as a node.
 const CONFIG_VARIABLE: &str = "CROFTRILL_SOAK_CONFIG";
 /// The signal that simulates a suspension.
-pub const SUSPENSION: &str = "USR1";
+pub const SUSPENSION_SIGNAL: &str = "USR1";
 /// Lengths of the suspensions, in turn. Every second one is longer than an orderer's lease
 /// with its margin, and than the time for which a relay's updates are trusted.
-const SUSPENSIONS: [Duration; 2] = [Duration::from_millis(1500), Duration::from_secs(5)];
+const SUSPENSION_LENGTHS: [Duration; 2] = [Duration::from_millis(1500), Duration::from_secs(5)];
 
-struct PutForward {
+struct AdvanceableTimeSource {
     start: Instant,
-    by: Rc<Cell<Duration>>,
+    offset: Rc<Cell<Duration>>,
 }
 
-impl TimeSource for PutForward {
+impl TimeSource for AdvanceableTimeSource {
     fn elapsed(&self) -> Duration {
-        self.start.elapsed() + self.by.get()
+        self.start.elapsed() + self.offset.get()
     }
 }
 
@@ -51,11 +51,11 @@
 }
 
 /// Advances the clock at each signal.
-async fn suspend_on_signal(by: Rc<Cell<Duration>>) {
+async fn advance_on_signal(offset: Rc<Cell<Duration>>) {
     let mut signals = signal(SignalKind::user_defined1()).expect("a handler");
-    let mut lengths = SUSPENSIONS.iter().cycle();
+    let mut lengths = SUSPENSION_LENGTHS.iter().cycle();
     while signals.recv().await.is_some() {
-        by.set(by.get() + *lengths.next().expect("a cycle never ends"));
+        offset.set(offset.get() + *lengths.next().expect("a cycle never ends"));
     }
 }
 
@@ -70,14 +70,14 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let by = Rc::new(Cell::new(Duration::ZERO));
-    let source = PutForward {
+    let offset = Rc::new(Cell::new(Duration::ZERO));
+    let source = AdvanceableTimeSource {
         start: Instant::now(),
-        by: by.clone(),
+        offset: offset.clone(),
     };
     let clock = Clock::with_source(Box::new(source));
     LocalSet::new().block_on(&runtime, async move {
-        spawn_local(suspend_on_signal(by));
+        spawn_local(advance_on_signal(offset));
         run(config, settings, clock, log)
             .await
             .expect("the daemon stops without an error");
