--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -28,7 +28,7 @@
 
 /// The kind of caller that sends a request. The attempt id ends with its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Who {
+enum CallerKind {
     Steady,
     Toggled,
     Bounded,
@@ -36,49 +36,49 @@
     Keyless,
 }
 
-impl Who {
-    const ALL: [Who; 5] = [
-        Who::Steady,
-        Who::Toggled,
-        Who::Bounded,
-        Who::Unknown,
-        Who::Keyless,
+impl CallerKind {
+    const ALL: [CallerKind; 5] = [
+        CallerKind::Steady,
+        CallerKind::Toggled,
+        CallerKind::Bounded,
+        CallerKind::Unknown,
+        CallerKind::Keyless,
     ];
 
     fn draw(random: &mut SmallRng) -> Self {
         match random.random_range(0..10) {
-            0..4 => Who::Steady,
-            4..6 => Who::Toggled,
-            6..8 => Who::Bounded,
-            8 => Who::Unknown,
-            _ => Who::Keyless,
+            0..4 => CallerKind::Steady,
+            4..6 => CallerKind::Toggled,
+            6..8 => CallerKind::Bounded,
+            8 => CallerKind::Unknown,
+            _ => CallerKind::Keyless,
         }
     }
 
     fn key(self) -> Option<&'static str> {
         match self {
-            Who::Steady => Some(STEADY_KEYS[0]),
-            Who::Toggled => Some(STEADY_KEYS[1]),
-            Who::Bounded => Some(BOUNDED_KEY),
-            Who::Unknown => Some(UNKNOWN_KEY),
-            Who::Keyless => None,
+            CallerKind::Steady => Some(STEADY_KEYS[0]),
+            CallerKind::Toggled => Some(STEADY_KEYS[1]),
+            CallerKind::Bounded => Some(BOUNDED_KEY),
+            CallerKind::Unknown => Some(UNKNOWN_KEY),
+            CallerKind::Keyless => None,
         }
     }
 
     fn group(self) -> Option<&'static str> {
         match self {
-            Who::Steady | Who::Toggled => Some(STEADY),
-            Who::Bounded => Some(BOUNDED),
-            Who::Unknown | Who::Keyless => None,
+            CallerKind::Steady | CallerKind::Toggled => Some(STEADY),
+            CallerKind::Bounded => Some(BOUNDED),
+            CallerKind::Unknown | CallerKind::Keyless => None,
         }
     }
 
-    fn of(attempt: &str) -> Self {
+    fn from_attempt(attempt: &str) -> Self {
         let name = attempt.rsplit('-').next().unwrap_or_default();
-        let of_name = |who: &Who| format!("{who:?}") == name;
-        Who::ALL
+        let has_name = |caller_kind: &CallerKind| format!("{caller_kind:?}") == name;
+        CallerKind::ALL
             .into_iter()
-            .find(of_name)
+            .find(has_name)
             .expect("an attempt id ends with the caller's kind")
     }
 }
@@ -164,12 +164,12 @@
 }
 
 fn draw(random: &mut SmallRng, seed: u64, number: usize) -> Call {
-    let who = Who::draw(random);
+    let caller_kind = CallerKind::draw(random);
     Call {
-        key: who.key().map(str::to_string),
+        key: caller_kind.key().map(str::to_string),
         // Nodes must ignore the group that a caller claims.
         group: Some(STEADY.to_string()),
-        ..draw_call(random, format!("t{seed}-{number}-{who:?}"))
+        ..draw_call(random, format!("t{seed}-{number}-{caller_kind:?}"))
     }
 }
 
@@ -188,28 +188,29 @@
         .key_digests
         .contains(&digest(STEADY_KEYS[1]));
     for (index, node) in cluster.nodes.iter().enumerate() {
-        for who in Who::ALL {
-            let is_allowed = who.group().is_some() && (who != Who::Toggled || is_known);
+        for caller_kind in CallerKind::ALL {
+            let is_allowed =
+                caller_kind.group().is_some() && (caller_kind != CallerKind::Toggled || is_known);
             let mut number = 0;
             loop {
                 number += 1;
                 let mut random = SmallRng::seed_from_u64(number);
                 let asked = Call {
-                    key: who.key().map(str::to_string),
-                    ..draw_call(&mut random, format!("r{seed}-{index}-{number}-{who:?}"))
+                    key: caller_kind.key().map(str::to_string),
+                    ..draw_call(&mut random, format!("r{seed}-{index}-{number}-{caller_kind:?}"))
                 };
                 let (outcome, _) = call(node.front, &asked).await;
                 let is_denied = outcome == CallOutcome::Failed(http::StatusCode::UNAUTHORIZED);
                 assert!(
                     is_allowed || is_denied,
-                    "seed {seed}: node {index}, {who:?}: {outcome:?}"
+                    "seed {seed}: node {index}, {caller_kind:?}: {outcome:?}"
                 );
                 if !is_allowed || outcome == CallOutcome::Complete {
                     break;
                 }
                 assert!(
                     Instant::now() < until,
-                    "seed {seed}: node {index} does not serve {who:?}: {outcome:?}"
+                    "seed {seed}: node {index} does not serve {caller_kind:?}: {outcome:?}"
                 );
                 sleep(Duration::from_millis(100)).await;
             }
@@ -222,17 +223,22 @@
     let ledgers = cluster.ledgers();
     let runs: Vec<&GroupRun> = ledgers.iter().flat_map(|ledger| &ledger.group_runs).collect();
     for run in &runs {
-        let who = Who::of(&run.attempt);
+        let caller_kind = CallerKind::from_attempt(&run.attempt);
         assert!(
-            who.group().is_some(),
+            caller_kind.group().is_some(),
             "seed {seed}: {} ran without a key",
             run.attempt
         );
-        assert_eq!(run.group.as_deref(), who.group(), "seed {seed}: {}", run.attempt);
+        assert_eq!(
+            run.group.as_deref(),
+            caller_kind.group(),
+            "seed {seed}: {}",
+            run.attempt
+        );
     }
     for record in calls
         .iter()
-        .filter(|record| Who::of(&record.attempt).group().is_none())
+        .filter(|record| CallerKind::from_attempt(&record.attempt).group().is_none())
     {
         assert_ne!(
             record.outcome,
@@ -267,5 +273,5 @@
 pub fn owed(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
     calls
         .iter()
-        .filter(|record| Who::of(&record.attempt) == Who::Steady)
+        .filter(|record| CallerKind::from_attempt(&record.attempt) == CallerKind::Steady)
 }
