--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -163,7 +163,7 @@
     checks::check_guarantees(&cluster, &calls, seed);
     if mix == Mix::Tenants {
         tenants::check_guarantees(&cluster, &calls, seed);
-        checks::check_enough_are_complete(tenants::owed(&calls), seed);
+        checks::check_enough_are_complete(tenants::calls_to_be_served(&calls), seed);
     } else {
         checks::check_enough_are_complete(calls.iter(), seed);
     }
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -22,7 +22,7 @@
 const BOUNDED_KEY: &str = "bounded-key";
 /// A key that is in no document.
 const UNKNOWN_KEY: &str = "nobodys-key";
-/// Quota of the bounded group at the start and when lowered, in tokens per second. A request
+/// Quota of the bounded group at the start and when is_initial, in tokens per second. A request
 /// uses some 7 tokens.
 const QUOTAS: [f64; 2] = [60.0, 20.0];
 
@@ -143,8 +143,8 @@
         .quota
         .as_ref()
         .map(|quota| quota.tokens_per_second);
-    let lowered = present == Some(QUOTAS[0]);
-    document.groups[1].quota = quota(QUOTAS[usize::from(lowered)]);
+    let is_initial = present == Some(QUOTAS[0]);
+    document.groups[1].quota = quota(QUOTAS[usize::from(is_initial)]);
     drop(document);
     publish(cluster);
 }
@@ -195,11 +195,11 @@
             loop {
                 number += 1;
                 let mut random = SmallRng::seed_from_u64(number);
-                let asked = Call {
+                let request = Call {
                     key: caller_kind.key().map(str::to_string),
                     ..draw_call(&mut random, format!("r{seed}-{index}-{number}-{caller_kind:?}"))
                 };
-                let (outcome, _) = call(node.front, &asked).await;
+                let (outcome, _) = call(node.front, &request).await;
                 let is_denied = outcome == CallOutcome::Failed(http::StatusCode::UNAUTHORIZED);
                 assert!(
                     is_allowed || is_denied,
@@ -252,25 +252,25 @@
         .filter(|run| run.group.as_deref() == Some(BOUNDED))
         .collect();
     let allowed = (QUOTAS[0] * QUOTA_WINDOW.as_secs_f64() + QUOTAS[0]) * (1.0 + QUOTA_OVERAGE) + QUOTA_SLACK;
-    let most = bounded.iter().map(|first| {
+    let max_tokens = bounded.iter().map(|first| {
         let window = first.at_ms..first.at_ms + QUOTA_WINDOW.as_millis() as u64;
         let within = bounded.iter().filter(|run| window.contains(&run.at_ms));
         within.map(|run| run.tokens).sum::<u64>()
     });
-    let most = most.max().unwrap_or(0);
+    let max_tokens = max_tokens.max().unwrap_or(0);
     println!(
-        "seed {seed}: {} runs of the bounded group, at most {most} of {allowed} tokens",
+        "seed {seed}: {} runs of the bounded group, at most {max_tokens} of {allowed} tokens",
         bounded.len()
     );
     assert!(
-        most as f64 <= allowed,
-        "seed {seed}: {most} of {allowed} tokens in a window"
+        max_tokens as f64 <= allowed,
+        "seed {seed}: {max_tokens} of {allowed} tokens in a window"
     );
 }
 
 /// Returns the requests that must be served: those with a key that is never removed, of a
 /// group without a quota.
-pub fn owed(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
+pub fn calls_to_be_served(calls: &[CallRecord]) -> impl Iterator<Item = &CallRecord> {
     calls
         .iter()
         .filter(|record| CallerKind::from_attempt(&record.attempt) == CallerKind::Steady)
