--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -24,7 +24,7 @@
 /// Groups with their priorities. The last one sends most requests, half of them for one
 /// model.
 const GROUPS: [(&str, u8); 3] = [("urgent", 0), ("patient", 2), ("hot", 2)];
-const HOT: usize = 2;
+const HOT_GROUP: usize = 2;
 
 /// A request that took at least this long counts as received: a running node leaves none
 /// unread for so long.
@@ -44,10 +44,10 @@
 
 /// Adds the groups to the document, and waits until it is in force at all nodes.
 pub async fn set_up_groups(cluster: &Cluster, seed: u64) {
-    let groups = GROUPS.iter().map(|(name, rank)| GroupDocument {
+    let groups = GROUPS.iter().map(|(name, priority)| GroupDocument {
         name: (*name).to_string(),
         share: 1,
-        priority: Some(*rank),
+        priority: Some(*priority),
         ..GroupDocument::default()
     });
     cluster.document.borrow_mut().groups = groups.collect();
@@ -56,10 +56,10 @@
 }
 
 fn draw(random: &mut SmallRng, attempt: String) -> Call {
-    let group = [0, 1, HOT, HOT][random.random_range(0..4)];
+    let group = [0, 1, HOT_GROUP, HOT_GROUP][random.random_range(0..4)];
     let mut drawn = draw_call(random, attempt);
     drawn.group = Some(GROUPS[group].0.to_string());
-    if group == HOT && random.random_bool(0.5) {
+    if group == HOT_GROUP && random.random_bool(0.5) {
         drawn.model = MODELS[0].to_string();
     }
     drawn
@@ -81,16 +81,16 @@
     let turned_away: u32 = ledgers.iter().map(|ledger| ledger.turned_away).sum();
     println!("seed {seed}: {turned_away} requests found no free slot");
     let nodes = cluster.nodes.len();
-    let ran_or_ended_well = |node: usize| {
-        let mut cuts = plan.iter().filter(|planned| planned.injection.interrupts(node));
-        cuts.all(|planned| matches!(planned.injection, Injection::Stop(_)))
+    let ran_or_stopped_gracefully = |node: usize| {
+        let mut interruptions = plan.iter().filter(|planned| planned.injection.interrupts(node));
+        interruptions.all(|planned| matches!(planned.injection, Injection::Stop(_)))
     };
     for record in calls {
-        let is_judged = node_of(&record.attempt, nodes).is_some_and(ran_or_ended_well);
+        let is_checked = node_of(&record.attempt, nodes).is_some_and(ran_or_stopped_gracefully);
         let ran = ledgers
             .iter()
             .any(|ledger| ledger.runs.contains_key(&record.attempt));
         let is_lost = record.outcome == CallOutcome::Broken && record.elapsed >= RECEIVED_AFTER && !ran;
-        assert!(!(is_judged && is_lost), "seed {seed}: {record:?} was lost");
+        assert!(!(is_checked && is_lost), "seed {seed}: {record:?} was lost");
     }
 }
