--- a/crates/croftrill-daemon/tests/soak/words.rs
+++ b/crates/croftrill-daemon/tests/soak/words.rs
@@ -44,13 +44,13 @@
             check_cooldowns_are_respected(&arrivals, node, seed);
         }
     }
-    let words = cluster.ledgers().iter().map(words_of).sum::<usize>();
-    println!("seed {seed}: {words} answers that signal leaving or a cooldown");
+    let signals = cluster.ledgers().iter().map(count_signals).sum::<usize>();
+    println!("seed {seed}: {signals} answers that signal leaving or a cooldown");
 }
 
-fn words_of(ledger: &Ledger) -> usize {
-    let tells = |arrival: &&Arrival| arrival.says_leaving || arrival.rest_ms.is_some();
-    ledger.arrivals.iter().filter(tells).count()
+fn count_signals(ledger: &Ledger) -> usize {
+    let is_signal = |arrival: &&Arrival| arrival.says_leaving || arrival.rest_ms.is_some();
+    ledger.arrivals.iter().filter(is_signal).count()
 }
 
 fn check_leaving_is_respected(arrivals: &[&Arrival], node: usize, seed: u64) {
@@ -66,16 +66,18 @@
 }
 
 fn check_cooldowns_are_respected(arrivals: &[&Arrival], node: usize, seed: u64) {
-    for asked in arrivals {
-        let Some(rest_ms) = asked.rest_ms else { continue };
-        let (begin_ms, end_ms) = (asked.at_ms + SIGNAL_DELAY_MS, asked.at_ms + rest_ms);
-        let in_rest = arrivals
+    for rejection in arrivals {
+        let Some(rest_ms) = rejection.rest_ms else {
+            continue;
+        };
+        let (begin_ms, end_ms) = (rejection.at_ms + SIGNAL_DELAY_MS, rejection.at_ms + rest_ms);
+        let in_cooldown = arrivals
             .iter()
             .filter(|other| other.at_ms > begin_ms && other.at_ms < end_ms);
-        let count = in_rest.count();
+        let count = in_cooldown.count();
         assert!(
             count <= MAX_REQUESTS_IN_COOLDOWN,
-            "seed {seed}: {count} requests of node {node} during the cooldown of {asked:?}"
+            "seed {seed}: {count} requests of node {node} during the cooldown of {rejection:?}"
         );
     }
 }
