--- a/crates/croftrill-daemon/tests/soak/limits.rs
+++ b/crates/croftrill-daemon/tests/soak/limits.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::Cluster;
 use crate::faults::PlannedFault;
-use crate::words::node_of;
+use crate::replica_signals::node_of;
 
 /// Time from a replica's first answer with a limit until the limit holds.
 const LIMIT_HOLDS_AFTER_MS: u64 = 3000;
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -35,10 +35,10 @@
 mod cluster;
 mod faults;
 mod limits;
+mod replica_signals;
 mod suspendable;
 mod tenants;
 mod uneven;
-mod words;
 
 use std::time::Duration;
 
@@ -168,7 +168,7 @@
         checks::check_enough_are_complete(calls.iter(), seed);
     }
     checks::check_crashes_are_bounded(&cluster, &plan, seed);
-    words::check_signals_are_respected(&cluster, &plan, seed);
+    replica_signals::check_signals_are_respected(&cluster, &plan, seed);
     limits::check_limits_hold(&cluster, &plan, seed);
     if mix == Mix::Uneven {
         uneven::check_guarantees(&cluster, &plan, &calls, seed);
--- a/crates/croftrill-daemon/tests/soak/uneven.rs
+++ b/crates/croftrill-daemon/tests/soak/uneven.rs
@@ -11,8 +11,8 @@
 use crate::checks::{call_over_new_connections, draw_call, CallRecord};
 use crate::cluster::{Cluster, Conditions, MODELS};
 use crate::faults::{Injection, PlannedFault};
+use crate::replica_signals::node_of;
 use crate::tenants::{publish, wait_until_in_force};
-use crate::words::node_of;
 
 /// Work times of the replicas in turn, in percent of the default.
 const WORK_TIMES_PCT: [u32; 3] = [60, 100, 160];
