--- a/crates/croftrill-daemon/tests/soak/suspendable.rs
+++ b/crates/croftrill-daemon/tests/soak/suspendable.rs
@@ -43,7 +43,7 @@
     command
         .args([
             "--exact",
-            "suspendable::runs_as_a_node_where_settings_are_named",
+            "suspendable::run_as_node_with_config_variable",
             "--nocapture",
         ])
         .env(CONFIG_VARIABLE, config);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn runs_as_a_node_where_settings_are_named() {
+fn run_as_node_with_config_variable() {
     let Some(config) = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from) else {
         return;
     };
