--- a/crates/croftrill-daemon/tests/soak/checks.rs
+++ b/crates/croftrill-daemon/tests/soak/checks.rs
@@ -57,7 +57,7 @@
     join_all(calls).await;
 }
 
-/// Checks how many replicas each crashing request ended.
+/// Checks how many replicas each crashing request crashed.
 pub fn check_crashes_are_bounded(cluster: &Cluster, plan: &[PlannedFault], seed: u64) {
     let ledgers = cluster.ledgers();
     for crash in plan.iter().filter_map(PlannedFault::crash) {
--- a/crates/croftrill-daemon/tests/soak/main.rs
+++ b/crates/croftrill-daemon/tests/soak/main.rs
@@ -205,7 +205,7 @@
         _ => Mix::Tenants,
     };
     let drawn = (first..first + rounds).map(|seed| (seed, mix_of(seed)));
-    // Seeds above this are chosen by hand and run without the default rounds.
+    // Seeds from `FIRST_SEED_OF_WORDS` on are chosen by hand and run without the default rounds.
     let uses_default_seeds = first < FIRST_SEED_OF_WORDS;
     let mut default_rounds = if uses_default_seeds {
         regression_seeds()
--- a/crates/croftrill-daemon/tests/soak/suspendable.rs
+++ b/crates/croftrill-daemon/tests/soak/suspendable.rs
@@ -17,7 +17,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::{spawn_local, LocalSet};
 
-/// Path of the settings, for a process of this test program that runs as a node.
+/// Environment variable with the path of the settings, set for processes of this test program
+/// that run as a node.
 const CONFIG_VARIABLE: &str = "CROFTRILL_SOAK_CONFIG";
 /// The signal that simulates a suspension.
 pub const SUSPENSION_SIGNAL: &str = "USR1";
--- a/crates/croftrill-daemon/tests/soak/tenants.rs
+++ b/crates/croftrill-daemon/tests/soak/tenants.rs
@@ -22,7 +22,7 @@
 const BOUNDED_KEY: &str = "bounded-key";
 /// A key that is in no document.
 const UNKNOWN_KEY: &str = "nobodys-key";
-/// Quota of the bounded group at the start and when is_initial, in tokens per second. A request
+/// Quota of the bounded group at the start and when lowered, in tokens per second. A request
 /// uses some 7 tokens.
 const QUOTAS: [f64; 2] = [60.0, 20.0];
 
